--- a/benchmarks/membership_costs.py
+++ b/benchmarks/membership_costs.py
@@ -32,7 +32,7 @@
 from larchhaven.membership.suspicion import Tuning
 from larchhaven.model.programs import Swim
 from larchhaven.model.world import Datagram
-from larchhaven.net.members import proof
+from larchhaven.net.control.membership_switch import proof
 
 TICK_S = 0.005
 
@@ -59,7 +59,9 @@
             def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
                 program = crowd._programs[self.number]
                 if data[:1] == b"M":
-                    crowd.carry_out(self.number, program.receive(time.monotonic_ns() // 1000, data, 0))
+                    crowd.carry_out(
+                        self.number, program.receive(time.monotonic_ns() // 1000, data, 0)
+                    )
 
         for number in range(1, self.size):
             way, _ = await asyncio.get_running_loop().create_datagram_endpoint(
--- a/benchmarks/memory_costs.py
+++ b/benchmarks/memory_costs.py
@@ -39,7 +39,9 @@
 
 def main() -> None:
     """Measure and print."""
-    options = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
+    options = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawTextHelpFormatter
+    )
     options.add_argument("--json", action="store_true")
     given = options.parse_args()
     _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
@@ -50,7 +52,9 @@
         return
     for row in rows:
         print(
-            "{standing} standing: {growth_each} bytes each, {unaccounted_share:.1%} unaccounted".format(**row)
+            "{standing} standing: {growth_each} bytes each, {unaccounted_share:.1%} unaccounted".format(
+                **row
+            )
         )
 
 
--- a/larchhaven/__main__.py
+++ b/larchhaven/__main__.py
@@ -16,7 +16,7 @@
     reading = None
     path = os.environ.get("EDGE_OPERATOR", "")
     if path:
-        from larchhaven.net.operator_file import read_now
+        from larchhaven.net.admin.operator_file import read_now
 
         reading = read_now(path)
         if reading.complaints:
@@ -24,9 +24,9 @@
                 print(complaint.at(path), file=sys.stderr)
             return UNUSABLE
 
-    from larchhaven.net import logs
-    from larchhaven.net.config import ConfigError, load
-    from larchhaven.net.node import Node
+    from larchhaven.net.configuration import ConfigError, load
+    from larchhaven.net.core import log_setup as logs
+    from larchhaven.net.proxy import Node
 
     try:
         config = load(os.environ)
--- a/larchhaven/cli/app.py
+++ b/larchhaven/cli/app.py
@@ -20,17 +20,24 @@
     help="A load-balancing proxy for connections that stay open a long time. Without a sub-command it serves."
     " Exit codes: 0 it holds, 1 it does not, 2 the input cannot be used.",
 )
-lab = typer.Typer(help="Play a scripted day around real proxies on loopback sockets, and check the rules.")
+lab = typer.Typer(
+    help="Play a scripted day around real proxies on loopback sockets, and check the rules."
+)
 app.add_typer(lab, name="lab")
-model = typer.Typer(help="Play the fleet in simulated time: membership at sizes that sockets do not reach.")
+model = typer.Typer(
+    help="Play the fleet in simulated time: membership at sizes that sockets do not reach."
+)
 app.add_typer(model, name="model")
 
 Config = Annotated[
-    Path | None, typer.Option(help="The platform's JSON file.", envvar="EDGE_CONFIG", show_envvar=True)
+    Path | None,
+    typer.Option(help="The platform's JSON file.", envvar="EDGE_CONFIG", show_envvar=True),
 ]
 Operator = Annotated[
     Path | None,
-    typer.Option(help="The operators' file, protobuf text.", envvar="EDGE_OPERATOR", show_envvar=True),
+    typer.Option(
+        help="The operators' file, protobuf text.", envvar="EDGE_OPERATOR", show_envvar=True
+    ),
 ]
 Json = Annotated[bool, typer.Option("--json", help="Write JSON for a program to read.")]
 
@@ -63,7 +70,9 @@
     operator: Operator = None,
     write: Annotated[
         Path | None,
-        typer.Option(help="Write the operators' settings as JSON, which a proxy reads without the library."),
+        typer.Option(
+            help="Write the operators' settings as JSON, which a proxy reads without the library."
+        ),
     ] = None,
     json: Json = False,
 ) -> None:
@@ -149,9 +158,13 @@
 
 @lab.command("play")
 def lab_play(
-    scenario: Annotated[Path, typer.Argument(help="A scenario, such as example/lab/morning.textproto.")],
+    scenario: Annotated[
+        Path, typer.Argument(help="A scenario, such as example/lab/morning.textproto.")
+    ],
     operator: Operator = None,
-    record: Annotated[Path | None, typer.Option(help="Write what the stand-ins saw, as JSON lines.")] = None,
+    record: Annotated[
+        Path | None, typer.Option(help="Write what the stand-ins saw, as JSON lines.")
+    ] = None,
     seed: Annotated[int | None, typer.Option(help="Another seed than the scenario's.")] = None,
     json: Json = False,
 ) -> None:
@@ -182,7 +195,8 @@
 def soak(
     minutes: Annotated[float, typer.Option(help="How long the churn lasts.", min=0)] = 40.0,
     abuse: Annotated[
-        list[str] | None, typer.Option(help="An abuse to play after the churn, again and again; or 'all'.")
+        list[str] | None,
+        typer.Option(help="An abuse to play after the churn, again and again; or 'all'."),
     ] = None,
     abuse_minutes: Annotated[float, typer.Option(help="How long each abuse lasts.", min=0.1)] = 3.0,
     arrivals: Annotated[float, typer.Option(help="New connections a second.", min=0.1)] = 54.0,
@@ -210,7 +224,9 @@
 
 @model.command("run")
 def model_run(
-    experiment: Annotated[Path, typer.Argument(help="An experiment, such as example/model/death.textproto.")],
+    experiment: Annotated[
+        Path, typer.Argument(help="An experiment, such as example/model/death.textproto.")
+    ],
     seed: Annotated[int | None, typer.Option(help="Another seed than the experiment's.")] = None,
     json: Json = False,
 ) -> None:
@@ -228,7 +244,9 @@
 @model.command("sweep")
 def model_sweep(
     experiment: Annotated[Path, typer.Argument(help="The experiment that is varied.")],
-    members: Annotated[str, typer.Option(help="Sizes, such as 8,50,200; the experiment's if left out.")] = "",
+    members: Annotated[
+        str, typer.Option(help="Sizes, such as 8,50,200; the experiment's if left out.")
+    ] = "",
     loss: Annotated[str, typer.Option(help="Percents lost, such as 0,5,30.")] = "",
     detector: Annotated[
         list[str] | None, typer.Option(help="membership or heartbeats; may be given again.")
@@ -250,7 +268,9 @@
 @model.command("plot")
 def model_plot(
     results: Annotated[Path, typer.Argument(help="The folder that a sweep has written.")],
-    out: Annotated[Path, typer.Option(help="The HTML file, plots inside.")] = Path("found/model.html"),
+    out: Annotated[Path, typer.Option(help="The HTML file, plots inside.")] = Path(
+        "found/model.html"
+    ),
 ) -> None:
     """Draw what a sweep has shown, as one file.
 
@@ -263,7 +283,9 @@
 
 @model.command("search")
 def model_search(
-    scene: Annotated[list[str] | None, typer.Option(help="Where to begin; may be given again. All.")] = None,
+    scene: Annotated[
+        list[str] | None, typer.Option(help="Where to begin; may be given again. All.")
+    ] = None,
     size: Annotated[int, typer.Option(help="Members.", min=3, max=5)] = 3,
     depth: Annotated[int, typer.Option(help="Steps.", min=0)] = 5,
     states: Annotated[int, typer.Option(help="At most so many states a scene.", min=1)] = 5000,
--- a/larchhaven/cli/check.py
+++ b/larchhaven/cli/check.py
@@ -43,7 +43,7 @@
 
 
 def _platform(config: Path) -> tuple[list[Complaint], tuple[int, int] | None]:
-    from larchhaven.net.config import ConfigError, load
+    from larchhaven.net.configuration import ConfigError, load
 
     try:
         read = load({**os.environ, "EDGE_CONFIG": str(config)})
@@ -70,7 +70,9 @@
     at = -1
     if match := re.search(r"byte (\d+)", error):
         at = int(match.group(1))
-    elif match := re.search(r"\$((?:\.\w+|\[[^\]]*\])+)", error) or re.search(r"^((?:\w+\.)*\w+) ", error):
+    elif match := re.search(r"\$((?:\.\w+|\[[^\]]*\])+)", error) or re.search(
+        r"^((?:\w+\.)*\w+) ", error
+    ):
         names = re.findall(r"\w+", match.group(1))
         at = 0
         for name in names:
--- a/larchhaven/cli/lab.py
+++ b/larchhaven/cli/lab.py
@@ -27,7 +27,9 @@
         print(f"\r{text:<78}", end="" if done < 1 else "\n", file=sys.stderr, flush=True)
 
 
-def play_file(path: Path, operator: Path | None, record: Path | None, seed: int | None, as_json: bool) -> int:
+def play_file(
+    path: Path, operator: Path | None, record: Path | None, seed: int | None, as_json: bool
+) -> int:
     """Play a scenario; return the exit code."""
     try:
         scenario, complaints = load(path.read_text("utf-8"))
@@ -43,7 +45,9 @@
     try:
         text = operator.read_text("utf-8") if operator is not None else None
         with record.open("wb") if record is not None else nullcontext() as file:
-            outcome = asyncio.run(play(scenario, record=file, progress=show_progress, operator=text))
+            outcome = asyncio.run(
+                play(scenario, record=file, progress=show_progress, operator=text)
+            )
     except NotStartedError as error:
         print(f"the proxy did not start:\n{error}", file=sys.stderr)
         return 2
@@ -62,12 +66,18 @@
     print(f"{outcome.name}, seed {outcome.seed}: {outcome.seconds:g} s")
     for name, counts in outcome.classes.items():
         answers = ", ".join(f"{word} {n}" for word, n in sorted(counts["answers"].items()))
-        print(f"  {name}: {counts['asked']} asked: {answers}; moved {counts['moves']}, lost {counts['lost']}")
+        print(
+            f"  {name}: {counts['asked']} asked: {answers}; moved {counts['moves']}, lost {counts['lost']}"
+        )
         if counts["setup_ms_p50"] is not None:
-            print(f"    set up in {counts['setup_ms_p50']} ms (median), {counts['setup_ms_p99']} ms (p99)")
+            print(
+                f"    set up in {counts['setup_ms_p50']} ms (median), {counts['setup_ms_p99']} ms (p99)"
+            )
     for name, words in outcome.members.items():
         asked = sum(words.values())
-        print(f"  of {name}: {words.get('UP', 0)} of {asked} served ({words.get('UP', 0) / asked:.0%})")
+        print(
+            f"  of {name}: {words.get('UP', 0)} of {asked} served ({words.get('UP', 0) / asked:.0%})"
+        )
     if outcome.samples:
         peak = max(sample.resident for sample in outcome.samples)
         print(f"  a proxy's memory at most {peak / (1 << 20):.1f} MB")
@@ -108,7 +118,11 @@
         return 2
     broken = checker.finish(last)
     if as_json:
-        print(msgspec.json.encode({"holds": not broken, "broken": [asdict(one) for one in broken]}).decode())
+        print(
+            msgspec.json.encode(
+                {"holds": not broken, "broken": [asdict(one) for one in broken]}
+            ).decode()
+        )
     else:
         _show_broken(broken)
         print("does not hold" if broken else "holds")
--- a/larchhaven/cli/members.py
+++ b/larchhaven/cli/members.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from larchhaven.cli.calls import CallError, get
-from larchhaven.net.membership import MembersState
+from larchhaven.net.control.membership_transport import MembersState
 
 WATCH_S = 1.0
 
@@ -27,7 +27,11 @@
         except (CallError, msgspec.DecodeError) as error:
             print(f"larchhaven members: {error}", file=sys.stderr)
             return 2
-        seen = [(m.number, m.state, m.incarnation, m.by) for m in state.members], state.sure, state.part
+        seen = (
+            [(m.number, m.state, m.incarnation, m.by) for m in state.members],
+            state.sure,
+            state.part,
+        )
         if seen != last:
             if as_json:
                 print(body.decode(), flush=True)
@@ -55,13 +59,23 @@
     if not state.on:
         print(f"off: {state.why_off}")
         return
-    sure = "" if state.sure else ", not sure: nobody has answered since the start or a gap in its own time"
-    print(f"{state.here} of {state.table} here, part: {state.part} of {state.agreed} that last agreed{sure}")
+    sure = (
+        ""
+        if state.sure
+        else ", not sure: nobody has answered since the start or a gap in its own time"
+    )
+    print(
+        f"{state.here} of {state.table} here, part: {state.part} of {state.agreed} that last agreed{sure}"
+    )
     if state.doubt:
-        print(f"it doubts itself ({state.doubt} of 8), and waits {state.doubt + 1} times as long to accuse")
+        print(
+            f"it doubts itself ({state.doubt} of 8), and waits {state.doubt + 1} times as long to accuse"
+        )
     if state.zones_lost:
         print(f"zones of which nobody is here: {', '.join(map(str, state.zones_lost))}")
-    print(f"{'no.':>4}  {'name':<24}  {'zone':>4}  {'state':<8}  {'for':>9}  {'incarnation':>11}  by")
+    print(
+        f"{'no.':>4}  {'name':<24}  {'zone':>4}  {'state':<8}  {'for':>9}  {'incarnation':>11}  by"
+    )
     for member in state.members:
         zone = "" if member.zone is None else str(member.zone)
         mark = " (this one)" if member.number == state.me else ""
--- a/larchhaven/cli/memory.py
+++ b/larchhaven/cli/memory.py
@@ -11,20 +11,26 @@
 from larchhaven.cli.calls import CallError, get
 from larchhaven.memory import plan
 from larchhaven.memory.purposes import ABOUT, COMMAND, STREAM, Purpose
-from larchhaven.net.accounting import MemoryState
+from larchhaven.net.admin.memory_accounting import MemoryState
 
-_MEASURE = (
-    "from larchhaven.net import node; from larchhaven.net.accounting import resident; print(resident())"
-)
+_MEASURE = """
+import larchhaven.net.proxy
+from larchhaven.net.admin.memory_accounting import resident
+print(resident())
+"""
 
 
 def measured_start() -> int:
     """Measure the program's own size on this machine, in bytes, by loading it in a process of its own."""
-    done = subprocess.run([sys.executable, "-c", _MEASURE], capture_output=True, text=True, check=True)
+    done = subprocess.run(
+        [sys.executable, "-c", _MEASURE], capture_output=True, text=True, check=True
+    )
     return int(done.stdout)
 
 
-def show_plan(grant: float, sockets: int, start: float | None, operator: Path | None, as_json: bool) -> int:
+def show_plan(
+    grant: float, sockets: int, start: float | None, operator: Path | None, as_json: bool
+) -> int:
     """Print the plan; return the exit code."""
     wanted: dict[Purpose, int] = {}
     if operator is not None:
@@ -35,7 +41,9 @@
             print(complaint.at(str(operator)), file=sys.stderr)
         if reading.complaints:
             return 2
-        wanted = {p: reading.settings.caps[p.key] for p in Purpose if p.key in reading.settings.caps}
+        wanted = {
+            p: reading.settings.caps[p.key] for p in Purpose if p.key in reading.settings.caps
+        }
     own = int(start * plan.MB) if start is not None else measured_start()
     try:
         made = plan.make(int(grant * plan.MB), own, sockets, wanted)
@@ -65,7 +73,9 @@
     for purpose, cap in made.caps.items():
         print(f"{purpose.key:<14}{_kb(cap)}  {ABOUT[purpose].covers}")
         print(f"{'':<28}at the cap: {ABOUT[purpose].at_cap}")
-    print(f"room for some {stand} standing connections, at {connection:,} bytes each; a socket holds at most")
+    print(
+        f"room for some {stand} standing connections, at {connection:,} bytes each; a socket holds at most"
+    )
     print(f"{made.socket_bound:,} bytes each way in the system")
     if made.short:
         print("the grant is too small: the least that each purpose needs passes it")
@@ -84,8 +94,12 @@
     if as_json:
         print(body.decode())
         return 1 if over or state.resident > state.grant else 0
-    print(f"resident {_kb(state.resident)} of {_kb(state.grant)} granted, at most {_kb(state.resident_peak)}")
-    print(f"grown by {_kb(state.growth)} since the start; of that unaccounted {_kb(state.unaccounted)}")
+    print(
+        f"resident {_kb(state.resident)} of {_kb(state.grant)} granted, at most {_kb(state.resident_peak)}"
+    )
+    print(
+        f"grown by {_kb(state.growth)} since the start; of that unaccounted {_kb(state.unaccounted)}"
+    )
     print(f"{'purpose':<14}{'used':>12}{'most':>12}{'cap':>12}{'refused':>9}")
     for name, line in state.purposes.items():
         mark = "  over its cap" if line.used > line.cap else ""
--- a/larchhaven/cli/soak.py
+++ b/larchhaven/cli/soak.py
@@ -28,7 +28,9 @@
         from larchhaven.soak.report import write
         from larchhaven.soak.run import run_part
     except ModuleNotFoundError as error:
-        print(f"larchhaven soak needs the extra 'report' ({error.name} is missing)", file=sys.stderr)
+        print(
+            f"larchhaven soak needs the extra 'report' ({error.name} is missing)", file=sys.stderr
+        )
         return 2
     names = list(ABUSES) if "all" in abuses else list(abuses)
     for name in names:
@@ -49,13 +51,20 @@
         part = run_part(seconds, arrivals, memory_mb, sockets, seed, name, samples, show_progress)
         verdicts[label] = part.verdict
         title = f"Soak, {label}: {seconds / 60:g} minutes at {memory_mb:g} MB, {arrivals:g} arrivals a second"
-        (out / f"{label}.html").write_text(write(title, part.samples, part.warm_s, part.verdict), "utf-8")
-        (out / f"{label}.json").write_bytes(msgspec.json.format(msgspec.json.encode(part.verdict.as_dict())))
+        (out / f"{label}.html").write_text(
+            write(title, part.samples, part.warm_s, part.verdict), "utf-8"
+        )
+        (out / f"{label}.json").write_bytes(
+            msgspec.json.format(msgspec.json.encode(part.verdict.as_dict()))
+        )
         if not as_json:
             print(f"{label}: {'holds' if not part.verdict.complaints else 'does not hold'}")
             for complaint in part.verdict.complaints:
                 print(f"  {complaint}")
-            for which, slope in (("resident", part.verdict.resident), ("accounted", part.verdict.accounted)):
+            for which, slope in (
+                ("resident", part.verdict.resident),
+                ("accounted", part.verdict.accounted),
+            ):
                 if slope is not None:
                     share = 100 * slope.share_an_hour
                     print(
--- a/larchhaven/sharing/messages.py
+++ b/larchhaven/gossip/codec.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from larchhaven.choice import ASKED, HELD, MARK, STARTED, TAG
-from larchhaven.sharing.lookout import REPORTS
+from larchhaven.gossip.shared_health_checks import REPORTS
+from larchhaven.routing.balancer import ASKED, HELD, MARK, STARTED, TAG
 
 
 def is_readable(data: bytes) -> bool:
--- a/larchhaven/sharing/lookout.py
+++ b/larchhaven/gossip/shared_health_checks.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 from zlib import crc32
 
-from larchhaven import interface as api
+from larchhaven.routing import interface as api
 
 # Messages of this kind are ours; the rest of a message is entries.
 REPORTS = b"R"
@@ -78,7 +78,9 @@
         self.due: int | None = None  # when ``turn`` is to be called next
         self._news: dict[int, int] = {}  # to be told, by marks
         self._heard_at = [-SILENT_US] * PARTS  # when anything was last told of a part, by anybody
-        self._others_at: int | None = None  # when another proxy was last heard, or the first list came
+        self._others_at: int | None = (
+            None  # when another proxy was last heard, or the first list came
+        )
         self._tell_at = 0
         self.strange = 0  # entries and messages that could not be used
 
@@ -245,7 +247,9 @@
         for server, seen in self._servers.items():
             if seen.due <= now:
                 deaf_due, rest = self._deaf_due(now, seen.rank), min(seen.rank, DEAF_RANKS)
-                seen.due = deaf_due if deaf_due > now else now + LOOK_US * (1 + rest * self._is_deaf(now))
+                seen.due = (
+                    deaf_due if deaf_due > now else now + LOOK_US * (1 + rest * self._is_deaf(now))
+                )
                 if deaf_due <= now and self.wants(server):
                     actions.append(api.Probe(server))
         self._plan()
--- a/larchhaven/lab/servers.py
+++ b/larchhaven/lab/servers.py
@@ -113,7 +113,9 @@
 
     async def _first(self, line: str, writer: asyncio.StreamWriter) -> _Held | None:
         if line == "STATS":
-            load = f"x0={self.ratio():.4f},util={min(self.ratio(), 1):.4f},inflight={len(self._held)}"
+            load = (
+                f"x0={self.ratio():.4f},util={min(self.ratio(), 1):.4f},inflight={len(self._held)}"
+            )
             writer.write(f"PONG {load}\r\n".encode())
             return None
         if line == "PING":
--- a/larchhaven/membership/core.py
+++ b/larchhaven/membership/core.py
@@ -122,7 +122,14 @@
     """
 
     def __init__(
-        self, now: int, me: int, size: int, about: About, incarnation: int, rng: Randoms, tuning: Tuning
+        self,
+        now: int,
+        me: int,
+        size: int,
+        about: About,
+        incarnation: int,
+        rng: Randoms,
+        tuning: Tuning,
     ) -> None:
         self.me = me
         self.size = size
@@ -304,7 +311,11 @@
         """Say something of oneself."""
         self._stamp = mark
         own = self.view.get(self.me)
-        at = told_at if told_at is not None else (own.about_at if own is not None else incarnation_of(mark))
+        at = (
+            told_at
+            if told_at is not None
+            else (own.about_at if own is not None else incarnation_of(mark))
+        )
         self._put(Member(self.me, mark, self._at, (), self.about, at))
         self._spread(Entry(self.me, mark))
         if told_at is not None:
@@ -331,7 +342,12 @@
         by = entry.by if entry.by < self.size else NOBODY
         if member is not None and mark <= member.stamp:
             suspicion = self._suspicions.get(number)
-            if mark == member.stamp and suspicion is not None and by != NOBODY and suspicion.confirm(by):
+            if (
+                mark == member.stamp
+                and suspicion is not None
+                and by != NOBODY
+                and suspicion.confirm(by)
+            ):
                 self._put(replace(member, by=tuple(suspicion.accusers)), quiet=True)
                 self._spread(entry)
             return
@@ -379,14 +395,22 @@
             return
         if number == self.me:
             own = self.view.get(number)
-            if own is None or not self.joined or told.told_at < own.about_at or told.about == self.about:
+            if (
+                own is None
+                or not self.joined
+                or told.told_at < own.about_at
+                or told.about == self.about
+            ):
                 return
             # Two lives under one number took the same incarnation: this one is the one that runs.
             above = min(max(told.told_at, self.incarnation) + 1, INCARNATION_MOST)
             self._state(stamp(above, state_of(self._stamp)), above)
             return
         member = self.view.get(number)
-        if member is None or (told.told_at, _order(told.about)) <= (member.about_at, _order(member.about)):
+        if member is None or (told.told_at, _order(told.about)) <= (
+            member.about_at,
+            _order(member.about),
+        ):
             return
         self._put(replace(member, about=told.about, about_at=told.told_at), quiet=True)
         self._tales[number] = 0
@@ -403,8 +427,12 @@
         self._accounts[number % PARTS] ^= _digest(number, member.about_at, member.about)
         if before is None or before.here != member.here:
             self._here = None
-        was = None if before is None or (number == self.me and before.about is None) else before.state
-        self.view = replace(view, version=view.version + 1, members=view.members.insert(number, member))
+        was = (
+            None if before is None or (number == self.me and before.about is None) else before.state
+        )
+        self.view = replace(
+            view, version=view.version + 1, members=view.members.insert(number, member)
+        )
         if not quiet:
             self._out.append(Changed(self._at, was, member, self.view.version))
 
@@ -418,7 +446,9 @@
     def _often(self) -> int:
         return self.tuning.spread * max(self.size, 2).bit_length()
 
-    def _riders(self, to: int, room: int, always: bool) -> tuple[tuple[Entry, ...], tuple[Told, ...]]:
+    def _riders(
+        self, to: int, room: int, always: bool
+    ) -> tuple[tuple[Entry, ...], tuple[Told, ...]]:
         """Choose the news that rides on a message: what concerns its reader first, then each in turn.
 
         The reader is told of itself where it is accused, so that it can clear itself, or ``always``: it may
@@ -505,7 +535,9 @@
 
     def _here_others(self) -> list[int]:
         if self._here is None:
-            self._here = sorted(member.number for member in self.view.here() if member.number != self.me)
+            self._here = sorted(
+                member.number for member in self.view.here() if member.number != self.me
+            )
         return self._here
 
     def _some(self, many: int, among: list[int], besides: int = -1) -> list[int]:
@@ -533,8 +565,12 @@
     def _turn_probe(self, now: int) -> None:
         probe = self._probe
         if probe is not None and not probe.acked and not probe.asked and now >= probe.direct_due:
-            self._send(Kind.PING, probe.target, seq=probe.seq, target=probe.target)  # the first may be lost
-            for helper in self._some(self.tuning.helpers, self._here_others(), besides=probe.target):
+            self._send(
+                Kind.PING, probe.target, seq=probe.seq, target=probe.target
+            )  # the first may be lost
+            for helper in self._some(
+                self.tuning.helpers, self._here_others(), besides=probe.target
+            ):
                 probe.asked += self._send(Kind.ASK, helper, seq=probe.seq, target=probe.target)
             probe.asked = probe.asked or -1  # nobody to ask
         if probe is not None and now >= probe.due:
@@ -586,7 +622,9 @@
                 self.health.better()
         elif helped is not None and message.sender == helped.target and message.kind is Kind.ACK:
             del self._helping[message.seq]
-            self._send(Kind.ACK, helped.asker, seq=helped.asked_seq, target=helped.target, answer=True)
+            self._send(
+                Kind.ACK, helped.asker, seq=helped.asked_seq, target=helped.target, answer=True
+            )
 
     def _help(self, message: Message) -> None:
         target = message.target
@@ -602,7 +640,9 @@
     def _help_until(self, now: int) -> None:
         for helped in [h for h in self._helping.values() if h.due <= now]:
             del self._helping[helped.seq]
-            self._send(Kind.NACK, helped.asker, seq=helped.asked_seq, target=helped.target, answer=True)
+            self._send(
+                Kind.NACK, helped.asker, seq=helped.asked_seq, target=helped.target, answer=True
+            )
 
     def _bury(self, number: int) -> None:
         """Take it that an accused member is dead."""
--- a/larchhaven/membership/messages.py
+++ b/larchhaven/membership/messages.py
@@ -187,7 +187,9 @@
         if end > len(body):
             raise UnreadableError("digests")
         digests = tuple(digest for (digest,) in _DIGEST.iter_unpack(body[at:end]))
-    return Message(kind, sender, to, mark, seq, target, entries, digests, _read_told(body[end:]), life, count)
+    return Message(
+        kind, sender, to, mark, seq, target, entries, digests, _read_told(body[end:]), life, count
+    )
 
 
 def _read_told(data: bytes) -> tuple[Told, ...]:
--- a/larchhaven/membership/suspicion.py
+++ b/larchhaven/membership/suspicion.py
@@ -28,7 +28,9 @@
     gossip: int = 200_000  # between two rounds of news
     fanout: int = 2
     spread: int = 3  # times the logarithm of the size: how often each piece of news is sent by each
-    suspicion: int = 2_300_000  # the least: with the period before it a pause of two seconds fits in
+    suspicion: int = (
+        2_300_000  # the least: with the period before it a pause of two seconds fits in
+    )
     suspicion_growth: float = 3.0  # with a single accuser it is so many times as long
     confirmations: int = 3
     join: int = 1_000_000  # a newcomer waits for news of itself at most so long
--- a/larchhaven/memory/account.py
+++ b/larchhaven/memory/account.py
@@ -56,16 +56,14 @@
             self._refused[purpose] += 1
             return False
         self._charged[purpose] += size
-        if used > self._high[purpose]:
-            self._high[purpose] = used
+        self._high[purpose] = max(self._high[purpose], used)
         return True
 
     def must(self, purpose: Purpose, size: int) -> None:
         """Charge what cannot be refused: its room was seen to before, or it is already there."""
         self._charged[purpose] += size
         used = self._charged[purpose] + self._parts_sum[purpose]
-        if used > self._high[purpose]:
-            self._high[purpose] = used
+        self._high[purpose] = max(self._high[purpose], used)
 
     def give(self, purpose: Purpose, size: int) -> None:
         """Give back what was charged."""
@@ -85,8 +83,7 @@
         self._parts_sum[purpose] += size - parts.get(name, 0)
         parts[name] = size
         used = self.used(purpose)
-        if used > self._high[purpose]:
-            self._high[purpose] = used
+        self._high[purpose] = max(self._high[purpose], used)
 
     def used(self, purpose: Purpose) -> int:
         """Return the gauge, in bytes."""
@@ -110,4 +107,6 @@
 
     def line(self, purpose: Purpose) -> Line:
         """Return one purpose as it stands."""
-        return Line(self._caps[purpose], self.used(purpose), self._high[purpose], self._refused[purpose])
+        return Line(
+            self._caps[purpose], self.used(purpose), self._high[purpose], self._refused[purpose]
+        )
--- a/larchhaven/memory/purposes.py
+++ b/larchhaven/memory/purposes.py
@@ -63,7 +63,9 @@
         "the oldest incomplete call is closed; a list of exam servers that is too long is a failed call",
     ),
     Purpose.LOG: About("kinds of notices remembered", "the kind told longest ago is forgotten"),
-    Purpose.FILES: About("files of ours in $TMPDIR", "a suspension is not saved and the caller is told so"),
+    Purpose.FILES: About(
+        "files of ours in $TMPDIR", "a suspension is not saved and the caller is told so"
+    ),
     Purpose.KERNEL: About(
         "bytes that the system holds for our sockets, both ways",
         "clients that do not read give way, the longest unread first",
--- /dev/null
+++ b/larchhaven/net/admin/__init__.py
@@ -0,0 +1,1 @@
+"""What operators see and change: HTTP API, metrics, memory accounting, ejections."""
--- a/larchhaven/net/management.py
+++ b/larchhaven/net/admin/http_api.py
@@ -10,8 +10,8 @@
 import httptools
 
 from larchhaven.memory.purposes import Purpose
-from larchhaven.net.buffers import SHORT_OF, Pool, Stream
-from larchhaven.net.loop import READ, Deadline, Loop
+from larchhaven.net.core.buffer_pool import SHORT_OF, Pool, Stream
+from larchhaven.net.core.event_loop import READ, Deadline, Loop
 
 # Callers held at a time; with one more, one that has its answer gives way, or the oldest incomplete one.
 CALLERS_MOST = 24
@@ -137,7 +137,12 @@
     """Accepts callers and knows the calls; what they do is up to the office."""
 
     def __init__(
-        self, loop: Loop, address: tuple[str, int], office: Office, shared: bool, pool: Pool | None = None
+        self,
+        loop: Loop,
+        address: tuple[str, int],
+        office: Office,
+        shared: bool,
+        pool: Pool | None = None,
     ) -> None:
         self.loop = loop
         # Its own: clients that fill theirs keep no operator waiting.
@@ -208,7 +213,9 @@
             except OSError as error:
                 if error.errno in SHORT_OF:
                     self.loop.set_events(self._channel, 0)
-                    self.loop.after(SHORT_REST_US, lambda: self.loop.set_events(self._channel, READ))
+                    self.loop.after(
+                        SHORT_REST_US, lambda: self.loop.set_events(self._channel, READ)
+                    )
                     return
                 continue  # that caller has gone again
             for gone in [c for c in self._callers if c.stream.closed]:
--- a/larchhaven/net/accounting.py
+++ b/larchhaven/net/admin/memory_accounting.py
@@ -13,9 +13,9 @@
 from larchhaven.memory.plan import Plan
 from larchhaven.memory.purposes import Purpose
 from larchhaven.memory.reality import Reality
-from larchhaven.net.buffers import Pool
-from larchhaven.net.loop import Loop
-from larchhaven.net.notices import Notices
+from larchhaven.net.core.buffer_pool import Pool
+from larchhaven.net.core.event_loop import Loop
+from larchhaven.net.core.rate_limited_log import Notices
 
 SAMPLE_US = 1_000_000
 # While clients do not read, the system's buffers are looked at more often.
@@ -115,7 +115,8 @@
         self.reality.begin(resident(), self.account.resident())
         if self.plan.short:
             self._notices.tell(
-                "memory", f"{self.plan.grant >> 20} MB are too few: the least caps pass what is granted"
+                "memory",
+                f"{self.plan.grant >> 20} MB are too few: the least caps pass what is granted",
             )
         self._loop.after(SAMPLE_US, self._sample)
         self._loop.after(UNREAD_LOOK_US, self._look_at_unread)
--- a/larchhaven/net/operator_file.py
+++ b/larchhaven/net/admin/operator_file.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from larchhaven.net.loop import READ, Deadline, Loop
+from larchhaven.net.core.event_loop import READ, Deadline, Loop
 from larchhaven.operator.settings import Complaint, Reading, Settings
 
 # The reading process needs so much beside ours at its peak, pages that both share not counted. Measured.
--- a/larchhaven/net/config.py
+++ b/larchhaven/net/configuration.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
-from larchhaven import interface as api
-from larchhaven import wire
-from larchhaven.net.discovery import HostList, read_address
+from larchhaven.net.control.endpoint_watch import HostList, read_address
+from larchhaven.routing import interface as api
+from larchhaven.simulator import codec as wire
 
 
 class ConfigError(Exception):
--- /dev/null
+++ b/larchhaven/net/control/__init__.py
@@ -0,0 +1,1 @@
+"""Between sockets and decisions: requests, endpoint discovery, peers."""
--- a/larchhaven/net/rooms.py
+++ b/larchhaven/net/control/connection_limits.py
@@ -7,7 +7,7 @@
 from larchhaven.memory.account import Account
 from larchhaven.memory.admission import Admission, Room
 from larchhaven.memory.purposes import COMMAND, STREAM, Purpose
-from larchhaven.net.loop import Loop
+from larchhaven.net.core.event_loop import Loop
 
 # Room for so many clients that only get their BUSY; no command that is let in may use it.
 TURN_AWAY = 8
@@ -19,7 +19,9 @@
 class Rooms:
     """The kinds of room that a client needs: its execution's connection, its command, its descriptors."""
 
-    def __init__(self, loop: Loop, account: Account, worths: Sequence[float], descriptors: int) -> None:
+    def __init__(
+        self, loop: Loop, account: Account, worths: Sequence[float], descriptors: int
+    ) -> None:
         self._loop = loop
         self._account = account
         self.admission = Admission(worths)
@@ -62,7 +64,11 @@
             self.spare_tables(lacking)
         cap = account.cap(Purpose.CONNECTIONS)
         rooms = (
-            Room(cap - TURN_AWAY * STREAM, account.used(Purpose.CONNECTIONS) - sparable * STREAM, STREAM),
+            Room(
+                cap - TURN_AWAY * STREAM,
+                account.used(Purpose.CONNECTIONS) - sparable * STREAM,
+                STREAM,
+            ),
             Room(tables, account.used(Purpose.TABLES), COMMAND + size),
             Room(self.descriptors - TURN_AWAY, self._loop.sockets() - sparable, 1),
         )
--- a/larchhaven/net/broker.py
+++ b/larchhaven/net/control/dispatcher.py
@@ -13,15 +13,15 @@
 from functools import partial
 from typing import Any, Protocol
 
-from larchhaven import interface as api
-from larchhaven.choice import Balancer
+from larchhaven.gossip.shared_health_checks import REPORTS, Lookout, is_shared
 from larchhaven.memory.account import Account
 from larchhaven.memory.purposes import COMMAND, Purpose
-from larchhaven.net.figures import Figures, Outcomes
-from larchhaven.net.loop import Deadline, Loop
-from larchhaven.net.notices import Notices
-from larchhaven.net.slots import Slots
-from larchhaven.sharing.lookout import REPORTS, Lookout, is_shared
+from larchhaven.net.admin.metrics import Figures, Outcomes
+from larchhaven.net.core.event_loop import Deadline, Loop
+from larchhaven.net.core.rate_limited_log import Notices
+from larchhaven.net.core.slot_table import Slots
+from larchhaven.routing import interface as api
+from larchhaven.routing.balancer import Balancer
 
 # A delay note is sent at most this often for each instance.
 NOTE_US = 1_000_000
@@ -165,11 +165,17 @@
         # In a large tier the lookout decides which proxy probes which instance.
         self._lookout = Lookout(settings) if is_shared(settings) else None
         self._look: Deadline | None = None
-        self._balancer = Balancer(replace(settings, can_probe=False) if self._lookout else settings, seed)
+        self._balancer = Balancer(
+            replace(settings, can_probe=False) if self._lookout else settings, seed
+        )
         self._events: list[api.Event] = []
-        self._answer_by: int | None = None  # when all have to have their answer, as this process stops
+        self._answer_by: int | None = (
+            None  # when all have to have their answer, as this process stops
+        )
         self._awake_at = 0  # after a sleep: when events are handed over again
-        self._newcomers: list[api.Arrival] | None = None  # who waits for the first list; None: nobody has to
+        self._newcomers: list[api.Arrival] | None = (
+            None  # who waits for the first list; None: nobody has to
+        )
         self._figures = figures
         self._outcomes = figures.outcomes()
         self._account = account or Account.unbounded()
@@ -294,7 +300,9 @@
                 continue
             kept.append(event)
             if isinstance(event, api.PeerMessage):
-                if event.sender != self._settings.index:  # the other process of an upgrade proves nothing
+                if (
+                    event.sender != self._settings.index
+                ):  # the other process of an upgrade proves nothing
                     lookout.on_message(now)
             elif isinstance(event, api.FleetList):
                 lookout.on_list(now, event)
@@ -339,7 +347,9 @@
         command = Command(client, wants, self._loop.now + wait)
         token = self._add(command)
         # Should the decision module ever miss the deadline, the client gets its answer all the same.
-        command.limit = self._loop.after(wait + self._settings.answer_slack_us, partial(self._overdue, token))
+        command.limit = self._loop.after(
+            wait + self._settings.answer_slack_us, partial(self._overdue, token)
+        )
         arrival = api.Arrival(
             token,
             wants.cls,
@@ -475,10 +485,19 @@
             self._ended(token, command, result, report, finished=False)
 
     def _ended(
-        self, token: int, command: Command, result: api.Result, report: api.Report | None, finished: bool
+        self,
+        token: int,
+        command: Command,
+        result: api.Result,
+        report: api.Report | None,
+        finished: bool,
     ) -> None:
         latency = self._loop.now - command.begun_at
-        self.queue(api.AttemptEnded(token, command.attempt, command.host, result, latency, finished, report))
+        self.queue(
+            api.AttemptEnded(
+                token, command.attempt, command.host, result, latency, finished, report
+            )
+        )
 
     # Sessions
 
@@ -524,7 +543,11 @@
 
     def sessions(self) -> list[tuple[int, Command]]:
         """Return the connections that stand, under their tokens."""
-        return [(token, command) for token, command in self._commands.items() if command.session is not None]
+        return [
+            (token, command)
+            for token, command in self._commands.items()
+            if command.session is not None
+        ]
 
     def release(self, token: int) -> None:
         """Let go of a connection that another process has taken over."""
@@ -587,7 +610,11 @@
 
     def _do_cancel(self, action: api.Cancel) -> None:
         command = self._commands.get(action.request)
-        if command is not None and command.execution is not None and command.attempt == action.attempt:
+        if (
+            command is not None
+            and command.execution is not None
+            and command.attempt == action.attempt
+        ):
             command.execution.cancel()
             command.execution = None
             self._ended(action.request, command, api.Result.CANCELLED, None, finished=False)
--- a/larchhaven/net/discovery.py
+++ b/larchhaven/net/control/endpoint_watch.py
@@ -7,11 +7,11 @@
 import httptools
 import msgspec
 
-from larchhaven import interface as api
 from larchhaven.memory.purposes import Purpose
-from larchhaven.net.buffers import Pool, Stream
-from larchhaven.net.loop import Deadline, Loop, unix_offset_us
-from larchhaven.net.notices import Notices
+from larchhaven.net.core.buffer_pool import Pool, Stream
+from larchhaven.net.core.event_loop import Deadline, Loop, unix_offset_us
+from larchhaven.net.core.rate_limited_log import Notices
+from larchhaven.routing import interface as api
 
 # How long discovery may hold a watch, and how long an answer may take. So long after the hold, what a silent
 # watch had to tell counts as told. A sound one answers as soon as the hold is over: one that has not by the
@@ -68,7 +68,9 @@
 class Directory:
     """What discovery has told: the addresses, by host, and since when each instance is to be left alone."""
 
-    def __init__(self, zones: Sequence[str], kinds: Sequence[str], listed_most: int = LISTED_MOST) -> None:
+    def __init__(
+        self, zones: Sequence[str], kinds: Sequence[str], listed_most: int = LISTED_MOST
+    ) -> None:
         self._listed_most = listed_most
         self._zones = {name: i for i, name in enumerate(zones)}
         self._kinds = {name: i for i, name in enumerate(kinds)}
@@ -101,7 +103,11 @@
     def take(self, kind: api.ListKind, told: HostList, now: int) -> api.FleetList:
         """Take in a list and turn it into the decision module's event."""
         if kind is not api.ListKind.CHANGES:
-            old = [h for h, at in self._told.items() if h not in self._addresses and at < now - FORGET_US]
+            old = [
+                h
+                for h, at in self._told.items()
+                if h not in self._addresses and at < now - FORGET_US
+            ]
             for host in old:
                 del self._told[host]
             named = {entry.host for entry in told.hosts}
@@ -169,7 +175,9 @@
         self._strange = False  # this address has not told a list yet: the version held is another's
         self._doubts = 0  # calls in a row that must not wait, as there may be news already
         self._unheard_at: int | None = None  # since when calls have failed, or a watch was silent
-        self.late_us = 0  # of the list being told: for so long, at most, it has counted as told already
+        self.late_us = (
+            0  # of the list being told: for so long, at most, it has counted as told already
+        )
         self._calling = False
         self._open = False
         self._done = False
--- a/larchhaven/net/members.py
+++ b/larchhaven/net/control/membership_switch.py
@@ -9,12 +9,12 @@
 
 import msgspec
 
-from larchhaven.net.config import Config
-from larchhaven.net.loop import Loop
+from larchhaven.net.configuration import Config
+from larchhaven.net.core.event_loop import Loop
 from larchhaven.operator.settings import Settings
 
 if TYPE_CHECKING:
-    from larchhaven.net.membership import Members
+    from larchhaven.net.control.membership_transport import Members
 
 # What datagrams of the membership begin with.
 LETTER = b"M"
@@ -40,7 +40,9 @@
 
     """
 
-    def __init__(self, loop: Loop, config: Config, tell: Callable[[int, bytes], None], shares: bool) -> None:
+    def __init__(
+        self, loop: Loop, config: Config, tell: Callable[[int, bytes], None], shares: bool
+    ) -> None:
         self._loop = loop
         self._config = config
         self._tell = tell
@@ -86,7 +88,9 @@
                 self.members.leave()
                 self.members.stop()
                 self.members = None
-                self.present(frozenset(range(len(self._config.peers))))  # as if nobody knew anything
+                self.present(
+                    frozenset(range(len(self._config.peers)))
+                )  # as if nobody knew anything
             else:
                 self.members.set_keys(keys)
         elif not off:
@@ -96,12 +100,14 @@
 
     def _start(self, keys: list[bytes]) -> None:
         from larchhaven.membership.member import About, Can
-        from larchhaven.net.membership import Members
+        from larchhaven.net.control.membership_transport import Members
 
         config, settings = self._config, self._config.settings
         about = About(config.name, settings.zone, can=Can.REPORTS if self._shares else Can.NOTHING)
         size = len(config.peers)
-        self.members = Members(self._loop, settings.index, size, about, keys, self._tell, config.seed)
+        self.members = Members(
+            self._loop, settings.index, size, about, keys, self._tell, config.seed
+        )
         self.members.changed = self.present
         self.members.take_over(self._above)
         _log.info("membership is on: %d of %d proxies", settings.index, size)
--- a/larchhaven/net/membership.py
+++ b/larchhaven/net/control/membership_transport.py
@@ -20,7 +20,7 @@
 from larchhaven.membership.messages import Entry
 from larchhaven.membership.parts import Parts, Standing, present_in
 from larchhaven.membership.suspicion import Tuning
-from larchhaven.net.loop import Deadline, Loop, unix_offset_us
+from larchhaven.net.core.event_loop import Deadline, Loop, unix_offset_us
 
 # The version of what a proxy tells of itself.
 TALK = 1
@@ -214,11 +214,14 @@
         if not by_state and not back:
             return  # accused and cleared within the second
         parts = [
-            f"{state.name.lower()}: {self._names(numbers)}" for state, numbers in sorted(by_state.items())
+            f"{state.name.lower()}: {self._names(numbers)}"
+            for state, numbers in sorted(by_state.items())
         ]
         parts += [f"were dead for a moment: {self._names(back)}"] if back else []
         standing = self._standing
-        detail = f"{'; '.join(parts)}; {standing.here} of {standing.table} here, {standing.part.value}"
+        detail = (
+            f"{'; '.join(parts)}; {standing.here} of {standing.table} here, {standing.part.value}"
+        )
         _log.info("members: %s", detail, extra={"event": "members", "detail": detail})
 
     def _names(self, numbers: Sequence[int]) -> str:
@@ -279,7 +282,9 @@
             confidence=round(standing.confidence, 3),
             part=standing.part.value,
             zones_lost=list(standing.zones_lost),
-            members=[self._line(m) for m in sorted(core.view.members.values(), key=lambda m: m.number)],
+            members=[
+                self._line(m) for m in sorted(core.view.members.values(), key=lambda m: m.number)
+            ],
             counts=counts,
             refused=dict(sorted(self._gate.refused.items())),
         )
--- a/larchhaven/net/peers.py
+++ b/larchhaven/net/control/peer_socket.py
@@ -5,8 +5,8 @@
 import socket
 from collections.abc import Callable, Sequence
 
-from larchhaven.net.loop import READ, Loop
-from larchhaven.net.notices import Notices
+from larchhaven.net.core.event_loop import READ, Loop
+from larchhaven.net.core.rate_limited_log import Notices
 
 LONGEST = 256
 READS_A_TURN = 64
--- /dev/null
+++ b/larchhaven/net/core/__init__.py
@@ -0,0 +1,1 @@
+"""I/O without a protocol: the event loop, buffered streams, handle tables, the log."""
--- a/larchhaven/net/buffers.py
+++ b/larchhaven/net/core/buffer_pool.py
@@ -11,7 +11,7 @@
 
 from larchhaven.memory.account import Account
 from larchhaven.memory.purposes import BUFFER_EXTRA, STREAM, Purpose
-from larchhaven.net.loop import READ, WRITE, Deadline, Loop
+from larchhaven.net.core.event_loop import READ, WRITE, Deadline, Loop
 
 # Room for a line of the greatest length and the beginning of the next.
 SIZE = 8192
@@ -181,7 +181,9 @@
 
     owner: Owner  # set by whoever takes the stream over, if not at once
 
-    def __init__(self, loop: Loop, pool: Pool, sock: socket.socket, owner: Owner | None = None) -> None:
+    def __init__(
+        self, loop: Loop, pool: Pool, sock: socket.socket, owner: Owner | None = None
+    ) -> None:
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         if pool.bound:
@@ -285,7 +287,11 @@
             return False
         try:
             # Without room one byte is looked at, to tell an end from more input.
-            count = self._sock.recv_into(room) if len(room) else len(self._sock.recv(1, socket.MSG_PEEK))
+            count = (
+                self._sock.recv_into(room)
+                if len(room)
+                else len(self._sock.recv(1, socket.MSG_PEEK))
+            )
         except (BlockingIOError, InterruptedError):
             self.consume(0)
             return False
--- a/larchhaven/net/loop.py
+++ b/larchhaven/net/core/event_loop.py
@@ -11,7 +11,7 @@
 import time
 from collections.abc import Callable
 
-from larchhaven.net.slots import Slots
+from larchhaven.net.core.slot_table import Slots
 
 _log = logging.getLogger("larchhaven")
 
@@ -197,7 +197,11 @@
             channel = self._channels.get(key.data)
             if channel is not None:
                 self._guard(channel.then, events & channel.events)
-        while not asleep and self._heap and (self._heap[0][0] <= self.now or self._heap[0][2].then is None):
+        while (
+            not asleep
+            and self._heap
+            and (self._heap[0][0] <= self.now or self._heap[0][2].then is None)
+        ):
             then = heapq.heappop(self._heap)[2].then
             if then is None:
                 self._dead = max(self._dead - 1, 0)
--- a/larchhaven/net/notices.py
+++ b/larchhaven/net/core/rate_limited_log.py
@@ -4,7 +4,7 @@
 
 import logging
 
-from larchhaven.net.loop import Loop
+from larchhaven.net.core.event_loop import Loop
 
 # The same notice is written at most once in this time; those held back are counted.
 QUIET_US = 10_000_000
@@ -39,4 +39,6 @@
         self._kinds[kind] = (self._loop.now + self.quiet_us, 0)
         more = f" ({held} more like it)" if held else ""
         plain = detail[:200].encode("unicode_escape").decode()
-        _log.warning("%s: %s%s", kind, plain, more, extra={"event": kind, "detail": plain, "held": held})
+        _log.warning(
+            "%s: %s%s", kind, plain, more, extra={"event": kind, "detail": plain, "held": held}
+        )
--- a/larchhaven/net/stopping.py
+++ b/larchhaven/net/graceful_shutdown.py
@@ -9,11 +9,11 @@
 import enum
 from dataclasses import dataclass
 
-from larchhaven import interface as api
-from larchhaven.net.broker import Broker
-from larchhaven.net.buffers import LINGER_US, Pool
-from larchhaven.net.clients import Listener
-from larchhaven.net.loop import Loop
+from larchhaven.net.control.dispatcher import Broker
+from larchhaven.net.core.buffer_pool import LINGER_US, Pool
+from larchhaven.net.core.event_loop import Loop
+from larchhaven.net.text_protocol.listener import Listener
+from larchhaven.routing import interface as api
 
 # The platform kills no earlier than the longest deadline, or the first of these if that is less, plus the
 # second.
@@ -39,7 +39,9 @@
     SERVING = "serving"
     LAME_DUCK = "lame duck"  # all goes on: new connections still come
     CLOSED = "listener closed"  # its queue was emptied first; those who came last may still speak
-    PARTING = "parting"  # those who rested have their answer; what is owed is settled, nothing is taken
+    PARTING = (
+        "parting"  # those who rested have their answer; what is owed is settled, nothing is taken
+    )
     OVER = "over"
 
 
@@ -66,7 +68,13 @@
     """Takes the proxy down when it is told to."""
 
     def __init__(
-        self, loop: Loop, broker: Broker, listener: Listener, pool: Pool, settings: api.Settings, shared: bool
+        self,
+        loop: Loop,
+        broker: Broker,
+        listener: Listener,
+        pool: Pool,
+        settings: api.Settings,
+        shared: bool,
     ) -> None:
         self._loop = loop
         self._broker = broker
@@ -103,7 +111,9 @@
             self._broker.move_all()
         self.phase = Phase.OVER
         self._loop.after(LINGER_US, self._loop.stop)
-        self._loop.after(LOOK_US, self._leave_when_heard)  # the answers are given at the end of this turn
+        self._loop.after(
+            LOOK_US, self._leave_when_heard
+        )  # the answers are given at the end of this turn
 
     def _move(self, within_us: int) -> None:
         """Have moved what is still here, unless packets pass through: others take it over then."""
--- a/larchhaven/net/handover.py
+++ b/larchhaven/net/hot_restart.py
@@ -17,12 +17,12 @@
 
 import msgspec
 
-from larchhaven import interface as api
 from larchhaven.memory.account import Account
 from larchhaven.memory.purposes import IDENTITY, Purpose
-from larchhaven.net.loop import READ, Deadline, Loop
-from larchhaven.net.notices import Notices
-from larchhaven.net.relay import RelayState
+from larchhaven.net.core.event_loop import READ, Deadline, Loop
+from larchhaven.net.core.rate_limited_log import Notices
+from larchhaven.net.text_protocol.connection_relay import RelayState
+from larchhaven.routing import interface as api
 
 VERSION = 1
 # The longest message: the state of a connection with four full buffers, or the open ids.
@@ -154,7 +154,12 @@
     """The two channels that a process may have: to an older one, and to a younger one."""
 
     def __init__(
-        self, loop: Loop, notices: Notices, folder: str, office: Office, account: Account | None = None
+        self,
+        loop: Loop,
+        notices: Notices,
+        folder: str,
+        office: Office,
+        account: Account | None = None,
     ) -> None:
         self._account = account or Account.unbounded()
         self.loop = loop
--- a/larchhaven/net/node.py
+++ b/larchhaven/net/proxy.py
@@ -13,35 +13,35 @@
 
 import msgspec
 
-from larchhaven import interface as api
-from larchhaven.choice import STARTED
+from larchhaven.gossip.codec import is_readable
+from larchhaven.gossip.shared_health_checks import is_shared
 from larchhaven.memory import plan, purposes
 from larchhaven.memory.account import Account
 from larchhaven.memory.purposes import Purpose
-from larchhaven.net import logs
-from larchhaven.net.accounting import Accounting, Descriptors, resident
-from larchhaven.net.broker import Broker, Outside, Wants
-from larchhaven.net.buffers import Pool, Stream
-from larchhaven.net.clients import SPARE_DESCRIPTORS, Listener
-from larchhaven.net.config import Config, ConfigError, load
-from larchhaven.net.discovery import LISTED_MOST, Directory, Discovery, HostList
-from larchhaven.net.executions import TextExecution
-from larchhaven.net.figures import Figures
-from larchhaven.net.handover import VERSION, Handover, Known, Standing, mark
-from larchhaven.net.loop import Loop
-from larchhaven.net.management import DESCRIPTORS, Management
-from larchhaven.net.members import MembersSwitch
-from larchhaven.net.notices import KINDS_MOST, Notices
-from larchhaven.net.operator_file import OperatorFile
-from larchhaven.net.peers import Peers
-from larchhaven.net.probes import Probes
-from larchhaven.net.relay import Relay
-from larchhaven.net.rooms import Rooms
-from larchhaven.net.stopping import PASS_MOST_US, Phase, Stopping
-from larchhaven.net.suspensions import Suspensions
+from larchhaven.net.admin.administrative_ejection import Suspensions
+from larchhaven.net.admin.http_api import DESCRIPTORS, Management
+from larchhaven.net.admin.memory_accounting import Accounting, Descriptors, resident
+from larchhaven.net.admin.metrics import Figures
+from larchhaven.net.admin.operator_file import OperatorFile
+from larchhaven.net.configuration import Config, ConfigError, load
+from larchhaven.net.control.connection_limits import Rooms
+from larchhaven.net.control.dispatcher import Broker, Outside, Wants
+from larchhaven.net.control.endpoint_watch import LISTED_MOST, Directory, Discovery, HostList
+from larchhaven.net.control.membership_switch import MembersSwitch
+from larchhaven.net.control.peer_socket import Peers
+from larchhaven.net.core import log_setup as logs
+from larchhaven.net.core.buffer_pool import Pool, Stream
+from larchhaven.net.core.event_loop import Loop
+from larchhaven.net.core.rate_limited_log import KINDS_MOST, Notices
+from larchhaven.net.graceful_shutdown import PASS_MOST_US, Phase, Stopping
+from larchhaven.net.hot_restart import VERSION, Handover, Known, Standing, mark
+from larchhaven.net.text_protocol.connection_relay import Relay
+from larchhaven.net.text_protocol.health_check_connection import Probes
+from larchhaven.net.text_protocol.listener import SPARE_DESCRIPTORS, Listener
+from larchhaven.net.text_protocol.upstream_attempt import TextExecution
 from larchhaven.operator.settings import Complaint, Reading, Settings
-from larchhaven.sharing.lookout import is_shared
-from larchhaven.sharing.messages import is_readable
+from larchhaven.routing import interface as api
+from larchhaven.routing.balancer import STARTED
 
 # The parts of the memory for tables that what only helps may fill: it is forgotten, the oldest first.
 HOLDERS_SHARE = 0.25
@@ -80,7 +80,7 @@
         grant = int(config.limits.memory_mb * plan.MB)
         if own.membership:
             # Before the program's own size is taken: what is loaded for it is not for clients to use.
-            import larchhaven.net.membership  # noqa: F401
+            import larchhaven.net.control.membership_transport  # noqa: F401
         self._start = resident()
         try:
             caps = plan.make(grant, self._start, config.limits.sockets, _wanted(own))
@@ -88,7 +88,9 @@
             line = reading.memory_at[0] if reading is not None else 0
             raise ConfigError(f"{operator}:{line}: {error}") from None
         self._account = account = Account(caps.caps)
-        self._notices = notices = Notices(loop, min(KINDS_MOST, account.cap(Purpose.LOG) // purposes.NOTICE))
+        self._notices = notices = Notices(
+            loop, min(KINDS_MOST, account.cap(Purpose.LOG) // purposes.NOTICE)
+        )
         self._pool = pool = Pool(account, bound=caps.socket_bound)
         aside = Pool(account, Purpose.MANAGEMENT, Purpose.MANAGEMENT)
         folder = os.environ.get("TMPDIR", "")
@@ -101,16 +103,23 @@
         self._figures = Figures.of(list(config.classes))
         self._broker = broker = Broker(loop, notices, settings, config.seed, self._figures, account)
         self._directory = Directory(
-            config.zones, config.kinds, min(LISTED_MOST, int(LISTED_SHARE * tables) // purposes.HOST_ONCE)
+            config.zones,
+            config.kinds,
+            min(LISTED_MOST, int(LISTED_SHARE * tables) // purposes.HOST_ONCE),
         )
         shared = config.socket_fd is not None  # with another process, during an upgrade
         self._suspensions = Suspensions(folder, self._on_suspended, self._accounting.files_fit)
         self._reports: dict[str, tuple[int, api.Report]] = {}  # the latest, and when it came
         self._probes = Probes(
-            loop, Pool(account, Purpose.PROBES, Purpose.PROBES), settings.connect_timeout_us, self._on_probe
+            loop,
+            Pool(account, Purpose.PROBES, Purpose.PROBES),
+            settings.connect_timeout_us,
+            self._on_probe,
         )
         self._directory.forget = self._forget
-        self._discovery = Discovery(loop, aside, notices, config.discovery, config.known.seq, self._on_list)
+        self._discovery = Discovery(
+            loop, aside, notices, config.discovery, config.known.seq, self._on_list
+        )
         self._peers: Peers | None = None
         if config.peer_listen is not None:
             self._peers = Peers(
@@ -126,7 +135,9 @@
         self._handover = Handover(loop, notices, folder if shared else "", self, account)
         self._members = MembersSwitch(loop, config, self._tell_member, is_shared(settings))
 
-        def begin(token: int, first_line: bytes, address: tuple[str, int], wait_us: int) -> TextExecution:
+        def begin(
+            token: int, first_line: bytes, address: tuple[str, int], wait_us: int
+        ) -> TextExecution:
             return TextExecution(
                 loop, pool, broker, token, first_line, address, settings.connect_timeout_us, wait_us
             )
@@ -194,7 +205,8 @@
             (Purpose.TABLES, "first use"): lambda: purposes.FIRST_USE if broker.arrived_at else 0,
             # Beside those that commands are charged with.
             (Purpose.TABLES, "deadlines"): lambda: (
-                purposes.DEADLINE * max(loop.deadlines() - purposes.COMMAND_DEADLINES * broker.held(), 0)
+                purposes.DEADLINE
+                * max(loop.deadlines() - purposes.COMMAND_DEADLINES * broker.held(), 0)
             ),
             (Purpose.TABLES, "servers"): lambda: directory.members() * purposes.SERVER,
             (Purpose.TABLES, "hosts listed"): lambda: directory.listed() * purposes.HOST_ONCE,
@@ -255,9 +267,13 @@
             return
         kind = api.ListKind.COMPLETE if told.whole else api.ListKind.CHANGES
         # What comes late has counted as told before: the drain rule's time runs from then.
-        self._broker.heard(self._directory.take(kind, told, self._loop.now - self._discovery.late_us))
+        self._broker.heard(
+            self._directory.take(kind, told, self._loop.now - self._discovery.late_us)
+        )
 
-    def _on_probe(self, host: str, result: api.Result, latency_us: int, report: api.Report | None) -> None:
+    def _on_probe(
+        self, host: str, result: api.Result, latency_us: int, report: api.Report | None
+    ) -> None:
         if report is not None:
             self._reports[host] = (self._loop.now, report)
         self._broker.queue(api.ProbeResult(host, result, latency_us, report))
@@ -306,7 +322,9 @@
     def on_standing(self, standing: Standing, descriptors: Sequence[int]) -> None:
         """Go on with a connection that the older process held."""
         loop, pool, broker = self._loop, self._pool, self._broker
-        client, instance = (Stream(loop, pool, socket.socket(fileno=number)) for number in descriptors)
+        client, instance = (
+            Stream(loop, pool, socket.socket(fileno=number)) for number in descriptors
+        )
         wants = Wants(
             payload=b"",
             cls=min(max(standing.cls, 0), len(self._config.settings.classes) - 1),
@@ -360,7 +378,9 @@
     def memory(self) -> bytes:
         """Return the memory account as JSON."""
         rooms = self._rooms
-        descriptors = Descriptors(rooms.descriptors, self._loop.sockets(), rooms.refused_descriptors)
+        descriptors = Descriptors(
+            rooms.descriptors, self._loop.sockets(), rooms.refused_descriptors
+        )
         return msgspec.json.encode(self._accounting.state(descriptors))
 
     def members(self) -> bytes:
@@ -427,7 +447,10 @@
         path = self._operator_path
         complaints = [complaint.at(path) for complaint in reading.complaints]
         if not complaints:
-            grant, sockets = int(self._config.limits.memory_mb * plan.MB), self._config.limits.sockets
+            grant, sockets = (
+                int(self._config.limits.memory_mb * plan.MB),
+                self._config.limits.sockets,
+            )
             try:
                 caps = plan.make(grant, self._start, sockets, _wanted(reading.settings))
             except plan.PlanError as error:
--- /dev/null
+++ b/larchhaven/net/text_protocol/__init__.py
@@ -0,0 +1,1 @@
+"""The text protocol spoken with clients and servers."""
--- a/larchhaven/net/lines.py
+++ b/larchhaven/net/text_protocol/codec.py
@@ -5,9 +5,9 @@
 import math
 from collections.abc import Mapping
 
-from larchhaven import interface as api
-from larchhaven.net.broker import Wants
-from larchhaven.net.buffers import Buffer
+from larchhaven.net.control.dispatcher import Wants
+from larchhaven.net.core.buffer_pool import Buffer
+from larchhaven.routing import interface as api
 
 LONGEST = 4096
 # A client may wait as long as it likes, and one that stood before the run says that it waits for over an
@@ -158,7 +158,7 @@
 
     Only these two do: what else the instance says then is between it and the client, ``ERR`` included.
     """
-    return read_ending(line) if line == b"MOVE" or line == b"BYE" or line.startswith(b"BYE ") else None
+    return read_ending(line) if line in {b"MOVE", b"BYE"} or line.startswith(b"BYE ") else None
 
 
 def is_up(line: bytes) -> bool:
--- a/larchhaven/net/relay.py
+++ b/larchhaven/net/text_protocol/connection_relay.py
@@ -7,10 +7,10 @@
 
 import msgspec
 
-from larchhaven import interface as api
-from larchhaven.net import lines
-from larchhaven.net.buffers import LINGER_US, Stream
-from larchhaven.net.loop import Deadline, Loop
+from larchhaven.net.core.buffer_pool import LINGER_US, Stream
+from larchhaven.net.core.event_loop import Deadline, Loop
+from larchhaven.net.text_protocol import codec as lines
+from larchhaven.routing import interface as api
 
 # Client lines without an answer are looked at this often; their age is told as a delay.
 LOOK_US = 1_000_000
--- a/larchhaven/net/probes.py
+++ b/larchhaven/net/text_protocol/health_check_connection.py
@@ -4,11 +4,11 @@
 
 from collections.abc import Callable
 
-from larchhaven import interface as api
 from larchhaven.memory.purposes import STREAM, Purpose
-from larchhaven.net import lines
-from larchhaven.net.buffers import SHORT_OF, Pool, Stream
-from larchhaven.net.loop import Deadline, Loop
+from larchhaven.net.core.buffer_pool import SHORT_OF, Pool, Stream
+from larchhaven.net.core.event_loop import Deadline, Loop
+from larchhaven.net.text_protocol import codec as lines
+from larchhaven.routing import interface as api
 
 # A probe without an answer in this time has failed: a hung instance takes probes and says nothing.
 PROBE_US = 500_000
@@ -106,7 +106,9 @@
         else:
             self._end(api.Result.RESET if self._standing else api.Result.UNREACHABLE)
 
-    def _end(self, result: api.Result, report: api.Report | None = None, keep: bool = False) -> None:
+    def _end(
+        self, result: api.Result, report: api.Report | None = None, keep: bool = False
+    ) -> None:
         if not keep:
             self._close()
         if self.asking:
@@ -139,7 +141,9 @@
         """Ask an instance for its report; a probe under way serves."""
         asker = self._askers.get(host)
         if asker is None and not self.pool.account.take(Purpose.PROBES, STREAM):
-            self.done(host, api.Result.NOT_SENT, 0, None)  # the decision module does without this report
+            self.done(
+                host, api.Result.NOT_SENT, 0, None
+            )  # the decision module does without this report
             return
         if asker is None:
             self.pool.account.give(Purpose.PROBES, STREAM)  # the stream charges itself
--- a/larchhaven/net/executions.py
+++ b/larchhaven/net/text_protocol/upstream_attempt.py
@@ -5,10 +5,10 @@
 import errno
 from typing import Protocol
 
-from larchhaven import interface as api
-from larchhaven.net import lines
-from larchhaven.net.buffers import SHORT_OF, Pool, Stream
-from larchhaven.net.loop import Loop
+from larchhaven.net.core.buffer_pool import SHORT_OF, Pool, Stream
+from larchhaven.net.core.event_loop import Loop
+from larchhaven.net.text_protocol import codec as lines
+from larchhaven.routing import interface as api
 
 
 class ExecutionOwner(Protocol):
--- a/larchhaven/operator/settings.py
+++ b/larchhaven/operator/settings.py
@@ -14,7 +14,11 @@
 
     def at(self, file: str) -> str:
         """Write it as compilers do, so that editors find the place."""
-        return f"{file}:{self.line}:{self.column}: {self.text}" if self.line else f"{file}: {self.text}"
+        return (
+            f"{file}:{self.line}:{self.column}: {self.text}"
+            if self.line
+            else f"{file}: {self.text}"
+        )
 
 
 class Settings(msgspec.Struct):
--- a/larchhaven/operator/text.py
+++ b/larchhaven/operator/text.py
@@ -91,14 +91,20 @@
             known = schema.fields_by_name.get(name)
             if known is None:
                 near = difflib.get_close_matches(name, list(schema.fields_by_name), 1)
-                hint = f"write {near[0]!r}" if near else f"known are {', '.join(schema.fields_by_name)}"
+                hint = (
+                    f"write {near[0]!r}"
+                    if near
+                    else f"known are {', '.join(schema.fields_by_name)}"
+                )
                 self._add(at, f"{_where(path)}has no field {name!r}: {hint}")
                 self._skip()
                 continue
             full = f"{path}.{name}" if path else name
             if name in seen and not known.is_repeated:
                 first = f"{seen[name][0]}:{seen[name][1]}"
-                self._add(at, f"{full!r} is given again: keep one of the two, the first is at {first}")
+                self._add(
+                    at, f"{full!r} is given again: keep one of the two, the first is at {first}"
+                )
             seen.setdefault(name, at)
             self.found.places.setdefault(full, at)
             self._value(known, full, depth)
@@ -111,7 +117,9 @@
             while not self._tokens.TryConsume("]"):
                 self._one(known, path, depth, True)
                 if not self._tokens.TryConsume(",") and self._token != "]":
-                    self._add(self._at(), f"{path!r}: write ',' between the items, or ']' after the last")
+                    self._add(
+                        self._at(), f"{path!r}: write ',' between the items, or ']' after the last"
+                    )
                     self._tokens.TryConsume(self._token)
                 if self._tokens.AtEnd():
                     return
@@ -159,7 +167,13 @@
             self._add(at, f"{path!r} is {_kind(known)}, not {token!r}")
 
     def _number(
-        self, known: FieldDescriptor, path: str, at: tuple[int, int], whole: bool, least: int, most: int
+        self,
+        known: FieldDescriptor,
+        path: str,
+        at: tuple[int, int],
+        whole: bool,
+        least: int,
+        most: int,
     ) -> None:
         sign = -1 if self._tokens.TryConsume("-") else 1
         value = sign * self._tokens.ConsumeFloat()
@@ -177,14 +191,18 @@
             hint = f"write {near[0]}" if near else f"known are {', '.join(names.values_by_name)}"
             self._add(at, f"{path!r} has no value {name!r}: {hint}")
 
-    def _range(self, known: FieldDescriptor, path: str, at: tuple[int, int], value: float, unit: str) -> None:
+    def _range(
+        self, known: FieldDescriptor, path: str, at: tuple[int, int], value: float, unit: str
+    ) -> None:
         options = known.GetOptions()
         if not options.HasExtension(options_pb2.range):
             return
         bounds = options.Extensions[options_pb2.range]
         if not bounds.least <= value <= bounds.most:
             unit = unit or f" {bounds.unit}".rstrip()
-            self._add(at, f"{path!r} is {value:g}{unit}: write {bounds.least:g} to {bounds.most:g}{unit}")
+            self._add(
+                at, f"{path!r} is {value:g}{unit}: write {bounds.least:g} to {bounds.most:g}{unit}"
+            )
 
     def _skip(self) -> None:
         """Pass over the value of a field that is not known."""
--- /dev/null
+++ b/larchhaven/routing/__init__.py
@@ -0,0 +1,1 @@
+"""The decisions of the balancer, pure: events and a time in, actions out."""
--- a/larchhaven/choice.py
+++ b/larchhaven/routing/balancer.py
@@ -18,20 +18,43 @@
 from itertools import accumulate, islice
 from zlib import crc32
 
-from larchhaven import interface as api
-from larchhaven.interface import Effect, ListKind, Result, Scope, State
-
-REPORT_LAG_US = 800_000  # a report shows a server as it was so long before it came: half a refresh, transport
-PROBE_SPEND, PROBES_LEAST, PROBES_MOST = 0.006, 1, 8  # points that a request may spend on probes; how many
-FIRST_LOAD, LEARN = 0.04, 0.05  # a connection's load before any is told; weight of a new sample in means
+from larchhaven.routing import interface as api
+from larchhaven.routing.interface import Effect, ListKind, Result, Scope, State
+
+REPORT_LAG_US = (
+    800_000  # a report shows a server as it was so long before it came: half a refresh, transport
+)
+PROBE_SPEND, PROBES_LEAST, PROBES_MOST = (
+    0.006,
+    1,
+    8,
+)  # points that a request may spend on probes; how many
+FIRST_LOAD, LEARN = (
+    0.04,
+    0.05,
+)  # a connection's load before any is told; weight of a new sample in means
 RATE_SPAN_US = 5_000_000  # arrivals are counted over several report lags, so that bursts show
-STALE_US, RANK_US = 10_000_000, 1_000_000  # a report tells half as much after this; all are ranked so often
+STALE_US, RANK_US = (
+    10_000_000,
+    1_000_000,
+)  # a report tells half as much after this; all are ranked so often
 HEAVY = 2.0  # from this multiple of the mean load on, a connection's own load counts in the ratios
-FULL_RATIO, SLOW_US = 1.0, 2_000_000  # added to the ratio of one that is full or slow, for so long after
-PROBE_WAIT = 0.2  # a request waits for the probes made for it for this part of its set-up aim at most
-TRY_SHARE = 0.5  # an attempt leaves another try the set-up aim, or this part of the time left if shorter
-HOLD_SHARE = 0.25  # a request without a ready server is looked at this often, in parts of its set-up aim
-COLD_FILL = 0.8  # all instances together fill a cold server so many tip_multiples as fast as in its warm-up
+FULL_RATIO, SLOW_US = (
+    1.0,
+    2_000_000,
+)  # added to the ratio of one that is full or slow, for so long after
+PROBE_WAIT = (
+    0.2  # a request waits for the probes made for it for this part of its set-up aim at most
+)
+TRY_SHARE = (
+    0.5  # an attempt leaves another try the set-up aim, or this part of the time left if shorter
+)
+HOLD_SHARE = (
+    0.25  # a request without a ready server is looked at this often, in parts of its set-up aim
+)
+COLD_FILL = (
+    0.8  # all instances together fill a cold server so many tip_multiples as fast as in its warm-up
+)
 # First time out of an ejected server, the most it doubles to, and how long until the next is a first one.
 EJECT_US, EJECT_MOST_US, PROVEN_US = 2_000_000, 30_000_000, 10_000_000
 EJECT_PART = 0.5  # with more of the fleet ejected the cause is shared, and ejection is not heeded
@@ -44,21 +67,37 @@
 # Clients of a draining server are moved within the grace of its drain, or, so that the servers left are not
 # flooded, at most so many times as fast as new ones usually come, but within so many times the grace.
 DRAIN_RUSH, DRAIN_MOST = 4.0, 2.0
-LEAVE_SHARE = 0.8  # an instance that stops moves its connections within this part of the time left to it
-SATURATED = 2.0  # a report above this is of a jam and counts as this much: ratios run beyond the load
+LEAVE_SHARE = (
+    0.8  # an instance that stops moves its connections within this part of the time left to it
+)
+SATURATED = (
+    2.0  # a report above this is of a jam and counts as this much: ratios run beyond the load
+)
 # A server over the third of these gets nothing new. Between the first two, by the median of the others or the
 # lowest and the last if that is less, arrivals are refused: those of the least worth for their load first.
 REFUSE_FROM, REFUSE_ALL, FILLED, SPREAD = 0.5, 0.75, 0.85, 0.3
-GROUP_BAND, GROUP_LOOKS = 0.4, 3  # so far above the lowest are near ties for a group; looks at them, in turn
+GROUP_BAND, GROUP_LOOKS = (
+    0.4,
+    3,
+)  # so far above the lowest are near ties for a group; looks at them, in turn
 # One instance's part stands for so many at most unseen; from so many on several keep what each knows.
 SPEAKS_FOR, MANY, MIX = 4, 8, 0x9E3779B97F4A7C15
 DENSITIES = 32  # what an arrival is worth is ranked among so many before it
 # Messages between instances: where connections stand, who knows of one, that one has started, what it learnt.
 HELD, ASKED, STARTED, LEARNT = b"H", b"Q", b"S", b"L"
-TAG, MARK, TOLD_MOST = 4, 2, 42  # bytes of a hashed key and server's id, an entry; so many fit in a message
-KEEPERS, AGAIN_MOST = 4, 10 * TOLD_MOST  # by its key, of where a connection stands; told anew at a start
+TAG, MARK, TOLD_MOST = (
+    4,
+    2,
+    42,
+)  # bytes of a hashed key and server's id, an entry; so many fit in a message
+KEEPERS, AGAIN_MOST = (
+    4,
+    10 * TOLD_MOST,
+)  # by its key, of where a connection stands; told anew at a start
 RECENT_MOST = 512  # own changes that a report may not hold yet; more do not fit in its lag
-ASK_US = 100_000  # a mid-flow connection unknown here waits so long for others to tell where it stands
+ASK_US = (
+    100_000  # a mid-flow connection unknown here waits so long for others to tell where it stands
+)
 # A failed subscription is asked for again after the first part of ask_within, doubling up to the whole. Calls
 # leave the list service this long for each instance, or forty keep it too busy to answer any; but one that
 # has not asked within ask_within counts as told, so the first call is out by the second part. Where lists are
@@ -95,7 +134,9 @@
     ran_at: int = 0
     ran_on: Server | None = None  # where an attempt may have run first
     tried: list[Server] = field(default_factory=list)
-    doubted: list[Server] = field(default_factory=list)  # perhaps not they but the request is at fault
+    doubted: list[Server] = field(
+        default_factory=list
+    )  # perhaps not they but the request is at fault
     looks: int = 0  # probes it waits for
     looked: list[Server] = field(default_factory=list)  # probed for it
     tenant: int = 0
@@ -143,21 +184,31 @@
         self.conns: dict[int, Conn] = {}
         self.fleet: dict[str, Server] = {}
         self.ranking: list[tuple[float, float, Server]] = []  # ready servers, lowest ratio first
-        self.holders: dict[bytes, bytes] = {}  # marks of servers by tags of the connections that stand there
+        self.holders: dict[
+            bytes, bytes
+        ] = {}  # marks of servers by tags of the connections that stand there
         self.marks: dict[bytes, Server] = {}
         self.open: Counter[int] = Counter()  # own connections that flow, by tenant
         self.quotas = [*(tenant.quota_connections for tenant in settings.tenants), 0.0]
         self.suspended: set[str] = set()  # ids that operators have taken out
-        self.present = frozenset(range(settings.instances))  # the instances that are not known to be gone
+        self.present = frozenset(
+            range(settings.instances)
+        )  # the instances that are not known to be gone
         self.tells = settings.can_tell and settings.pass_through and settings.instances > 1
         self.timers: dict[int, Callable[[], None]] = {}
         self.class_load = [FIRST_LOAD] * len(settings.classes)
-        self.learnt = struct.Struct(f"<{3 + len(self.class_load)}d")  # what one that takes over is told
+        self.learnt = struct.Struct(
+            f"<{3 + len(self.class_load)}d"
+        )  # what one that takes over is told
         self.now = self.next_token = self.ask_span = self.ranked_at = 0
-        self.ask_most = settings.ask_within_us if settings.subscribe else settings.drain_grace_us // 2
+        self.ask_most = (
+            settings.ask_within_us if settings.subscribe else settings.drain_grace_us // 2
+        )
         parts = (int(part * self.ask_most) for part in (ASK_SHARE, ASK_MOST))
         self.calm = sorted((*parts, ASK_EACH_US * settings.instances))[1]
-        self.failures = self.gate_at = 0  # set-ups that failed since one last stood; none begun before
+        self.failures = self.gate_at = (
+            0  # set-ups that failed since one last stood; none begun before
+        )
         self.arrivals: deque[int] = deque()
         self.mean_load = FIRST_LOAD
         self.densities: deque[float] = deque(maxlen=DENSITIES)
@@ -166,7 +217,9 @@
         spend = PROBE_SPEND / settings.prices.probe if settings.prices.probe > 0 else PROBES_MOST
         self.probes_each = min(max(spend, PROBES_LEAST), PROBES_MOST) if settings.can_probe else 0
         self.moves_each = min(MOVE_SPEND / max(settings.prices.moves, MOVE_SPEND), 1.0)
-        self.leave_by = 0  # when this instance stops, the last of its connections is to be moved by then
+        self.leave_by = (
+            0  # when this instance stops, the last of its connections is to be moved by then
+        )
         self.handlers: dict[type, Callable[..., None]] = {
             api.Arrival: self._on_arrival, api.Resumed: self._on_resumed, api.TimerFired: self._on_timer,
             api.FleetList: self._on_list, api.ProbeResult: self._on_probe, api.PeerMessage: self._on_peer,
@@ -219,7 +272,16 @@
         load = self.class_load[cls] if event.load is None else event.load
         tag = b"" if event.key is None else _short(str(event.key), TAG)
         group = None if event.group is None else crc32(str(event.group).encode())
-        conn = Conn(event.request, cls, self.now + event.budget_us, load, tag, event.midflow, group, event.at)
+        conn = Conn(
+            event.request,
+            cls,
+            self.now + event.budget_us,
+            load,
+            tag,
+            event.midflow,
+            group,
+            event.at,
+        )
         conn.tenant = event.tenant
         self.conns[conn.id] = conn
         return conn
@@ -233,14 +295,22 @@
     def _place(self, conn: Conn) -> None:
         """Send a request to its server now, hold it for one, or answer it when its time or tries are up."""
         limits, left = self.settings, conn.deadline - self.now
-        if left <= 2 * limits.tick_us or conn.attempts >= limits.max_attempts or not self._may_send(conn):
+        if (
+            left <= 2 * limits.tick_us
+            or conn.attempts >= limits.max_attempts
+            or not self._may_send(conn)
+        ):
             return self._give_up(conn)
         aim = limits.classes[conn.cls].aim_us
         server = self._holder(conn)
         if server is None and conn.at is None and self.now >= self.gate_at:
             near, shares = self._band(conn)
             server = self.rng.choices(near, shares)[0] if near else None
-            known = server is not None and not conn.midflow and (server.ratio is not None or server.own > 0)
+            known = (
+                server is not None
+                and not conn.midflow
+                and (server.ratio is not None or server.own > 0)
+            )
             if server is not None and known and self._fill(server) > FILLED:
                 return self._give_up(conn)  # it would jam, and others with it
         alone = server is None and (conn.tried or self.suspended)
@@ -260,6 +330,7 @@
         self._close_cold(server, max(conn.load / max(self.mean_load, 1e-6), 1.0))
         self._add_own(server, conn.load)
         self.actions.append(api.Send(conn.id, server.id, timeout))
+        return None
 
     def _hold(self, conn: Conn, wait_us: float) -> None:
         conn.turn += 1
@@ -296,13 +367,21 @@
     def _allowed(self, conn: Conn, server: Server | None) -> bool:
         """Rule 2: a keyed request that may have run stays with the servers that discard its duplicates."""
         cls, first = self.settings.classes[conn.cls], conn.ran_on
-        if first is None or server is None or cls.effect is not Effect.KEYED or cls.scope is Scope.ALL:
+        if (
+            first is None
+            or server is None
+            or cls.effect is not Effect.KEYED
+            or cls.scope is Scope.ALL
+        ):
             return True
         return server.zone == first.zone if cls.scope is Scope.ZONE else server.cell == first.cell
 
     def _give_up(self, conn: Conn) -> None:
         """Give the one final answer of a request that has no attempt out."""
-        cls, refusal = self.settings.classes[conn.cls], api.Refuse(conn.id, self.settings.max_retry_after_us)
+        cls, refusal = (
+            self.settings.classes[conn.cls],
+            api.Refuse(conn.id, self.settings.max_retry_after_us),
+        )
         again = cls.effect is Effect.SAFE or (cls.effect is Effect.KEYED and cls.scope is Scope.ALL)
         self.actions.append(refusal if conn.ran_on is None or again else api.Fail(conn.id))
         self._close(conn)
@@ -431,7 +510,9 @@
             self._leave(conn)
 
     def _leave(self, conn: Conn) -> None:
-        self._after(self.rng.random() * max(self.leave_by - self.now, 0), partial(self._clear_one, conn))
+        self._after(
+            self.rng.random() * max(self.leave_by - self.now, 0), partial(self._clear_one, conn)
+        )
 
     def _move(self, conn: Conn) -> None:
         if conn.flows and not conn.done:
@@ -468,7 +549,9 @@
     def _after(self, delay_us: float, then: Callable[[], None]) -> None:
         self.next_token += 1
         self.timers[self.next_token] = then
-        self.actions.append(api.SetTimer(self.next_token, max(int(delay_us), self.settings.tick_us)))
+        self.actions.append(
+            api.SetTimer(self.next_token, max(int(delay_us), self.settings.tick_us))
+        )
 
     def _on_timer(self, event: api.TimerFired) -> None:
         self.timers.pop(event.token, lambda: None)()
@@ -478,7 +561,9 @@
     def _on_list(self, event: api.FleetList) -> None:
         if event.kind is ListKind.FAILED:
             self.ask_span = min(max(2 * self.ask_span, self.calm), self.ask_most)
-            self._after(self.ask_span * self.rng.uniform(1 / 3, 1), lambda: self.actions.append(api.Watch()))
+            self._after(
+                self.ask_span * self.rng.uniform(1 / 3, 1), lambda: self.actions.append(api.Watch())
+            )
             return
         self.ask_span = 0
         if event.kind is not ListKind.CHANGES:
@@ -525,7 +610,9 @@
                 server.started_at = entry.started_at
                 self._forget_load(server)
                 server.warm_at = entry.started_at + self.settings.cold_us if entry.started_at else 0
-                self._close_cold(server, self.rng.random())  # not all instances send their first together
+                self._close_cold(
+                    server, self.rng.random()
+                )  # not all instances send their first together
             self._reorder(server)
 
     def _look(self, conn: Conn) -> None:
@@ -533,7 +620,9 @@
         wait = int(PROBE_WAIT * self.settings.classes[conn.cls].aim_us)
         near, shares = self._band(conn, looking=True)
         most = 1 if conn.group is None else GROUP_LOOKS
-        again = conn.turn < 2 * most and conn.deadline - self.now > 4 * wait  # a wait is begun and ended
+        again = (
+            conn.turn < 2 * most and conn.deadline - self.now > 4 * wait
+        )  # a wait is begun and ended
         looks = min(int(self.probe_credit), len(near)) if again else 0
         # Twice as many draws as probes, less those drawn twice.
         drawn = self.rng.choices(near, shares, k=2 * looks) if looks else []
@@ -550,7 +639,11 @@
 
     def _refresh(self) -> None:
         """Probe the server with the oldest report, if looks leave any: it may be jammed, or no longer be."""
-        idle = [e[2] for e in self.ranking if e[2].id not in self.waiting and e[2].ejected_until <= self.now]
+        idle = [
+            e[2]
+            for e in self.ranking
+            if e[2].id not in self.waiting and e[2].ejected_until <= self.now
+        ]
         if idle and self.probe_credit >= max(min(self.probes_each, GROUP_LOOKS), 1):
             self._probe(min(idle, key=lambda server: server.report_at))
 
@@ -636,12 +729,18 @@
         elif kind == STARTED:
             flows = [conn.tag for conn in self.conns.values() if conn.flows]
             own = event.sender == self.settings.index
-            known = flows if own or self.settings.instances < MANY else list(self.holders)[-AGAIN_MOST:]
-            self._tell_held(event.sender, [t for t in known if own or event.sender in self._keepers(t)])
+            known = (
+                flows if own or self.settings.instances < MANY else list(self.holders)[-AGAIN_MOST:]
+            )
+            self._tell_held(
+                event.sender, [t for t in known if own or event.sender in self._keepers(t)]
+            )
             if own:
                 learnt = len(self.arrivals), self.mean_load, self.move_credit, *self.class_load
                 self.actions.append(api.Tell(event.sender, LEARNT + self.learnt.pack(*learnt)))
-        elif kind == LEARNT and event.sender == self.settings.index and len(body) == self.learnt.size:
+        elif (
+            kind == LEARNT and event.sender == self.settings.index and len(body) == self.learnt.size
+        ):
             count, self.mean_load, self.move_credit, *self.class_load = self.learnt.unpack(body)
             self.arrivals = deque([self.now] * int(count))
         elif kind == HELD:
@@ -659,7 +758,9 @@
     def _load(self, server: Server) -> float:
         """Estimated load over capacity: the last report, aged, and own changes that it cannot contain."""
         mean = self._mean()
-        unseen = 1 if self.ratio_weight > 1e-6 else min(len(self.present), SPEAKS_FOR)  # nobody reports
+        unseen = (
+            1 if self.ratio_weight > 1e-6 else min(len(self.present), SPEAKS_FOR)
+        )  # nobody reports
         ratio = unseen * server.own / server.weight
         if server.ratio is None:
             # Without a report a server is like the mean, not idle; one seen to start is empty.
@@ -723,7 +824,11 @@
         if conn.load > HEAVY * self.mean_load:
             ranking = sorted((r + conn.load / s.weight, t, s) for r, t, s in ranking)
         for ratio, _, server in ranking:
-            if (server.ejected_until > now and trusting) or server.open_at > now or server in conn.tried:
+            if (
+                (server.ejected_until > now and trusting)
+                or server.open_at > now
+                or server in conn.tried
+            ):
                 continue
             if conn.ran_on is None or self._allowed(conn, server):
                 yield ratio, server
@@ -795,7 +900,9 @@
         rank = below / len(self.densities) if self.densities else 1.0
         self.densities.append(density)
         usable = [server for _, server in self._usable(conn)]
-        blind = self.ratio_weight <= 1e-6  # nobody reports, so slow messages are all that tells of the fleet
+        blind = (
+            self.ratio_weight <= 1e-6
+        )  # nobody reports, so slow messages are all that tells of the fleet
         room = [server for server in usable if blind or self._fill(server) <= FILLED]
         if not room:
             return bool(usable)
@@ -809,8 +916,14 @@
         # Closed until the integral of its part has paid for them: a token bucket without a store.
         if server.warm_at <= self.now:
             return
-        first, cold, most = self.settings.cold_from, self.settings.cold_us, self.settings.tip_multiple
-        pace = COLD_FILL * most * server.weight / max(self.mean_load, 1e-6) / cold / len(self.present)
+        first, cold, most = (
+            self.settings.cold_from,
+            self.settings.cold_us,
+            self.settings.tip_multiple,
+        )
+        pace = (
+            COLD_FILL * most * server.weight / max(self.mean_load, 1e-6) / cold / len(self.present)
+        )
         age = max(self.now - server.started_at, 0)
         growth = max(1 - first, 1e-9) / (2 * cold)
         due = first * age + growth * age * age + connections / pace
--- a/larchhaven/interface.py
+++ b/larchhaven/routing/interface.py
@@ -149,17 +149,32 @@
         checks = (
             (bool(self.classes), "settings name no request class"),
             (self.instances >= 1, "instances must be at least 1"),
-            (0 <= self.index < max(self.instances, 1), "index must lie between 0 and instances - 1"),
+            (
+                0 <= self.index < max(self.instances, 1),
+                "index must lie between 0 and instances - 1",
+            ),
             (self.max_attempts >= 1, "max_attempts must be at least 1"),
             (0 < self.cold_from <= 1, "cold_from must lie in (0, 1]"),
             (self.tip_multiple > 0, "tip_multiple must be positive"),
-            (min(self.cold_us, self.tip_after_us, self.drain_grace_us) >= 0, "spans must not be negative"),
-            (self.tick_us > 0 and self.ask_within_us > 0, "tick_us and ask_within_us must be positive"),
+            (
+                min(self.cold_us, self.tip_after_us, self.drain_grace_us) >= 0,
+                "spans must not be negative",
+            ),
+            (
+                self.tick_us > 0 and self.ask_within_us > 0,
+                "tick_us and ask_within_us must be positive",
+            ),
             (min(astuple(self.prices)) >= 0, "prices must not be negative"),
             (self.over_share_worth >= 0, "over_share_worth must not be negative"),
             (all(t.share >= 0 for t in self.tenants), "a tenant's share must not be negative"),
-            (all(t.quota_connections >= 0 for t in self.tenants), "a tenant's quota must not be negative"),
-            (all(c.aim_us > 0 and c.deadline_us > 0 for c in self.classes), "aims must be positive"),
+            (
+                all(t.quota_connections >= 0 for t in self.tenants),
+                "a tenant's quota must not be negative",
+            ),
+            (
+                all(c.aim_us > 0 and c.deadline_us > 0 for c in self.classes),
+                "aims must be positive",
+            ),
         )
         for holds, message in checks:
             if not holds:
@@ -438,4 +453,17 @@
     text: str
 
 
-Action = Send | Refuse | Fail | Cancel | Move | Probe | Tell | SetTimer | Watch | FetchList | CloseIdle | Log
+Action = (
+    Send
+    | Refuse
+    | Fail
+    | Cancel
+    | Move
+    | Probe
+    | Tell
+    | SetTimer
+    | Watch
+    | FetchList
+    | CloseIdle
+    | Log
+)
--- /dev/null
+++ b/larchhaven/simulator/__init__.py
@@ -0,0 +1,1 @@
+"""The simulator's text protocol around the decisions."""
--- a/larchhaven/wire.py
+++ b/larchhaven/simulator/codec.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import TypeVar
 
-from larchhaven import interface as api
+from larchhaven.routing import interface as api
 
 T = TypeVar("T")
 
@@ -193,7 +193,9 @@
 
 
 def _streaming(p: list[str]) -> api.Event:
-    return api.Established(_int(p[1], "op_id"), _int(p[2], "leg"), p[3], _int_or_0(p[4], "time_taken"))
+    return api.Established(
+        _int(p[1], "op_id"), _int(p[2], "leg"), p[3], _int_or_0(p[4], "time_taken")
+    )
 
 
 _EVENTS: dict[str, tuple[Callable[[list[str]], api.Event], str]] = {
--- a/larchhaven/soak/days.py
+++ b/larchhaven/soak/days.py
@@ -30,16 +30,31 @@
 
 ABUSES: dict[str, Abuse] = {
     "never-read": Abuse(
-        "clients that ask for 2 MB and read nothing", "kernel", Terminals.NEVER_READ, 4, 20, 2_000_000
+        "clients that ask for 2 MB and read nothing",
+        "kernel",
+        Terminals.NEVER_READ,
+        4,
+        20,
+        2_000_000,
+    ),
+    "silent": Abuse(
+        "clients that connect and say nothing", "connections", Terminals.SILENT, 60, 30
+    ),
+    "slow-lines": Abuse(
+        "first lines that come byte by byte", "buffers", Terminals.SLOW_LINES, 20, 30
     ),
-    "silent": Abuse("clients that connect and say nothing", "connections", Terminals.SILENT, 60, 30),
-    "slow-lines": Abuse("first lines that come byte by byte", "buffers", Terminals.SLOW_LINES, 20, 30),
     "half-command": Abuse("half a first line", "buffers", Terminals.HALF_COMMAND, 40, 30),
-    "endless": Abuse("60 MB without an end of line", "buffers", Terminals.ENDLESS, 0.5, 60, 60_000_000),
-    "resets": Abuse("connections that break as soon as they stand", "connections", Terminals.RESETS, 30),
+    "endless": Abuse(
+        "60 MB without an end of line", "buffers", Terminals.ENDLESS, 0.5, 60, 60_000_000
+    ),
+    "resets": Abuse(
+        "connections that break as soon as they stand", "connections", Terminals.RESETS, 30
+    ),
     "cut": Abuse("first lines cut off at any byte", "connections", Terminals.CUT, 60),
     "long-ids": Abuse("ids of 2,000 bytes", "tables", Terminals.USUAL, 10, 4, 0, 2_000),
-    "surge": Abuse("three times as many clients as fit, at once", "connections", surge_every=15, surge=1_440),
+    "surge": Abuse(
+        "three times as many clients as fit, at once", "connections", surge_every=15, surge=1_440
+    ),
     "reconnect": Abuse("all break and come again within 1.7 s", "connections", reconnect_every=10),
 }
 
@@ -57,7 +72,10 @@
     scenario.servers.add(count=10, capacity=max(standing / 4, 150), setup_ms=4)
     for name, share in (("cevap-kaydet", 0.85), ("sinav-bitir", 0.15)):
         group = scenario.terminals.add(
-            arrivals_per_second=arrivals * share, stay_seconds=STAY_S, message_seconds=1.0, retries=1
+            arrivals_per_second=arrivals * share,
+            stay_seconds=STAY_S,
+            message_seconds=1.0,
+            retries=1,
         )
         setattr(group, "class", name)
     if abuse:
--- a/larchhaven/soak/run.py
+++ b/larchhaven/soak/run.py
@@ -51,7 +51,9 @@
             file.flush()
 
     try:
-        outcome = asyncio.run(play(scenario, sample_gap=SAMPLE_GAP_S, sample_taken=take, progress=progress))
+        outcome = asyncio.run(
+            play(scenario, sample_gap=SAMPLE_GAP_S, sample_taken=take, progress=progress)
+        )
     finally:
         if file is not None:
             file.close()
@@ -69,5 +71,7 @@
         verdict.broken.append(f"and {outcome.broken_more} more")
     verdict.errors = [f"crashed: {name}" for name in outcome.crashed] + outcome.errors
     verdict.answers = outcome.classes
-    verdict.rest = {name: m["purposes"]["connections"]["used"] for name, m in outcome.rest.items() if m}
+    verdict.rest = {
+        name: m["purposes"]["connections"]["used"] for name, m in outcome.rest.items() if m
+    }
     return verdict
--- a/larchhaven/soak/verdict.py
+++ b/larchhaven/soak/verdict.py
@@ -63,7 +63,9 @@
     count = len(x)
     effective = max(count * (1 - r) / (1 + r), 3.0)
     # linregress divides by count - 2; the effective number takes its place.
-    error = float(line.stderr) * math.sqrt((count - 2) / (effective - 2)) if effective > 2 else math.inf
+    error = (
+        float(line.stderr) * math.sqrt((count - 2) / (effective - 2)) if effective > 2 else math.inf
+    )
     half = float(stats.t.ppf((1 + CONFIDENCE) / 2, max(effective - 2, 1))) * error
     slope = float(line.slope)
     return Slope(float(y.mean()), slope, slope - half, slope + half, count, r)
@@ -97,7 +99,9 @@
     errors: list[str] = field(default_factory=list)
     account_errors: int = 0
     answers: dict[str, Any] = field(default_factory=dict)
-    rest: dict[str, int] = field(default_factory=dict)  # connections' gauge once all had left, by proxy
+    rest: dict[str, int] = field(
+        default_factory=dict
+    )  # connections' gauge once all had left, by proxy
     judges_slope: bool = True
 
     @property
@@ -105,10 +109,14 @@
         """Say in plain sentences why this does not hold; empty if it does."""
         found = list(self.broken) + list(self.errors)
         if self.resident_peak > self.grant:
-            found.append(f"the resident size reached {self.resident_peak >> 10} KB of {self.grant >> 10} KB")
+            found.append(
+                f"the resident size reached {self.resident_peak >> 10} KB of {self.grant >> 10} KB"
+            )
         found += [f"{name} passed its cap" for name, cap in self.caps.items() if not cap.held]
         found += [
-            f"{name} still counted {n} bytes of connections at rest" for name, n in self.rest.items() if n
+            f"{name} still counted {n} bytes of connections at rest"
+            for name, n in self.rest.items()
+            if n
         ]
         if self.account_errors:
             found.append(f"{self.account_errors} give-backs exceeded what was taken")
@@ -117,7 +125,9 @@
                 if slope is None:
                     found.append(f"too few samples for the slope of the {name} size")
                 elif not slope.flat:
-                    found.append(f"the {name} size is not flat: {100 * slope.share_an_hour:+.2f}% an hour")
+                    found.append(
+                        f"the {name} size is not flat: {100 * slope.share_an_hour:+.2f}% an hour"
+                    )
         return found
 
     def as_dict(self) -> dict[str, Any]:
@@ -126,7 +136,10 @@
         for name in ("resident", "accounted"):
             slope = whole[name]
             if slope is not None:
-                whole[name] = asdict(slope) | {"share_an_hour": slope.share_an_hour, "flat": slope.flat}
+                whole[name] = asdict(slope) | {
+                    "share_an_hour": slope.share_an_hour,
+                    "flat": slope.flat,
+                }
         whole["caps"] = {name: asdict(cap) | {"held": cap.held} for name, cap in self.caps.items()}
         return whole | {"holds": not self.complaints, "complaints": self.complaints}
 
