--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -12,9 +12,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from larchhaven import interface as api
-from larchhaven.choice import Balancer
-from larchhaven.sharing.lookout import ENTRY, REPORTS, Lookout, is_shared
+from larchhaven.gossip.shared_health_checks import ENTRY, REPORTS, Lookout, is_shared
+from larchhaven.routing import interface as api
+from larchhaven.routing.balancer import Balancer
 
 from .world import PLAIN, START, arrival, balancer, fleet, of, report
 
@@ -38,7 +38,9 @@
         for action in tier[i].handle(now, [event]):
             order += 1
             if isinstance(action, api.SetTimer):
-                heapq.heappush(queue, (now + action.delay_us, order, i, api.TimerFired(action.token)))
+                heapq.heappush(
+                    queue, (now + action.delay_us, order, i, api.TimerFired(action.token))
+                )
             elif isinstance(action, api.Watch):
                 free_at = max(free_at, now) + serve_us
                 if free_at > now + WAIT_MOST_US:
@@ -132,7 +134,9 @@
                     self.probes[probe.server] += 1
                     ratio = self.ratios[probe.server]
                     result = api.Result.OK if ratio >= 0 else api.Result.TIMEOUT
-                    one.on_look(now, api.ProbeResult(probe.server, result, 0, api.Report(ratio=ratio)))
+                    one.on_look(
+                        now, api.ProbeResult(probe.server, result, 0, api.Report(ratio=ratio))
+                    )
 
     def _tell(self, now: int, teller: int, data: bytes) -> None:
         assert len(data) <= 256
@@ -157,7 +161,8 @@
     for i, heard in tier.heard.items():
         last = {news.server: news for news in heard}
         if (i - (crc32(b"s3") >> 16) % 4 * 10) % 40:  # the others than the one who looks
-            assert last["s3"].report is not None and last["s3"].report.ratio == 1.5
+            assert last["s3"].report is not None
+            assert last["s3"].report.ratio == 1.5
         if (i - (crc32(b"s7") >> 16) % 4 * 10) % 40:
             assert last["s7"].result is api.Result.RESET
 
@@ -281,7 +286,9 @@
             teller, action = heard.pop()
             to = [i for i in alive if i != teller] if action.peer is None else [action.peer]
             for i in set(to) & set(alive):
-                answers = of(api.Tell, tier[i].handle(START + 2, [api.PeerMessage(teller, action.data)]))
+                answers = of(
+                    api.Tell, tier[i].handle(START + 2, [api.PeerMessage(teller, action.data)])
+                )
                 heard += [(i, answer) for answer in answers]
 
     stands = {}
@@ -305,7 +312,9 @@
             if ask.peer in alive:
                 answers = tier[ask.peer].handle(START + 4, [api.PeerMessage(taker, ask.data)])
                 for answer in of(api.Tell, answers):
-                    sends += of(api.Send, tier[taker].handle(START + 5, [api.PeerMessage(0, answer.data)]))
+                    sends += of(
+                        api.Send, tier[taker].handle(START + 5, [api.PeerMessage(0, answer.data)])
+                    )
         found += [s.server for s in sends if s.request == 1000 + key] == [stands[key]]
     assert found >= 78  # with one neighbour that knew: about 36
 
@@ -326,7 +335,9 @@
     keys = range(120)
     for key in keys:
         owner = tier[key % 40]
-        sent = of(api.Send, owner.handle(START + 1, [api.Arrival(key, 0, 1_200_000, key=key, load=0.01)]))[0]
+        sent = of(
+            api.Send, owner.handle(START + 1, [api.Arrival(key, 0, 1_200_000, key=key, load=0.01)])
+        )[0]
         told = owner.handle(START + 1, [api.Established(key, 0, sent.server, 100)])
         for tell in of(api.Tell, told):
             assert tell.peer is not None
@@ -337,7 +348,8 @@
         tier[i], asked = started(i)
         assert 1 <= len(asked) <= 2
         for ask in asked:
-            assert ask.peer is not None and ask.peer != i
+            assert ask.peer is not None
+            assert ask.peer != i
             answers = of(api.Tell, tier[ask.peer].handle(START + 2, [api.PeerMessage(i, ask.data)]))
             assert all(len(answer.data) <= 256 and answer.peer == i for answer in answers)
             for answer in answers:
@@ -360,7 +372,9 @@
     told = []
     for look in range(5):
         now = START + look * 1_000_000
-        one.on_told(now, REPORTS + ENTRY.pack(marks[well], 10))  # of the part something is told all the time
+        one.on_told(
+            now, REPORTS + ENTRY.pack(marks[well], 10)
+        )  # of the part something is told all the time
         one.on_look(now, api.ProbeResult("x0", api.Result.TIMEOUT, 500_000))
         told.append(len(of(api.Tell, one.turn(now + 100_000))))
     assert told == [1, 0, 1, 0, 1]
@@ -374,16 +388,21 @@
     b.handle(START, [api.Present(frozenset(range(40)) - absent)])
     told = set()
     for key in range(60):
-        sent = of(api.Send, b.handle(START + 1, [api.Arrival(key, 0, 1_200_000, key=key, load=0.01)]))[0]
+        sent = of(
+            api.Send, b.handle(START + 1, [api.Arrival(key, 0, 1_200_000, key=key, load=0.01)])
+        )[0]
         tells = of(api.Tell, b.handle(START + 1, [api.Established(key, 0, sent.server, 100)]))
         peers = {tell.peer for tell in tells}
-        assert 3 <= len(peers) <= 4 and not peers & absent
+        assert 3 <= len(peers) <= 4
+        assert not peers & absent
         told |= peers
     assert len(told) > 25
     few = Balancer(replace(_many(3, pass_through=True, can_probe=False), index=2), seed=1)
     few.handle(START, [fleet(2), api.Present(frozenset({1, 2}))])
     sent = of(api.Send, few.handle(START + 1, [api.Arrival(1, 0, 1_200_000, key=1, load=0.01)]))[0]
-    told_to = [t.peer for t in of(api.Tell, few.handle(START + 1, [api.Established(1, 0, sent.server, 9)]))]
+    told_to = [
+        t.peer for t in of(api.Tell, few.handle(START + 1, [api.Established(1, 0, sent.server, 9)]))
+    ]
     assert told_to == [1]  # the next one, 0, is gone
 
 
@@ -391,7 +410,9 @@
 def test_cold_budget_is_dealt_out_among_those_that_are_present(present: int) -> None:
     """What all together send a cold server is the same, however many of them are known to be gone."""
     b = Balancer(_many(can_probe=False, can_tell=False), seed=1)
-    cold = api.FleetList(api.ListKind.COMPLETE, 1, (api.ServerEntry("s0", started_at=START, weight=100.0),))
+    cold = api.FleetList(
+        api.ListKind.COMPLETE, 1, (api.ServerEntry("s0", started_at=START, weight=100.0),)
+    )
     b.handle(START, [cold, api.Present(frozenset(range(present)))])
     sent = 0
     for step in range(1000):
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -18,14 +18,15 @@
 @pytest.mark.parametrize("number", [1, 2])
 def test_half(number): assert number == 1
 """
-BAD, HALF = "tests/test_it.py::test_bad; a cause; issue 7", "tests/test_it.py::test_half[2]; another; issue 8"
+BAD, HALF = (
+    "tests/test_it.py::test_bad; a cause; issue 7",
+    "tests/test_it.py::test_half[2]; another; issue 8",
+)
 NO_TEST, NO_FILE = (
     "tests/test_it.py::test_no; a cause; issue 7",
     "tests/test_no.py::test_no; a cause; issue 7",
 )
-CONFTEST = (
-    "from tests.known_red import pytest_collection_modifyitems, pytest_configure, pytest_terminal_summary"
-)
+CONFTEST = "from tests.known_red import pytest_collection_modifyitems, pytest_configure, pytest_terminal_summary"
 GOOD = "tests/test_it.py::test_good; mended; issue 9"
 
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -24,7 +24,12 @@
     return Record(at, kind, id, server, text, wait)
 
 
-UP = [r(0, "ask"), r(MS, "sent", "s0"), r(2 * MS, "up", "s0", "UP 1"), r(3 * MS, "answer", text="UP 1")]
+UP = [
+    r(0, "ask"),
+    r(MS, "sent", "s0"),
+    r(2 * MS, "up", "s0", "UP 1"),
+    r(3 * MS, "answer", text="UP 1"),
+]
 
 
 @pytest.mark.parametrize(
@@ -37,7 +42,10 @@
         ([*UP, r(S, "left", "s0"), r(S, "end")], None),  # the exam server crashed
         ([*UP, r(S, "end")], "move before loss"),
         ([r(0, "ask"), r(MS, "answer", text="BUSY")], None),
-        ([r(0, "ask"), r(MS, "answer", text="BUSY"), r(2 * MS, "answer", text="BUSY")], "one answer"),
+        (
+            [r(0, "ask"), r(MS, "answer", text="BUSY"), r(2 * MS, "answer", text="BUSY")],
+            "one answer",
+        ),
         ([r(0, "ask"), r(MS, "answer")], "one answer"),
         ([r(0, "ask"), r(2 * S, "answer", text="BUSY")], "one answer"),
         ([r(0, "ask"), r(MS, "answer", text="UP forged")], "one answer"),
@@ -45,10 +53,16 @@
         ([r(0, "ask"), r(9 * S, "told", "s0", "ready")], "one answer"),
         ([r(0, "told", "s0", "draining"), r(3 * S, "sent", "s0")], None),
         ([r(0, "told", "s0", "draining"), r(4 * S, "sent", "s0")], "drain"),
-        ([r(0, "told", "s0", "draining"), r(S, "told", "s0", "ready"), r(4 * S, "sent", "s0")], None),
+        (
+            [r(0, "told", "s0", "draining"), r(S, "told", "s0", "ready"), r(4 * S, "sent", "s0")],
+            None,
+        ),
         ([r(0, "sent", "s0"), r(MS, "sent", "s1"), r(20 * MS, "over", "s0")], None),
         ([r(0, "sent", "s0"), r(100 * MS, "sent", "s1"), r(120 * MS, "over", "s0")], None),
-        ([r(0, "sent", "s0"), r(100 * MS, "sent", "s1"), r(300 * MS, "over", "s0")], "one execution"),
+        (
+            [r(0, "sent", "s0"), r(100 * MS, "sent", "s1"), r(300 * MS, "over", "s0")],
+            "one execution",
+        ),
         (
             [r(0, "sent", "s0"), r(1, "sent", "s1"), r(2, "sent", "s2")],
             "one execution",
@@ -56,7 +70,9 @@
         ([Record(0, "long", server="p0", amount=300)], "datagrams"),
     ],
 )
-def test_checker_catches_what_breaks_a_rule_and_nothing_else(records: list[Record], rule: str | None) -> None:
+def test_checker_catches_what_breaks_a_rule_and_nothing_else(
+    records: list[Record], rule: str | None
+) -> None:
     checker = Checker()
     for record in records:
         checker.take(record)
@@ -72,7 +88,8 @@
             checker.take(r(at, "sent", "s0", id=f"c{at}"))
         else:
             checker.take(r(at, "over", "s0", id="none"))
-    assert bool(checker.broken) is breaks and all(one.rule == "cold" for one in checker.broken)
+    assert bool(checker.broken) is breaks
+    assert all(one.rule == "cold" for one in checker.broken)
 
 
 def test_checker_forgets_what_is_over_and_bounds_what_it_tells() -> None:
@@ -82,7 +99,8 @@
         checker.take(r(at, "ask", id=f"c{number}"))
         checker.take(r(at, "answer", id=f"c{number}"))
     assert len(checker._open) < 2_000
-    assert len(checker.broken) == BROKEN_MOST and checker.more == 20_000 - BROKEN_MOST
+    assert len(checker.broken) == BROKEN_MOST
+    assert checker.more == 20_000 - BROKEN_MOST
 
 
 DAY = """
@@ -112,7 +130,8 @@
     written = io.BytesIO()
     outcome = asyncio.run(play(scenario, record=written))
     assert outcome.holds, (outcome.broken[:5], outcome.crashed, outcome.errors)
-    assert outcome.classes["chat"]["answers"]["UP"] > 30 and outcome.classes["exam"]["answers"]["UP"] > 5
+    assert outcome.classes["chat"]["answers"]["UP"] > 30
+    assert outcome.classes["exam"]["answers"]["UP"] > 5
     unanswered = outcome.records["ask"] - outcome.records["answer"]
     assert 0 <= unanswered <= 5  # those under way as the day ended
     again = Checker()
@@ -123,7 +142,8 @@
 
 def test_example_scenarios_are_read_without_a_complaint() -> None:
     paths = [*(ROOT / "example" / "lab").glob("*.textproto"), *DAYS.glob("*.textproto")]
-    assert len(paths) >= 3 and all(load(path.read_text())[1] == [] for path in paths)
+    assert len(paths) >= 3
+    assert all(load(path.read_text())[1] == [] for path in paths)
     assert {path.stem for path in DAYS.glob("*.textproto")} == {day.value for day in Day}
     assert load('terminals { member: "x" } servers { count: 1 }')[1] == [
         "terminals: there is no member 'x', known are []"
@@ -137,5 +157,7 @@
     del scenario.events[:]
     outcome = asyncio.run(play(scenario))
     assert outcome.holds, (outcome.broken[:5], outcome.crashed, outcome.errors)
-    served = {name: words.get("UP", 0) / sum(words.values()) for name, words in outcome.members.items()}
+    served = {
+        name: words.get("UP", 0) / sum(words.values()) for name, words in outcome.members.items()
+    }
     assert served["north"] > 0.7 and served["south"] < 0.6 * served["north"], outcome.members
--- a/tests/test_leaks.py
+++ b/tests/test_leaks.py
@@ -20,19 +20,19 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from larchhaven import interface as api
 from larchhaven.memory.account import Account
 from larchhaven.memory.purposes import Purpose
-from larchhaven.net import loop as loop_module
-from larchhaven.net.broker import Broker, Execution, Outside, Wants
-from larchhaven.net.buffers import SIZE, Pool, Stream
-from larchhaven.net.clients import Listener
-from larchhaven.net.executions import TextExecution
-from larchhaven.net.figures import Figures
-from larchhaven.net.loop import Loop
-from larchhaven.net.notices import Notices
-from larchhaven.net.relay import Relay
-from larchhaven.net.rooms import Rooms
+from larchhaven.net.admin.metrics import Figures
+from larchhaven.net.control.connection_limits import Rooms
+from larchhaven.net.control.dispatcher import Broker, Execution, Outside, Wants
+from larchhaven.net.core import event_loop as loop_module
+from larchhaven.net.core.buffer_pool import SIZE, Pool, Stream
+from larchhaven.net.core.event_loop import Loop
+from larchhaven.net.core.rate_limited_log import Notices
+from larchhaven.net.text_protocol.connection_relay import Relay
+from larchhaven.net.text_protocol.listener import Listener
+from larchhaven.net.text_protocol.upstream_attempt import TextExecution
+from larchhaven.routing import interface as api
 from tests.world import PLAIN
 
 BUFFERS = 12
@@ -114,8 +114,12 @@
     def told_at(self, host: str) -> int | None:
         return None
 
-    def begin(self, token: int, payload: bytes, address: tuple[str, int], wait_us: int) -> Execution:
-        return TextExecution(self.loop, self.pool, self.broker, token, payload, address, 250_000, wait_us)
+    def begin(
+        self, token: int, payload: bytes, address: tuple[str, int], wait_us: int
+    ) -> Execution:
+        return TextExecution(
+            self.loop, self.pool, self.broker, token, payload, address, 250_000, wait_us
+        )
 
     def spin(self, turns: int = 6, us: int = 100) -> None:
         for _ in range(turns):
@@ -131,11 +135,14 @@
     def settled(self) -> None:
         """See that nothing is held any more: commands, streams, buffers, what was charged."""
         self.end()
-        assert self.broker.held() == 0 and not self.pool.parting and not self.pool.unread
+        assert self.broker.held() == 0
+        assert not self.pool.parting
+        assert not self.pool.unread
         self.pool.shrink()
         for purpose in (Purpose.CONNECTIONS, Purpose.TABLES, Purpose.BUFFERS):
             assert self.account.charged(purpose) == 0, purpose
-        assert self.account.over == 0 and self.listener.silent() == 0
+        assert self.account.over == 0
+        assert self.listener.silent() == 0
 
     def end(self) -> None:
         """Let everybody go, and all deadlines pass."""
@@ -178,7 +185,9 @@
         self.seen: weakref.WeakSet[Stream] = weakref.WeakSet()
 
     @rule(
-        line=st.sampled_from([LINE, LINE, LINE, b"", b"OPEN half", b"PING\r\n", b"NONSENSE\r\n", b"z" * 5000])
+        line=st.sampled_from(
+            [LINE, LINE, LINE, b"", b"OPEN half", b"PING\r\n", b"NONSENSE\r\n", b"z" * 5000]
+        )
     )
     def arrive(self, line: bytes) -> None:
         bench = self.bench
@@ -253,7 +262,9 @@
         bench.number += 1
         wants = Wants(b"", 0, 0, b"%d" % bench.number)
         bench.broker.adopt(
-            wants, "s0", lambda token: Relay(bench.loop, client, instance, bench.broker, token, b"UP 9")
+            wants,
+            "s0",
+            lambda token: Relay(bench.loop, client, instance, bench.broker, token, b"UP 9"),
         )
 
     @rule(us=st.sampled_from([1_000, 300_000, 2_000_000]))
@@ -265,7 +276,7 @@
         account = self.bench.account
         assert account.used(Purpose.BUFFERS) <= account.cap(Purpose.BUFFERS)
         assert account.over == 0
-        for _, channel in self.bench.loop._channels.items():
+        for _token, channel in self.bench.loop._channels.items():
             stream = getattr(channel.then, "__self__", None)
             if isinstance(stream, Stream):
                 self.seen.add(stream)
@@ -281,7 +292,9 @@
 
 
 TestLife = Life.TestCase
-TestLife.settings = settings(max_examples=60, stateful_step_count=25, deadline=None, derandomize=True)
+TestLife.settings = settings(
+    max_examples=60, stateful_step_count=25, deadline=None, derandomize=True
+)
 
 
 def tcp_pair() -> tuple[socket.socket, socket.socket]:
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -6,15 +6,17 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from larchhaven import interface as api
 from larchhaven.memory.account import Account
 from larchhaven.memory.purposes import BUFFER_EXTRA, Purpose
-from larchhaven.net import lines
-from larchhaven.net.buffers import SIZE, Buffer, Pool
-from larchhaven.net.discovery import Directory, HostEntry, HostList, read_address
-from larchhaven.net.slots import Slots
-
-PIECES = st.lists(st.sampled_from([b"a", b"\r", b"\n", b"\r\n", b"BYE x0=1", b"\x00\xff" * 200]), max_size=30)
+from larchhaven.net.control.endpoint_watch import Directory, HostEntry, HostList, read_address
+from larchhaven.net.core.buffer_pool import SIZE, Buffer, Pool
+from larchhaven.net.core.slot_table import Slots
+from larchhaven.net.text_protocol import codec as lines
+from larchhaven.routing import interface as api
+
+PIECES = st.lists(
+    st.sampled_from([b"a", b"\r", b"\n", b"\r\n", b"BYE x0=1", b"\x00\xff" * 200]), max_size=30
+)
 
 
 @pytest.mark.parametrize(
@@ -72,7 +74,8 @@
 
 
 @pytest.mark.parametrize(
-    ("line", "load"), [(b"LOAD 120000", 0.12), (b"LOAD", None), (b"LOAD x", None), (b"LOADS 1", None)]
+    ("line", "load"),
+    [(b"LOAD 120000", 0.12), (b"LOAD", None), (b"LOAD x", None), (b"LOADS 1", None)],
 )
 def test_load_is_told_in_microseconds_a_second(line: bytes, load: float | None) -> None:
     assert lines.read_load(line) == load
@@ -86,35 +89,44 @@
 def test_stale_token_reaches_nobody() -> None:
     table: Slots[str] = Slots()
     first = table.add("first")
-    assert table.remove(first) == "first" and table.remove(first) is None
+    assert table.remove(first) == "first"
+    assert table.remove(first) is None
     second = table.add("second")
-    assert second != first and table.get(first) is None and table.get(second) == "second"
-    assert len(table) == 1 and table.get(1 << 60) is None
+    assert second != first
+    assert table.get(first) is None
+    assert table.get(second) == "second"
+    assert len(table) == 1
+    assert table.get(1 << 60) is None
 
 
 def test_buffer_that_comes_back_wakes_all_that_wait() -> None:
     """Guards against a stream that waits for ever behind one that was closed while it waited."""
     pool = Pool(Account({**dict.fromkeys(Purpose, 0), Purpose.BUFFERS: SIZE + BUFFER_EXTRA}))
     only = pool.take()
-    assert isinstance(only, Buffer) and pool.take() is None
+    assert isinstance(only, Buffer)
+    assert pool.take() is None
     woken: list[int] = []
     pool.wait(lambda: woken.append(1))
     pool.wait(lambda: woken.append(2))
     pool.give(only)
-    assert woken == [1, 2] and pool.take() is only
+    assert woken == [1, 2]
+    assert pool.take() is only
 
 
 def test_directory_keeps_since_when_an_instance_is_to_be_left_alone() -> None:
     directory = Directory(["a"], ["k"])
     entry = HostEntry("s0", "127.0.0.1:7000", "a", "k", born_ms=1)
     directory.take(api.ListKind.COMPLETE, HostList(1, [entry], True), 100)
-    assert directory.told_at("s0") is None and directory.address("s0") == ("127.0.0.1", 7000)
+    assert directory.told_at("s0") is None
+    assert directory.address("s0") == ("127.0.0.1", 7000)
     entry.health = "draining"
     for now in (200, 300):
         told = directory.take(api.ListKind.CHANGES, HostList(2, [entry]), now)
-        assert directory.told_at("s0") == 200 and told.entries[0].state is api.State.DRAINING
+        assert directory.told_at("s0") == 200
+        assert told.entries[0].state is api.State.DRAINING
     directory.take(api.ListKind.COMPLETE, HostList(3, [], True), 400)
-    assert directory.told_at("s0") == 200 and directory.address("s0") is None
+    assert directory.told_at("s0") == 200
+    assert directory.address("s0") is None
     entry.health = "what is this"
     assert directory.take(api.ListKind.CHANGES, HostList(4, [entry]), 500).entries[0].state is (
         api.State.DRAINING
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from larchhaven.net.management import CALL_MOST, CALLERS_MOST
+from larchhaven.net.admin.http_api import CALL_MOST, CALLERS_MOST
 from tests.rig import PATIENCE, Proxy, Wire, answer_watch, host, opening
 
 PLAIN = "c=chat,d=2000,g=ab"
@@ -43,7 +43,9 @@
         ("POST", "/v1/proxy/stop", 404),
     ],
 )  # fmt: skip
-def test_each_call_has_its_path_and_method(proxy: Proxy, method: str, path: str, status: int) -> None:
+def test_each_call_has_its_path_and_method(
+    proxy: Proxy, method: str, path: str, status: int
+) -> None:
     assert proxy.call(method, path)[0] == status
 
 
@@ -61,7 +63,9 @@
         [b"POST /v1/proxy/drain HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n", b"x" * 1_000_000],
     ],
 )  # fmt: skip
-def test_bad_or_huge_call_is_turned_away_and_changes_nothing(proxy: Proxy, parts: list[bytes]) -> None:
+def test_bad_or_huge_call_is_turned_away_and_changes_nothing(
+    proxy: Proxy, parts: list[bytes]
+) -> None:
     assert call_raw(proxy, *parts)[:10] in (b"", b"HTTP/1.1 4")
     assert proxy.client("PING").line() == "PONG"
     assert proxy.call("GET", "/v1/readyz")[0] == 200
@@ -71,12 +75,15 @@
     text = b"GET /v1/readyz HTTP/1.1\r\nHost: x\r\nConnection: Upgrade\r\nUpgrade: h2c\r\n\r\n"
     parts = [text[i : i + 7] for i in range(0, len(text), 7)]
     got = call_raw(proxy, *parts, b"POST /v1/proxy/drain HTTP/1.1\r\n\r\n")
-    assert got.startswith(b"HTTP/1.1 200 ") and got.count(b"HTTP/1.1") == 1
+    assert got.startswith(b"HTTP/1.1 200 ")
+    assert got.count(b"HTTP/1.1") == 1
     assert proxy.client("PING").line() == "PONG"
 
 
 @pytest.mark.parametrize("proxy", [{"sockets": 128}], indirect=True)
-def test_callers_that_never_finish_and_silent_clients_keep_no_operator_waiting(proxy: Proxy) -> None:
+def test_callers_that_never_finish_and_silent_clients_keep_no_operator_waiting(
+    proxy: Proxy,
+) -> None:
     """Guards the answers at full load: descriptors and buffers of calls are not for clients to use up."""
     held = [proxy.client() for _ in range(200)]
     callers = [socket.create_connection(proxy.management) for _ in range(2 * CALLERS_MOST)]
@@ -96,7 +103,9 @@
     indirect=["proxy"],
     ids=["passes", "ends"],
 )
-def test_drained_proxy_turns_the_front_away_and_serves_stragglers(proxy: Proxy, moved: bool) -> None:
+def test_drained_proxy_turns_the_front_away_and_serves_stragglers(
+    proxy: Proxy, moved: bool
+) -> None:
     """Guards a drain: PING must say so at once, and what stands goes only where connections end here."""
     front = proxy.client("PING")
     assert front.line() == "PONG"
@@ -199,7 +208,9 @@
     told = {"seq": 8, "hosts": [host("s0", proxy.instances[0], "draining")]}
     answer_watch(discovery, json.dumps(told))
     assert wait_for(proxy, "members_unavailable", 1)["members"] == 2
-    answer_watch(discovery, json.dumps({"seq": 9, "hosts": [host("s0", proxy.instances[0], "gone")]}))
+    answer_watch(
+        discovery, json.dumps({"seq": 9, "hosts": [host("s0", proxy.instances[0], "gone")]})
+    )
     assert wait_for(proxy, "members", 1)["members_unavailable"] == 0
 
 
@@ -213,7 +224,9 @@
     return client, instance
 
 
-def test_suspended_instance_loses_its_clients_and_gets_nothing_until_it_is_called_back(proxy: Proxy) -> None:
+def test_suspended_instance_loses_its_clients_and_gets_nothing_until_it_is_called_back(
+    proxy: Proxy,
+) -> None:
     """Guards an exam server that is to be restarted: nothing new from the yes on, its clients elsewhere."""
     client, instance = stand(proxy, 0)
     stays = stand(proxy, 1)
@@ -243,9 +256,13 @@
 
 
 @pytest.mark.parametrize("proxy", [{"discovery": "subscribe"}], indirect=True)
-def test_instance_that_is_gone_may_be_suspended_and_stays_so_when_it_comes_back(proxy: Proxy) -> None:
+def test_instance_that_is_gone_may_be_suspended_and_stays_so_when_it_comes_back(
+    proxy: Proxy,
+) -> None:
     discovery = Wire(proxy.discovery.accept()[0])
-    answer_watch(discovery, json.dumps({"seq": 8, "hosts": [host("s0", proxy.instances[0], "gone")]}))
+    answer_watch(
+        discovery, json.dumps({"seq": 8, "hosts": [host("s0", proxy.instances[0], "gone")]})
+    )
     wait_for(proxy, "members", 1)
     assert proxy.call("POST", "/v1/exam-servers/s0/suspend")[0] == 200
     answer_watch(discovery, json.dumps({"seq": 9, "hosts": [host("s0", proxy.instances[0])]}))
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -50,7 +50,8 @@
         if number != me:
             hear(core, 0, Entry(number, stamp(10, State.ALIVE)), sender=(me + 1) % size)
     core.receive(0, message(core, (me + 1) % size, Kind.COMPARED, digests=core.digests()))
-    assert core.joined and core.view.sure
+    assert core.joined
+    assert core.view.sure
     return core
 
 
@@ -118,12 +119,14 @@
     accusation = Entry(0, stamp(core.incarnation, State.SUSPECT), 3)
     before = core.incarnation
     hear(core, 10, accusation)
-    assert core.incarnation == before + 1 and core.view.state(0) is State.ALIVE
+    assert core.incarnation == before + 1
+    assert core.view.state(0) is State.ALIVE
     assert core.health.doubt == 1  # whoever has to clear itself may be slow
     hear(core, 20, accusation)  # 200 stale ones change nothing any more
     assert core.incarnation == before + 1
     hear(core, 30, Entry(0, stamp(before + 7, State.DEAD), 3))  # an earlier life was buried
-    assert core.incarnation == before + 8 and core.view.state(0) is State.ALIVE
+    assert core.incarnation == before + 8
+    assert core.view.state(0) is State.ALIVE
     hear(core, 40, Entry(0, stamp(INCARNATION_MOST, State.DEAD), 3))  # nothing is above it
     assert core.incarnation == before + 8
 
@@ -140,15 +143,22 @@
     """A clock that is behind does no harm."""
     core = Membership(0, 0, 3, About("n0"), 5, random.Random(1), TUNING)
     asked = core.turn(0)
-    assert sent(asked, Kind.COMPARE) and not core.joined and sent(asked)[0].stamp == 0
-    core.receive(10, message(core, 1, Kind.COMPARED, digests=(0,) * 2 * PARTS, entries=(Entry(0, 90 << 2),)))
-    assert core.joined and core.incarnation == 91
+    assert sent(asked, Kind.COMPARE)
+    assert not core.joined
+    assert sent(asked)[0].stamp == 0
+    core.receive(
+        10, message(core, 1, Kind.COMPARED, digests=(0,) * 2 * PARTS, entries=(Entry(0, 90 << 2),))
+    )
+    assert core.joined
+    assert core.incarnation == 91
 
 
 def test_newcomer_that_nobody_answers_takes_its_own() -> None:
     core = Membership(0, 0, 3, About("n0"), 5, random.Random(1), TUNING)
     turn_until(core, TUNING.join, lambda ping: False)
-    assert core.joined and core.incarnation == 5 and not core.view.sure
+    assert core.joined
+    assert core.incarnation == 5
+    assert not core.view.sure
 
 
 def test_silent_member_is_accused_and_then_dead() -> None:
@@ -172,20 +182,29 @@
     for accuser in (2, 3, 4):
         assert suspicion.confirm(accuser)
         times.append(suspicion.due(1))
-    assert times == sorted(times, reverse=True) and times[-1] == TUNING.suspicion
+    assert times == sorted(times, reverse=True)
+    assert times[-1] == TUNING.suspicion
     assert suspicion.due(9) == alone
-    assert Suspicion.begin(0, 1, 2, TUNING).due(1) == TUNING.suspicion  # of two nobody else can confirm
+    assert (
+        Suspicion.begin(0, 1, 2, TUNING).due(1) == TUNING.suspicion
+    )  # of two nobody else can confirm
 
 
 def test_accuser_asks_again_until_it_decides() -> None:
     """One acknowledgement from the accused, with a later incarnation, is enough."""
     core = member()
     hear(core, 10, Entry(2, stamp(10, State.SUSPECT), 0), sender=3)
-    asked = [p for p in sent(turn_until(core, 2 * S, lambda ping: ping.target != 2), Kind.PING) if p.to == 2]
-    assert len(asked) >= 3 and all(p.entries[0].number == 2 for p in asked)  # told that it is accused
+    asked = [
+        p
+        for p in sent(turn_until(core, 2 * S, lambda ping: ping.target != 2), Kind.PING)
+        if p.to == 2
+    ]
+    assert len(asked) >= 3
+    assert all(p.entries[0].number == 2 for p in asked)
     answer = Message(Kind.ACK, 2, 0, stamp(11, State.ALIVE), seq=asked[-1].seq, target=2)
     core.receive(2 * S, answer)
-    assert core.view.state(2) is State.ALIVE and not core._suspicions
+    assert core.view.state(2) is State.ALIVE
+    assert not core._suspicions
 
 
 def test_slow_member_doubts_itself_and_takes_longer() -> None:
@@ -205,7 +224,8 @@
     hear(core, 10, Entry(2, stamp(10, State.SUSPECT), 0), sender=3)
     actions = hear(core, 12 * S, *(Entry(n, stamp(10, State.SUSPECT), 1) for n in (3, 4, 5)))
     actions += core.turn(12 * S)
-    assert core.counts["gaps"] == 1 and not core.view.sure
+    assert core.counts["gaps"] == 1
+    assert not core.view.sure
     assert not [c for c in changed(actions) if c.now.state is State.DEAD]
     assert sent(actions, Kind.COMPARE)  # it asks at once
     core.receive(12 * S + 10, message(core, 1, Kind.COMPARED, digests=core.digests()))
@@ -216,7 +236,8 @@
     core = member(size=2)
     actions = core.turn(20 * S)
     actions += turn_until(core, 60 * S, lambda ping: False)
-    assert core.view.state(1) is State.DEAD and not core.view.sure
+    assert core.view.state(1) is State.DEAD
+    assert not core.view.sure
 
 
 def test_short_delay_only_voids_the_probe_under_way() -> None:
@@ -224,7 +245,9 @@
     while core._probe is None:
         core.turn(core.due)
     core.turn(core.due + TUNING.late)
-    assert core.counts["late turns"] == 1 and core.counts["gaps"] == 0 and core.view.sure
+    assert core.counts["late turns"] == 1
+    assert core.counts["gaps"] == 0
+    assert core.view.sure
 
 
 def test_accusation_of_who_left_reports_the_return_first() -> None:
@@ -245,24 +268,33 @@
     told = Told(60, 10, About("stranger"))
     core.receive(20, message(core, 1, Kind.NEWS, told=(told,)))
     core.receive(30, message(core, 1, Kind.ASK, seq=1, target=60))
-    assert core.counts["numbers beyond the table"] == 2 and core.view.get(60) is None
+    assert core.counts["numbers beyond the table"] == 2
+    assert core.view.get(60) is None
 
 
 def test_two_lives_with_one_incarnation_are_told_apart() -> None:
     """The same name started twice within a second: the one that runs says so with a later incarnation."""
     core = member()
     own = core.view.members[0]
-    core.receive(10, message(core, 1, Kind.NEWS, told=(Told(0, own.about_at, About("n0", started=9)),)))
-    assert core.incarnation == own.incarnation + 1 and core.view.members[0].about == own.about
+    core.receive(
+        10, message(core, 1, Kind.NEWS, told=(Told(0, own.about_at, About("n0", started=9)),))
+    )
+    assert core.incarnation == own.incarnation + 1
+    assert core.view.members[0].about == own.about
 
 
 def test_account_that_is_larger_wins_at_one_incarnation() -> None:
     one, other = member(), member()
-    told = [Told(2, 10, About("a", started=1)), Told(2, 10, About("b", started=2)), Told(2, 9, About("c"))]
+    told = [
+        Told(2, 10, About("a", started=1)),
+        Told(2, 10, About("b", started=2)),
+        Told(2, 9, About("c")),
+    ]
     for core, order in ((one, told), (other, told[::-1])):
         for each in order:
             core.receive(10, message(core, 1, Kind.NEWS, told=(each,)))
-    assert one.view.same_as(other.view) and one.view.members[2].about == About("b", started=2)
+    assert one.view.same_as(other.view)
+    assert one.view.members[2].about == About("b", started=2)
 
 
 def test_messages_begun_are_bounded_whatever_is_asked() -> None:
@@ -272,7 +304,8 @@
         core.receive(S, message(core, 1, Kind.ASK, seq=i, target=2))
         core.receive(S, message(core, 1, Kind.COMPARE, digests=(0,) * 2 * PARTS))
     burst = core.counts["sent"] - before
-    assert burst <= TUNING.burst + 50 and core.counts["held back"] > 300
+    assert burst <= TUNING.burst + 50
+    assert core.counts["held back"] > 300
     for now in range(S, 11 * S, 100_000):
         core.turn(now)
     assert core.counts["sent"] - before <= burst + 10 * TUNING.rate + 1
@@ -280,7 +313,9 @@
 
 @pytest.mark.parametrize("size", [1, 2, 3])
 def test_smallest_tiers(size: int) -> None:
-    cores = [Membership(0, n, size, About(f"n{n}"), 5, random.Random(n), TUNING) for n in range(size)]
+    cores = [
+        Membership(0, n, size, About(f"n{n}"), 5, random.Random(n), TUNING) for n in range(size)
+    ]
     now = 0
     while now < 4 * S:
         now = max(now, min(core.due for core in cores))
@@ -288,7 +323,9 @@
         while flying:
             each = flying.pop(0)
             flying += sent(cores[each.to].receive(now, each))
-    assert all(core.joined and core.view.sure and len(core.view.here_numbers()) == size for core in cores)
+    assert all(
+        core.joined and core.view.sure and len(core.view.here_numbers()) == size for core in cores
+    )
     assert all(core.view.same_as(cores[0].view) for core in cores)
 
 
@@ -324,7 +361,8 @@
 @given(MESSAGES, st.binary(max_size=16), st.integers(0, 255 * 8))
 def test_message_is_read_as_written_and_damage_is_seen(sent: Message, key: bytes, bit: int) -> None:
     data = encode(sent, key)
-    assert len(data) <= LONGEST and decode(data, (b"other", key)) == sent
+    assert len(data) <= LONGEST
+    assert decode(data, (b"other", key)) == sent
     damaged = bytearray(data)
     damaged[bit // 8 % len(data)] ^= 1 << bit % 8
     with pytest.raises(UnreadableError):
@@ -339,7 +377,8 @@
 @example(b"M" + bytes(255))
 def test_any_bytes_are_refused_with_a_reason(data: bytes) -> None:
     gate = Gate(0, 8, 1)
-    assert gate.read(data) is None and sum(gate.refused.values()) == 1
+    assert gate.read(data) is None
+    assert sum(gate.refused.values()) == 1
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
@@ -363,7 +402,9 @@
     assert len(core.about.name.encode()) <= NAME_MOST
     for number in range(1, 200):
         told = Told(number, 10, About("x" * 60, 255, 9, 1 << 31, Can(7)))
-        core.receive(0, message(core, 1, Kind.NEWS, entries=(Entry(number, stamp(10, State.ALIVE), 3),)))
+        core.receive(
+            0, message(core, 1, Kind.NEWS, entries=(Entry(number, stamp(10, State.ALIVE), 3),))
+        )
         core.receive(0, message(core, 1, Kind.NEWS, told=(told,)))
     core.receive(0, message(core, 1, Kind.COMPARED, digests=(1,) * 2 * PARTS))
     actions: list[Action] = []
@@ -371,15 +412,22 @@
         actions += core.turn(core.due)
         actions += core.receive(core.due, message(core, 1, Kind.COMPARE, digests=(0,) * 2 * PARTS))
     sizes = [len(encode(each, b"k" * 32)) for each in sent(actions)]
-    assert max(sizes) <= LONGEST and max(len(each.entries) for each in sent(actions)) == ENTRIES_MOST
+    assert max(sizes) <= LONGEST
+    assert max(len(each.entries) for each in sent(actions)) == ENTRIES_MOST
 
 
 def test_gate_refuses_replays_and_takes_a_restarted_process() -> None:
     sender, gate = Gate(1, 4, 7), Gate(0, 4, 9)
-    made = [sender.write(Message(Kind.PING, 1, 0, stamp(5, State.ALIVE))) for _ in range(WINDOW + 3)]
-    assert gate.read(made[2]) and gate.read(made[0])  # one overtook the other
-    assert gate.read(made[2]) is None and gate.read(made[0]) is None
-    assert gate.read(made[-1]) and gate.read(made[1]) is None and gate.refused["replayed"] == 3
+    made = [
+        sender.write(Message(Kind.PING, 1, 0, stamp(5, State.ALIVE))) for _ in range(WINDOW + 3)
+    ]
+    assert gate.read(made[2])
+    assert gate.read(made[0])
+    assert gate.read(made[2]) is None
+    assert gate.read(made[0]) is None
+    assert gate.read(made[-1])
+    assert gate.read(made[1]) is None
+    assert gate.refused["replayed"] == 3
     again = Gate(1, 4, 8)
     assert gate.read(again.write(Message(Kind.COMPARE, 1, 0, 0, digests=(0,) * 2 * PARTS)))
     assert gate.read(again.write(Message(Kind.PING, 1, 0, stamp(6, State.ALIVE))))
@@ -413,15 +461,22 @@
 
 
 @settings(max_examples=100, deadline=None, derandomize=True)
-@given(st.binary(min_size=1, max_size=8), st.sets(st.integers(0, 63), min_size=4, max_size=40), st.data())
+@given(
+    st.binary(min_size=1, max_size=8),
+    st.sets(st.integers(0, 63), min_size=4, max_size=40),
+    st.data(),
+)
 def test_death_moves_only_what_the_dead_one_stood_for(
     key: bytes, numbers: set[int], data: st.DataObject
 ) -> None:
     whole = view(dict.fromkeys(numbers, State.ALIVE), zones=1)
     chosen = neighbours(whole, key, 3)
-    assert len(set(chosen)) == 3 and set(chosen) <= numbers
+    assert len(set(chosen)) == 3
+    assert set(chosen) <= numbers
     dead = data.draw(st.sampled_from(sorted(numbers)))
-    after = neighbours(view({n: State.DEAD if n == dead else State.ALIVE for n in numbers}, zones=1), key, 3)
+    after = neighbours(
+        view({n: State.DEAD if n == dead else State.ALIVE for n in numbers}, zones=1), key, 3
+    )
     assert dead not in after
     assert set(chosen) - {dead} <= set(after)
 
@@ -430,8 +485,13 @@
     living = view(dict.fromkeys(range(30), State.ALIVE))
     for key in range(40):
         chosen = neighbours(living, bytes([key]), 4, besides=[0])
-        assert {n % 3 for n in chosen[:3]} == {0, 1, 2} and len(set(chosen)) == 4 and 0 not in chosen
-    assert neighbours(view({1: State.ALIVE, 2: State.LEFT, 4: State.SUSPECT}), b"k", 5) in ([1, 4], [4, 1])
+        assert {n % 3 for n in chosen[:3]} == {0, 1, 2}
+        assert len(set(chosen)) == 4
+        assert 0 not in chosen
+    assert neighbours(view({1: State.ALIVE, 2: State.LEFT, 4: State.SUSPECT}), b"k", 5) in (
+        [1, 4],
+        [4, 1],
+    )
 
 
 def test_part_of_a_cut_by_who_agreed_last() -> None:
@@ -441,7 +501,12 @@
     assert parts.look(SETTLED_US, view(whole)).part is Part.WHOLE
     larger = {**whole, 0: State.DEAD, 3: State.DEAD}
     standing = parts.look(SETTLED_US + 1, view(larger))
-    assert (standing.part, standing.here, standing.agreed, standing.zones_lost) == (Part.MAJORITY, 4, 6, (0,))
+    assert (standing.part, standing.here, standing.agreed, standing.zones_lost) == (
+        Part.MAJORITY,
+        4,
+        6,
+        (0,),
+    )
     smaller = {n: State.ALIVE if n in (0, 3) else State.DEAD for n in range(6)}
     for late in range(1, 20):  # however long it lasts
         standing = parts.look(SETTLED_US * (1 + late), view(smaller))
@@ -461,7 +526,9 @@
     states = {0: State.ALIVE, 1: State.ALIVE, 2: State.SUSPECT, 3: State.SUSPECT}
     assert parts.look(0, view(states)).confidence == 0.5
     assert parts.look(0, view(states, sure=False)).confidence == 0.0
-    assert parts.look(9 * SETTLED_US, view(states)).part is Part.UNKNOWN  # nothing is agreed with suspects
+    assert (
+        parts.look(9 * SETTLED_US, view(states)).part is Part.UNKNOWN
+    )  # nothing is agreed with suspects
 
 
 def test_only_a_sure_majority_says_that_others_are_gone() -> None:
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -74,14 +74,17 @@
 
 
 TestAccount = AccountMachine.TestCase
-TestAccount.settings = settings(max_examples=60, stateful_step_count=30, deadline=None, derandomize=True)
+TestAccount.settings = settings(
+    max_examples=60, stateful_step_count=30, deadline=None, derandomize=True
+)
 
 
 def test_account_counts_a_give_back_of_what_was_never_taken() -> None:
     account = Account.unbounded()
     account.must(Purpose.BUFFERS, 10)
     account.give(Purpose.BUFFERS, 11)
-    assert account.over == 1 and account.used(Purpose.BUFFERS) == 0
+    assert account.over == 1
+    assert account.used(Purpose.BUFFERS) == 0
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
@@ -98,7 +101,8 @@
     try:
         made = plan.make(grant * MB, start * MB, sockets, caps)
     except plan.PlanError as error:
-        assert wanted and "MB" in str(error)
+        assert wanted
+        assert "MB" in str(error)
         return
     assert set(made.caps) == set(Purpose)
     assert all(made.caps[purpose] >= least for purpose, least in plan.LEAST.items())
@@ -127,7 +131,8 @@
     assert admission.may_take(0, [nearly_full]) == 0
     assert admission.may_take(1, [nearly_full]) is None
     assert admission.may_take(2, [Room(1_000, 0, 10), Room(10, 1, 10)]) == 1
-    assert admission.may_take(-1, [nearly_full]) == 0 and admission.may_take(9, [nearly_full]) == 0
+    assert admission.may_take(-1, [nearly_full]) == 0
+    assert admission.may_take(9, [nearly_full]) == 0
     assert Admission([]).may_take(0, [Room(10, 0, 1)]) is None
 
 
@@ -159,7 +164,8 @@
 def test_growth_that_no_purpose_explains_is_told_at_each_further_line_only() -> None:
     reality = Reality(100 * MB)
     reality.begin(20 * MB, MB)
-    assert not reality.look(1, 24 * MB, 5 * MB).tell and reality.last.unaccounted == 0
+    assert not reality.look(1, 24 * MB, 5 * MB).tell
+    assert reality.last.unaccounted == 0
     told = [reality.look(at, (24 + at) * MB, 5 * MB).tell for at in range(1, 20)]
     assert [at for at, tell in enumerate(told, 1) if tell] == [6, 12, 18]
     assert reality.peak == 43 * MB
@@ -170,4 +176,5 @@
     reality.begin(22 * MB, 0)
     assert not reality.look(0, 22 * MB + MB // 2, 0).trim
     trims = [reality.look(at, 25 * MB, 0).trim for at in (1, 2, TRIM_US, TRIM_US + 1, TRIM_US + 2)]
-    assert trims == [True, False, False, True, False] and reality.trims == 2
+    assert trims == [True, False, False, True, False]
+    assert reality.trims == 2
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -16,7 +16,14 @@
 from hypothesis.stateful import RuleBasedStateMachine, precondition, rule
 
 from larchhaven.membership.core import Membership
-from larchhaven.membership.member import INCARNATION_MOST, About, State, incarnation_of, stamp, state_of
+from larchhaven.membership.member import (
+    INCARNATION_MOST,
+    About,
+    State,
+    incarnation_of,
+    stamp,
+    state_of,
+)
 from larchhaven.membership.messages import NOBODY, Entry, Kind, Message, Told
 from larchhaven.membership.suspicion import Tuning
 from larchhaven.model import search
@@ -62,8 +69,13 @@
     one, again, other = (Streams(7).of(purpose) for purpose in ("a", "a", "b"))
     drawn = [one.random() for _ in range(600)]
     assert drawn == [again.random() for _ in range(600)]
-    assert drawn[:5] != [other.random() for _ in range(5)] != [Streams(8).of("b").random() for _ in range(5)]
-    assert 0.4 < sum(drawn) / 600 < 0.6 and all(0 <= number < 1 for number in drawn)
+    assert (
+        drawn[:5]
+        != [other.random() for _ in range(5)]
+        != [Streams(8).of("b").random() for _ in range(5)]
+    )
+    assert 0.4 < sum(drawn) / 600 < 0.6
+    assert all(0 <= number < 1 for number in drawn)
 
 
 def test_network_loses_what_it_says_alone_and_in_bursts() -> None:
@@ -76,14 +88,17 @@
         assert (both > 0.85) if burst else (0.25 < both < 0.35)
     network = Network(Weather(doubled=1.0), Streams(1).of("n"))
     cut = network.cut({1}, {2})
-    assert not network.arrivals(0, 1, 2) and len(network.arrivals(0, 2, 1)) == 2  # one way
+    assert not network.arrivals(0, 1, 2)
+    assert len(network.arrivals(0, 2, 1)) == 2
     network.heal(cut)
     assert network.arrivals(0, 1, 2)
 
 
 def test_mistakes_in_an_experiment_are_complained_of() -> None:
     assert load("members: 0")[1] == ["1:10: 'members' is 0: write 1 to 2000"]
-    assert load('members: 4 faults { kill: true who { numbers: "2-9" } } faults { at_seconds: 1 }')[1] == [
+    assert load('members: 4 faults { kill: true who { numbers: "2-9" } } faults { at_seconds: 1 }')[
+        1
+    ] == [
         "faults[0]: there is no member 9: the last is 3",
         "faults[1]: say what happens: kill, pause, leave, slow_ms or cut",
     ]
@@ -99,11 +114,15 @@
 
 
 def agrees_within(seconds: float) -> Callable[[Result], bool]:
-    return lambda r: bool(r.deaths) and all(d.agreed is not None and d.agreed <= seconds for d in r.deaths)
+    return lambda r: (
+        bool(r.deaths) and all(d.agreed is not None and d.agreed <= seconds for d in r.deaths)
+    )
 
 
 def equal_within(seconds: float) -> Callable[[Result], bool]:
-    return lambda r: all(e.seconds is not None and e.seconds <= seconds for e in r.equal) and r.equal_at_end
+    return lambda r: (
+        all(e.seconds is not None and e.seconds <= seconds for e in r.equal) and r.equal_at_end
+    )
 
 
 HARD: dict[str, tuple[str, Callable[[Result], bool]]] = {
@@ -125,36 +144,36 @@
         'seconds: 90 faults { at_seconds: 8 for_seconds: 40 who { numbers: "2" } slow_ms: 700 }',
         lambda r: all(dead == 2 for _, dead, _ in r.false_by) and equal_within(10)(r)),
     "a pause of two seconds": (
-        'seconds: 40 faults { at_seconds: 8 for_seconds: 2 who { numbers: "2" } pause: true'
-        " every_seconds: 6 }",
+        ('seconds: 40 faults { at_seconds: 8 for_seconds: 2 who { numbers: "2" } pause: true'
+        " every_seconds: 6 }"),
         lambda r: r.false_deaths == 0 and r.counts["gaps"] >= 5),
     "a pause of twenty seconds": (
         'seconds: 60 faults { at_seconds: 8 for_seconds: 20 who { numbers: "2" } pause: true }',
         # It is buried, once, and by nobody but itself is anybody else.
         lambda r: [dead for _, dead, _ in r.false_by] == [2] and equal_within(8)(r)),
     "flapping each second": (
-        'seconds: 60 faults { at_seconds: 8 for_seconds: 0.5 who { numbers: "2" } kill: true'
-        " every_seconds: 1 }",
+        ('seconds: 60 faults { at_seconds: 8 for_seconds: 0.5 who { numbers: "2" } kill: true'
+        " every_seconds: 1 }"),
         lambda r: r.messages_most < 25 and not [d for _, d, _ in r.false_by if d != 2]),
     "the same name back with a lower clock": (
-        'seconds: 50 faults { at_seconds: 20 for_seconds: 0.6 who { numbers: "2" } kill: true'
-        ' clock_seconds: -5000 }', equal_within(6)),
+        ('seconds: 50 faults { at_seconds: 20 for_seconds: 0.6 who { numbers: "2" } kill: true'
+        ' clock_seconds: -5000 }'), equal_within(6)),
     "a planned stop": (
         'seconds: 20 faults { at_seconds: 8 who { numbers: "2" } leave: true }',
         lambda r: agrees_within(1)(r) and r.accusations == 0),
     "a left that was lost": (
-        'seconds: 40 faults { at_seconds: 7.9 for_seconds: 5 who { numbers: "2" } cut {} }'
-        ' faults { at_seconds: 8 who { numbers: "2" } leave: true }', agrees_within(12)),
+        ('seconds: 40 faults { at_seconds: 7.9 for_seconds: 5 who { numbers: "2" } cut {} }'
+        ' faults { at_seconds: 8 who { numbers: "2" } leave: true }'), agrees_within(12)),
     "30% loss in bursts": (
-        'seconds: 60 links { loss_percent: 30 burst_ms: 200 }'
-        ' faults { at_seconds: 20 who { numbers: "2" } kill: true }', agrees_within(15)),
+        ('seconds: 60 links { loss_percent: 30 burst_ms: 200 }'
+        ' faults { at_seconds: 20 who { numbers: "2" } kill: true }'), agrees_within(15)),
     "every message twice and late": (
-        'seconds: 40 links { doubled_percent: 100 doubled_late_ms: 3000 }'
-        ' faults { at_seconds: 8 who { numbers: "2" } kill: true }',
+        ('seconds: 40 links { doubled_percent: 100 doubled_late_ms: 3000 }'
+        ' faults { at_seconds: 8 who { numbers: "2" } kill: true }'),
         lambda r: agrees_within(6)(r) and r.false_deaths == 0),
     "clocks a day apart": (
-        'seconds: 30 clocks_apart_seconds: 86400 faults { at_seconds: 8 for_seconds: 5 who { numbers: "2" }'
-        " kill: true }", equal_within(6)),
+        ('seconds: 30 clocks_apart_seconds: 86400 faults { at_seconds: 8 for_seconds: 5 who { numbers: "2" }'
+        " kill: true }"), equal_within(6)),
 }  # fmt: skip
 
 
@@ -172,7 +191,8 @@
 def test_search_finds_nothing(name: str) -> None:
     report = search.search(name, depth=5, states=600)
     assert not report.broken, (report.broken, report.path)
-    assert report.states >= 40 and report.wholes >= 1
+    assert report.states >= 40
+    assert report.wholes >= 1
 
 
 class DoesNotClear(Membership):
@@ -199,7 +219,11 @@
 
     def _take(self, entry: Entry) -> None:
         known = self.view.get(entry.number)
-        if known is not None and known.state is State.LEFT and state_of(entry.stamp) is State.SUSPECT:
+        if (
+            known is not None
+            and known.state is State.LEFT
+            and state_of(entry.stamp) is State.SUSPECT
+        ):
             entry = replace(entry, stamp=max(entry.stamp, known.stamp))
             self._judge(entry.number, entry.stamp & ~3 | State.SUSPECT, entry.by, known)
             return
@@ -213,7 +237,9 @@
         known = self.view.get(number)
         if known is not None:
             self._put(
-                replace(known, stamp=stamp(min(known.incarnation + 5, INCARNATION_MOST), State.SUSPECT))
+                replace(
+                    known, stamp=stamp(min(known.incarnation + 5, INCARNATION_MOST), State.SUSPECT)
+                )
             )
         super()._bury(number)
 
@@ -261,7 +287,9 @@
     def _spread(self, entry: Entry) -> None:
         by = self.me if entry.by != NOBODY else NOBODY
         super()._spread(
-            replace(entry, by=by, stamp=entry.stamp + (1 << 2) * (state_of(entry.stamp) is State.DEAD))
+            replace(
+                entry, by=by, stamp=entry.stamp + (1 << 2) * (state_of(entry.stamp) is State.DEAD)
+            )
         )
 
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -17,11 +17,22 @@
 
 import pytest
 
-from larchhaven import interface as api
-from larchhaven.net.broker import after_sleep
-from larchhaven.net.config import decode
-from larchhaven.sharing.lookout import REPORTS
-from tests.rig import PATIENCE, ROOT, SETTINGS, Proxy, Wire, answer_watch, dial, host, listener, opening
+from larchhaven.gossip.shared_health_checks import REPORTS
+from larchhaven.net.configuration import decode
+from larchhaven.net.control.dispatcher import after_sleep
+from larchhaven.routing import interface as api
+from tests.rig import (
+    PATIENCE,
+    ROOT,
+    SETTINGS,
+    Proxy,
+    Wire,
+    answer_watch,
+    dial,
+    host,
+    listener,
+    opening,
+)
 
 PLAIN = "c=chat,d=2000,g=ab"
 
@@ -42,8 +53,13 @@
     head, _, fields = instance.line().rpartition(" ")
     assert head == first.rpartition(" ")[0]
     pairs = [pair.split("=") for pair in fields.split(",")]
-    assert [pair for pair in pairs if pair[0] != "d"] == [["c", "chat"], ["g", "ab"], ["x-new", "5"]]
-    assert pairs[1][0] == "d" and 0 < int(pairs[1][1]) <= 2000
+    assert [pair for pair in pairs if pair[0] != "d"] == [
+        ["c", "chat"],
+        ["g", "ab"],
+        ["x-new", "5"],
+    ]
+    assert pairs[1][0] == "d"
+    assert 0 < int(pairs[1][1]) <= 2000
     instance.send("UP some receipt")
     assert client.line() == "UP some receipt"
     for number in range(3):
@@ -82,7 +98,9 @@
     assert got == (block * (sent // len(block) + 1))[:sent]
 
 
-@pytest.mark.parametrize("answer", ["BUSY", "BUSY x0=0.9", "ERR", "what", "end", "reset", "9" * 5000])
+@pytest.mark.parametrize(
+    "answer", ["BUSY", "BUSY x0=0.9", "ERR", "what", "end", "reset", "9" * 5000]
+)
 def test_failed_execution_is_ended_before_the_next_begins(proxy: Proxy, answer: str) -> None:
     client = proxy.client(opening(PLAIN))
     first = proxy.accept()
@@ -238,7 +256,9 @@
 
 @pytest.mark.parametrize("proxy", [{"instances": 2}], indirect=True)
 @pytest.mark.parametrize("number", [0, 1])
-def test_other_proxies_are_told_and_asked_where_a_connection_stands(proxy: Proxy, number: int) -> None:
+def test_other_proxies_are_told_and_asked_where_a_connection_stands(
+    proxy: Proxy, number: int
+) -> None:
     """Guards connections whose proxy ends: their packets come to one that did not place them."""
     assert proxy.peer.recv(300) == b"S"
     proxy.opened(f"{PLAIN},at=s{number}")
@@ -246,7 +266,9 @@
     unknown = opening(f"{PLAIN},mid=1").replace("7f3a9c21", "00000000")
     client = proxy.client(unknown)
     asked = proxy.peer.recv(300)
-    assert asked[:1] == b"Q" and told[:1] == b"H" and len(told) == len(asked) + 2
+    assert asked[:1] == b"Q"
+    assert told[:1] == b"H"
+    assert len(told) == len(asked) + 2
     proxy.peer.sendto(b"H" + asked[1:] + told[-2:], own)
     instance = proxy.accept(proxy.instances[number])
     assert "mid=1" in instance.line()
@@ -280,14 +302,18 @@
     for _ in clients:
         assert proxy.accept(proxy.instances[1]).line()
     whole = json.dumps({"seq": 9, "whole": True, "hosts": [host("s0", proxy.instances[0])]})
-    discovery.sock.sendall(f"HTTP/1.1 200 OK\r\nContent-Length: {len(whole)}\r\n\r\n{whole}".encode())
+    discovery.sock.sendall(
+        f"HTTP/1.1 200 OK\r\nContent-Length: {len(whole)}\r\n\r\n{whole}".encode()
+    )
     assert discovery.line().startswith("GET /v1/endpoints?from=9&hold_ms=")
     client = proxy.client(opening(f"{PLAIN},at=s0"))
     assert proxy.accept(proxy.instances[0]).line()
     client.close()
 
 
-PATIENT = [{**service, "aim": 40_000_000, "deadline": 60_000_000} for service in SETTINGS["services"]]
+PATIENT = [
+    {**service, "aim": 40_000_000, "deadline": 60_000_000} for service in SETTINGS["services"]
+]
 
 
 @pytest.mark.parametrize("proxy", [{"services": PATIENT}], indirect=True)
@@ -299,7 +325,9 @@
     late.send("PING")
     assert late.line() == "PONG"
     assert not select.select(proxy.instances, [], [], 0)[0]
-    told = json.dumps({"seq": 8, "whole": False, "hosts": [host("s0", proxy.instances[0], "draining")]})
+    told = json.dumps(
+        {"seq": 8, "whole": False, "hosts": [host("s0", proxy.instances[0], "draining")]}
+    )
     assert "hold_ms=0" in answer_watch(Wire(proxy.discovery.accept()[0]), told)
     for _ in clients:
         assert proxy.accept(proxy.instances[1]).line()
@@ -361,11 +389,14 @@
     proxy.reload(json.dumps(proxy.configuration))
     assert old.file.read().endswith(b"\r\n\r\n")  # the old watch ends with no more calls
     if first == "is not there":
-        assert "reloaded" in proxy.log_line() and "discovery failed" in proxy.log_line()
+        assert "reloaded" in proxy.log_line()
+        assert "discovery failed" in proxy.log_line()
         moved = socket.create_server(address)
         moved.settimeout(PATIENCE)
     if first == "fails":
-        assert answer_watch(Wire(moved.accept()[0]), "", "503 Busy").startswith("GET /v1/endpoints HTTP")
+        assert answer_watch(Wire(moved.accept()[0]), "", "503 Busy").startswith(
+            "GET /v1/endpoints HTTP"
+        )
     discovery = Wire(moved.accept()[0])
     hosts = [host("s0", proxy.instances[0], "draining"), host("s1", proxy.instances[1])]
     told = json.dumps({"seq": 3, "whole": True, "hosts": hosts})
@@ -396,8 +427,12 @@
     assert "configuration reloaded" in proxy.log_line()
 
 
-@pytest.mark.parametrize("proxy", [{"servers": 1, "policy_limits": {"probes": True}}], indirect=True)
-@pytest.mark.parametrize("answer", ["PONG x0=0.4,util=0.3,qps=9", "ERR", "BUSY", "NO", "\x00", "end"])
+@pytest.mark.parametrize(
+    "proxy", [{"servers": 1, "policy_limits": {"probes": True}}], indirect=True
+)
+@pytest.mark.parametrize(
+    "answer", ["PONG x0=0.4,util=0.3,qps=9", "ERR", "BUSY", "NO", "\x00", "end"]
+)
 def test_any_answer_to_a_probe_lets_the_command_go_on(proxy: Proxy, answer: str) -> None:
     client = proxy.client(opening(PLAIN))
     probe = proxy.accept()
@@ -445,7 +480,13 @@
     client, instance = proxy.opened("c=chat,d=1000,g=ab")
     client.send("still here")
     assert instance.line() == "still here"
-    assert held[0].file.read() in (b"", b"BUSY\r\n", b"ERR\r\n", b"PONG\r\nBUSY\r\n", b"PONG\r\nERR\r\n")
+    assert held[0].file.read() in (
+        b"",
+        b"BUSY\r\n",
+        b"ERR\r\n",
+        b"PONG\r\nBUSY\r\n",
+        b"PONG\r\nERR\r\n",
+    )
 
 
 def test_silent_client_is_told_and_ended(proxy: Proxy) -> None:
@@ -475,7 +516,8 @@
     third = proxy.client(first)
     assert [third.line(), third.line()] == ["ERR", ""]
     client.close()
-    assert instance.line().startswith("OPEN") and instance.line() == ""
+    assert instance.line().startswith("OPEN")
+    assert instance.line() == ""
     again = proxy.client(first)
     assert proxy.accept().line().startswith("OPEN")
     again.close()
@@ -501,10 +543,15 @@
     if path is not None:
         environment["EDGE_CONFIG"] = str(path)
     done = subprocess.run(
-        [sys.executable, "-m", "larchhaven"], cwd=ROOT, env=environment, capture_output=True, text=True
+        [sys.executable, "-m", "larchhaven"],
+        cwd=ROOT,
+        env=environment,
+        capture_output=True,
+        text=True,
     )
     assert done.returncode == 2
-    assert told in done.stderr and done.stderr.count("\n") == 1
+    assert told in done.stderr
+    assert done.stderr.count("\n") == 1
 
 
 @pytest.mark.parametrize(
@@ -532,7 +579,11 @@
 @pytest.mark.parametrize("parties", [["a", 3], [{"share": 0.5}], [{"name": "a"}, None], {}, None])
 def test_strange_lists_of_members_name_nobody_and_start(parties: Any) -> None:
     """Guards the start: an entry that was no object ended it, and a nameless member took strangers in."""
-    raw = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "settings": {**SETTINGS, "parties": parties}}
+    raw = {
+        "listen": "127.0.0.1:1",
+        "discovery": "127.0.0.1:1",
+        "settings": {**SETTINGS, "parties": parties},
+    }
     assert set(decode(json.dumps(raw).encode(), {}).tenants) <= {"a"}
 
 
@@ -549,12 +600,16 @@
     """
     watch = Wire(proxy.discovery.accept()[0])
     clients = [proxy.client() for _ in range(12)]
-    proxy.opened(f"{PLAIN},at=s1")  # after all of them: they are accepted, and their lines come in one turn
+    proxy.opened(
+        f"{PLAIN},at=s1"
+    )  # after all of them: they are accepted, and their lines come in one turn
     proxy.process.send_signal(signal.SIGSTOP)
     for client in clients:
         client.send(opening(PLAIN))
     hosts = [host("s0", proxy.instances[0], "draining"), host("s1", proxy.instances[1])]
-    hosts += [host(f"x{i}", proxy.instances[1], "gone") for i in range(300)]  # several turns to read
+    hosts += [
+        host(f"x{i}", proxy.instances[1], "gone") for i in range(300)
+    ]  # several turns to read
     answer_watch(watch, json.dumps({"seq": 9, "whole": False, "hosts": hosts}))
     grace_s = proxy.configuration["settings"]["contract"]["stop_sending_within"] / 1e6
     time.sleep(grace_s + 0.5)
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from larchhaven.lab import site
-from larchhaven.net.operator_file import read_compiled, read_now
+from larchhaven.net.admin.operator_file import read_compiled, read_now
 from larchhaven.operator.operator_pb2 import Operator
 from larchhaven.operator.read import read_file, read_text
 from larchhaven.operator.settings import Reading, Settings
@@ -24,7 +24,8 @@
 
 def test_file_in_the_repository_is_the_default() -> None:
     reading = read_file(str(DEFAULT))
-    assert reading.settings == Settings() and reading.complaints == []
+    assert reading.settings == Settings()
+    assert reading.complaints == []
     assert DEFAULT.read_text().splitlines()[reading.memory_at[0] - 1].startswith("memory")
 
 
@@ -37,8 +38,14 @@
     ("text", "complaints"),
     [
         ("memory { bufers: 3 }", ["1:10: 'memory' has no field 'bufers': write 'buffers'"]),
-        ("what: 1", ["1:1: the file has no field 'what': known are memory, admission, log, membership"]),
-        ("\n memory {\n  tables: 0.1\n }", ["3:11: 'memory.tables' is 0.1 MB: write 0.5 to 4096 MB"]),
+        (
+            "what: 1",
+            ["1:1: the file has no field 'what': known are memory, admission, log, membership"],
+        ),
+        (
+            "\n memory {\n  tables: 0.1\n }",
+            ["3:11: 'memory.tables' is 0.1 MB: write 0.5 to 4096 MB"],
+        ),
         ("log { quiet_seconds: -1 }", ["1:22: 'log.quiet_seconds' is -1 s: write 1 to 3600 s"]),
         ("log { quiet_seconds: nan }", ["1:22: 'log.quiet_seconds' is a finite number"]),
         ('log { quiet_seconds: "5" }', ["1:22: 'log.quiet_seconds' is a number, not '\"5\"'"]),
@@ -48,8 +55,10 @@
         (
             "membership {\n on: true }",
             [
-                "2:2: 'membership.on' needs 'membership.key': write 16 to 64 characters, the same at all"
-                " proxies"
+                (
+                    "2:2: 'membership.on' needs 'membership.key': write 16 to 64 characters, the same at all"
+                    " proxies"
+                )
             ],
         ),
         (
@@ -74,12 +83,16 @@
         ),
     ],
 )
-def test_each_complaint_has_its_place_and_says_what_to_write(text: str, complaints: list[str]) -> None:
+def test_each_complaint_has_its_place_and_says_what_to_write(
+    text: str, complaints: list[str]
+) -> None:
     found = [complaint.at("f").removeprefix("f:") for complaint in read_text(text).complaints]
     assert found == complaints
 
 
-WORDS = "memory admission log { } < > : ; , [ ] -1 0.5 nan 1e999 buffers form JSON 'x' \"y # \n \x00 é"
+WORDS = (
+    "memory admission log { } < > : ; , [ ] -1 0.5 nan 1e999 buffers form JSON 'x' \"y # \n \x00 é"
+)
 WHOLE = ("memory { buffers: 3 }", "log { form: TEXT }")
 PIECES = st.lists(st.sampled_from((*WORDS.split(" "), *WHOLE)), max_size=25)
 
@@ -95,9 +108,8 @@
     assert reading.complaints or reading.settings.quiet_us > 0
     assert all(complaint.text for complaint in reading.complaints)
     message, found = parse(text, Operator)
-    assert bool(found.complaints) == bool(reading.complaints) and (
-        found.complaints or message.IsInitialized()
-    )
+    assert bool(found.complaints) == bool(reading.complaints)
+    assert found.complaints or message.IsInitialized()
 
 
 def test_reading_process_tells_what_the_reader_finds(tmp_path: Path) -> None:
@@ -113,7 +125,8 @@
     compiled.write_bytes(msgspec.json.encode(Reading(Settings(quiet_us=7), [])))
     assert read_now(str(compiled)).settings.quiet_us == 7
     compiled.write_text('{"settings": 3}')
-    assert read_compiled(str(compiled)).complaints and read_compiled(str(tmp_path / "no.json")).complaints
+    assert read_compiled(str(compiled)).complaints
+    assert read_compiled(str(tmp_path / "no.json")).complaints
 
 
 @pytest.mark.parametrize(
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -4,11 +4,11 @@
 
 import socket
 
-from larchhaven.choice import ASKED, HELD, LEARNT, STARTED
-from larchhaven.net.loop import Loop
-from larchhaven.net.notices import Notices
-from larchhaven.net.peers import LONGEST, Peers
-from larchhaven.sharing.messages import is_readable
+from larchhaven.gossip.codec import is_readable
+from larchhaven.net.control.peer_socket import LONGEST, Peers
+from larchhaven.net.core.event_loop import Loop
+from larchhaven.net.core.rate_limited_log import Notices
+from larchhaven.routing.balancer import ASKED, HELD, LEARNT, STARTED
 
 
 def test_datagrams_from_unknown_addresses_and_long_ones_are_counted_and_not_heard() -> None:
@@ -49,6 +49,15 @@
 
 def test_messages_of_each_kind_are_judged_by_their_size() -> None:
     good = (STARTED, ASKED + b"abcd", HELD + b"abcdef", HELD + bytes(252), b"R", b"R123")
-    bad = (b"", STARTED + b"x", ASKED, ASKED + b"abcde", HELD, HELD + b"abcde", LEARNT + bytes(56), b"x")
+    bad = (
+        b"",
+        STARTED + b"x",
+        ASKED,
+        ASKED + b"abcde",
+        HELD,
+        HELD + b"abcde",
+        LEARNT + bytes(56),
+        b"x",
+    )
     assert all(is_readable(data) for data in good)
     assert not any(is_readable(data) for data in bad)
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -27,7 +27,8 @@
     with subprocess.Popen(
         command, stdin=nobody, stdout=pipe, stderr=pipe, text=True, cwd=ROOT / "example"
     ) as toys:
-        assert toys.stdout is not None and toys.stderr is not None
+        assert toys.stdout is not None
+        assert toys.stderr is not None
         said = toys.stdout.readline()
         toys.terminate()
         assert "nobody can type" in said, toys.stderr.read()
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -9,8 +9,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from larchhaven import interface as api
-from larchhaven.choice import Balancer
+from larchhaven.routing import interface as api
+from larchhaven.routing.balancer import Balancer
 from tests.world import PLAIN, SECOND, START, arrival, balancer, ended, fleet, of
 
 EFFECTS = (
@@ -18,7 +18,12 @@
     api.RequestClass(300_000, 1_200_000, effect=api.Effect.UNSAFE),
     api.RequestClass(300_000, 1_200_000, effect=api.Effect.KEYED, window_us=600_000),
     api.RequestClass(
-        300_000, 1_200_000, effect=api.Effect.KEYED, scope=api.Scope.CELL, window_us=600_000, stream=False
+        300_000,
+        1_200_000,
+        effect=api.Effect.KEYED,
+        scope=api.Scope.CELL,
+        window_us=600_000,
+        stream=False,
     ),
 )
 PROVEN = (api.Result.FULL, api.Result.UNREACHABLE, api.Result.NOT_SENT)
@@ -34,7 +39,9 @@
         self.now = START
         self.timers: list[tuple[int, int]] = []
         self.owed: dict[int, tuple[int, int]] = {}  # request: class, deadline
-        self.sends: dict[int, list[tuple[str, int, str]]] = {}  # request: server, time, out/proven/ran
+        self.sends: dict[
+            int, list[tuple[str, int, str]]
+        ] = {}  # request: server, time, out/proven/ran
         self.over: set[int] = set()
         self.told: dict[str, int] = {}
         self.cells = {f"s{i}": i // 2 for i in range(6)}
@@ -53,7 +60,12 @@
                 self._feed(self._end(request))
         for request, (_, deadline) in list(self.owed.items()):
             sends = self.sends.get(request)
-            if self.now >= deadline and sends and sends[-1][2] == "out" and request not in self.flowing:
+            if (
+                self.now >= deadline
+                and sends
+                and sends[-1][2] == "out"
+                and request not in self.flowing
+            ):
                 self._feed(self._end(request, api.Result.TIMEOUT))
         if self.rng.random() < 0.5:
             self.last_id += 1
@@ -68,7 +80,9 @@
         if self.rng.random() < 0.2:
             self._feed(self._list())
         late = [r for r, (_, deadline) in self.owed.items() if self.now > deadline + 210_000]
-        assert not [r for r in late if r not in self.flowing], "a request was left without an answer"
+        assert not [r for r in late if r not in self.flowing], (
+            "a request was left without an answer"
+        )
 
     def _feed(self, event: api.Event) -> None:
         for action in self.b.handle(self.now, [event]):
@@ -77,7 +91,9 @@
     def _list(self) -> api.FleetList:
         found = []
         for server, cell in self.cells.items():
-            state = self.rng.choice((api.State.READY, api.State.READY, api.State.DRAINING, api.State.GONE))
+            state = self.rng.choice(
+                (api.State.READY, api.State.READY, api.State.DRAINING, api.State.GONE)
+            )
             if state is api.State.READY:
                 self.told.pop(server, None)
             else:
@@ -124,9 +140,12 @@
     def _check_send(self, send: api.Send) -> None:
         assert send.request in self.owed, "sent after the final answer"
         told = self.told.get(send.server)
-        assert told is None or self.now <= told + PLAIN.drain_grace_us, "sent to a draining or gone server"
+        assert told is None or self.now <= told + PLAIN.drain_grace_us, (
+            "sent to a draining or gone server"
+        )
         cls, deadline = EFFECTS[self.owed[send.request][0]], self.owed[send.request][1]
-        assert self.now < deadline and 0 < send.timeout_us <= deadline - self.now
+        assert self.now < deadline
+        assert 0 < send.timeout_us <= deadline - self.now
         before = self.sends.setdefault(send.request, [])
         assert not before or before[-1][2] != "out", "two attempts out"
         assert len(before) < PLAIN.max_attempts
@@ -170,7 +189,10 @@
     for index in range(instances):
         b = Balancer(replace(PLAIN, instances=instances, index=index), index)
         b.handle(START, [api.FleetList(api.ListKind.COMPLETE, 1, listed)])
-        b.handle(START, [api.ProbeResult(f"s{i}", api.Result.OK, 1, api.Report(ratio=0.3)) for i in range(4)])
+        b.handle(
+            START,
+            [api.ProbeResult(f"s{i}", api.Result.OK, 1, api.Report(ratio=0.3)) for i in range(4)],
+        )
         rng, now, request = random.Random(index), START + 1, 0
         while (now := now + int(rng.expovariate(rate) * SECOND)) < START + PLAIN.cold_us:
             request += 1
@@ -197,7 +219,8 @@
     waits = []
     for _ in range(6):
         timers = of(api.SetTimer, b.handle(START, [api.FleetList(api.ListKind.FAILED)]))
-        assert len(timers) == 1 and timers[0].delay_us <= PLAIN.ask_within_us
+        assert len(timers) == 1
+        assert timers[0].delay_us <= PLAIN.ask_within_us
         waits.append(timers[0].delay_us)
         assert of(api.Watch, b.handle(START, [api.TimerFired(timers[0].token)])) == [api.Watch()]
     assert waits[-1] > 2 * waits[0]
@@ -209,7 +232,8 @@
     server = of(api.Send, b.handle(START, [arrival(1)]))[0].server
     actions = b.handle(START + 2000, [ended(1, 0, server, result)])
     tries = of(api.Send, actions)
-    assert len(tries) == 1 and tries[0].server != server
+    assert len(tries) == 1
+    assert tries[0].server != server
 
 
 def test_odd_but_legal_events_do_no_harm() -> None:
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -94,13 +94,15 @@
     assert proxy.process.wait(PATIENCE) == 0
 
 
-def test_signal_during_the_start_is_heeded_once_clients_may_have_come(proxy: Proxy, tmp_path: Path) -> None:
+def test_signal_during_the_start_is_heeded_once_clients_may_have_come(
+    proxy: Proxy, tmp_path: Path
+) -> None:
     """Guards those who connect as soon as the socket listens: the process died of the signal."""
     path = tmp_path / "second.json"
     path.write_text(json.dumps(proxy.configuration))
     program = (
         "import os, signal, sys\n"
-        "from larchhaven.net import node\n"
+        "from larchhaven.net import proxy as node\n"
         "class Early(node.Listener):\n"
         "    def __init__(self, *given):\n"
         "        super().__init__(*given)\n"
@@ -111,6 +113,11 @@
     )
     environment = {**os.environ, "EDGE_CONFIG": str(path), "TMPDIR": str(tmp_path)}
     done = subprocess.run(
-        [sys.executable, "-c", program], cwd=ROOT, env=environment, stderr=subprocess.PIPE, timeout=PATIENCE
+        [sys.executable, "-c", program],
+        cwd=ROOT,
+        env=environment,
+        stderr=subprocess.PIPE,
+        timeout=PATIENCE,
     )
-    assert done.returncode == 0 and b"told to stop" in done.stderr
+    assert done.returncode == 0
+    assert b"told to stop" in done.stderr
--- /dev/null
+++ b/tests/test_structure.py
@@ -0,0 +1,78 @@
+"""The shape the operators ask of the code: small modules, and decisions without I/O or a clock."""
+
+from __future__ import annotations
+
+import ast
+import re
+from collections.abc import Iterator
+from pathlib import Path
+
+import pytest
+
+ROOT = Path(__file__).parent.parent
+PACKAGE = ROOT / "larchhaven"
+
+# Packages and modules that are finished; ``docs/ROADMAP.md`` lists the others.
+FINISHED: tuple[str, ...] = ()
+PURE = ("routing", "gossip", "membership", "memory")
+
+MAX_LINE_LENGTH = 100
+MAX_FUNCTION_LINES = 40
+MAX_CLASS_LINES = 300
+MAX_CLASS_METHODS = 25
+
+IMPURE_MODULES = frozenset(
+    {"datetime", "io", "os", "pathlib", "select", "selectors", "signal", "socket", "subprocess"}
+    | {"threading", "time"}
+)
+
+
+def modules(name: str) -> list[Path]:
+    path = PACKAGE / name
+    return sorted(path.rglob("*.py")) if path.is_dir() else [path]
+
+
+def imported(tree: ast.Module) -> Iterator[str]:
+    for node in ast.walk(tree):
+        if isinstance(node, ast.Import):
+            yield from (alias.name for alias in node.names)
+        elif isinstance(node, ast.ImportFrom):
+            yield node.module or ""
+
+
+def oversized(path: Path) -> Iterator[str]:
+    """Yield what is larger than the operators' guides allow in one module."""
+    text = path.read_text(encoding="utf-8")
+    if max(map(len, text.splitlines()), default=0) > MAX_LINE_LENGTH:
+        yield "a line"
+    for node in ast.walk(ast.parse(text)):
+        lines = (getattr(node, "end_lineno", 0) or 0) - getattr(node, "lineno", 0) + 1
+        if isinstance(node, ast.FunctionDef) and lines > MAX_FUNCTION_LINES:
+            yield f"function {node.name}: {lines} lines"
+        elif isinstance(node, ast.ClassDef):
+            methods = sum(isinstance(member, ast.FunctionDef) for member in node.body)
+            if lines > MAX_CLASS_LINES or methods > MAX_CLASS_METHODS:
+                yield f"class {node.name}: {lines} lines, {methods} methods"
+
+
+@pytest.mark.parametrize("name", FINISHED)
+def test_finished_modules_keep_to_the_guides(name: str) -> None:
+    found = {
+        str(path.relative_to(ROOT)): large
+        for path in modules(name)
+        if (large := list(oversized(path)))
+    }
+    assert not found
+
+
+@pytest.mark.parametrize("name", PURE)
+def test_decisions_do_no_io_and_read_no_clock(name: str) -> None:
+    for path in modules(name):
+        names = set(imported(ast.parse(path.read_text(encoding="utf-8"))))
+        assert not {name for name in names if name.partition(".")[0] in IMPURE_MODULES}, path
+        assert not {name for name in names if name.startswith(("larchhaven.net", "larchhaven.sim"))}
+
+
+def test_deploy_file_names_the_package_with_the_decisions() -> None:
+    text = (ROOT / "deploy" / "balancer.toml").read_text(encoding="utf-8")
+    assert re.search(r'^policy = \["larchhaven/routing"\]$', text, re.MULTILINE)
--- a/tests/test_tier.py
+++ b/tests/test_tier.py
@@ -13,7 +13,7 @@
 from larchhaven.membership.gate import Gate
 from larchhaven.membership.member import State, stamp
 from larchhaven.membership.messages import LONGEST, Entry, Kind, Message
-from larchhaven.net.members import proof
+from larchhaven.net.control.membership_switch import proof
 
 # Generous, so that a busy machine gives the same verdict; nothing is expected to take a least time.
 SOON, LATER = 20.0, 40.0
@@ -78,7 +78,9 @@
         tier.network.forge(1, 0, data)
     tier.network.forge(2, 0, right)  # of another address than it says
     mine = next(m["incarnation"] for m in before["members"] if m["number"] == 1)
-    again = gate.write(Message(Kind.NEWS, 1, 0, stamp(mine, State.ALIVE)))  # the incarnation of a living one
+    again = gate.write(
+        Message(Kind.NEWS, 1, 0, stamp(mine, State.ALIVE))
+    )  # the incarnation of a living one
     tier.network.forge(1, 0, again)
 
     async def counted() -> str:
@@ -94,7 +96,10 @@
 
 async def roll_key(tier: Tier) -> None:
     """First all are given the new key as their second, then as their first: nobody is lost on the way."""
-    for text in (operator_text(KEY, "the next key of all"), operator_text("the next key of all", KEY)):
+    for text in (
+        operator_text(KEY, "the next key of all"),
+        operator_text("the next key of all", KEY),
+    ):
         for number in range(tier.size):
             tier.operator(number, text)
             await asyncio.sleep(0.05)  # some have it and some do not
@@ -124,7 +129,11 @@
 
     async def settled() -> str:
         views = [await tier.view(number) for number in range(tier.size)]
-        return "" if all(view["part"] == "whole" for view in views) else str([v["part"] for v in views])
+        return (
+            ""
+            if all(view["part"] == "whole" for view in views)
+            else str([v["part"] for v in views])
+        )
 
     assert (await tier.until("all agree who is here", settled, LATER)).holds
     ours = [n for n in range(tier.size) if n % tier.zones == 1]
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -15,10 +15,10 @@
 from larchhaven.membership.gate import Gate
 from larchhaven.membership.member import State, stamp
 from larchhaven.membership.messages import OURS, Kind, Message, decode
-from larchhaven.net.handover import VERSION, Handover, Hello, Known, Standing
-from larchhaven.net.loop import Loop
-from larchhaven.net.members import proof
-from larchhaven.net.notices import Notices
+from larchhaven.net.control.membership_switch import proof
+from larchhaven.net.core.event_loop import Loop
+from larchhaven.net.core.rate_limited_log import Notices
+from larchhaven.net.hot_restart import VERSION, Handover, Hello, Known, Standing
 from tests.rig import PATIENCE, Proxy, opening
 
 PLAIN = "c=chat,d=2000,g=ab"
@@ -48,14 +48,17 @@
     return int(proxy.call("GET", "/v1/metrics")[1]["pending"])
 
 
-@pytest.mark.parametrize("older", [{}, {"family_info": {"mode": "proxy", "park": 0}}], indirect=True)
+@pytest.mark.parametrize(
+    "older", [{}, {"family_info": {"mode": "proxy", "park": 0}}], indirect=True
+)
 def test_connections_go_on_in_the_next_process_byte_for_byte(older: Proxy) -> None:
     """Guards clients that an upgrade would cut off or move: also in the midst of a line."""
     pairs = [older.opened() for _ in range(3)]
     client, instance = pairs[0]
     client.sock.sendall(b"half a li")
     instance.sock.sendall(b"first\r\nhalf an an")
-    assert client.line() == "first" and instance.file.read(9) == b"half a li"
+    assert client.line() == "first"
+    assert instance.file.read(9) == b"half a li"
     flooded, source = pairs[1]
     block = b"0123456789abcde\n" * 512
     source.sock.settimeout(0.3)
@@ -154,7 +157,9 @@
 @pytest.mark.parametrize(
     "what", ["nothing", "a file", "a dead socket", "silence", "garbage", "another version"]
 )
-def test_state_that_is_absent_stale_or_broken_means_a_plain_start(tmp_path: Path, what: str) -> None:
+def test_state_that_is_absent_stale_or_broken_means_a_plain_start(
+    tmp_path: Path, what: str
+) -> None:
     path = tmp_path / "larchhaven-upgrade.sock"
     folder = os.open(tmp_path, os.O_RDONLY)
     with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as other:
@@ -173,8 +178,12 @@
     assert "Traceback" not in proxy.close()
 
 
-@pytest.mark.parametrize("said", [b"\xff\x00garbage", b"x" * 200_000, msgspec.msgpack.encode(Hello(99))])
-def test_stranger_at_the_upgrade_socket_changes_nothing(older: Proxy, tmp_path: Path, said: bytes) -> None:
+@pytest.mark.parametrize(
+    "said", [b"\xff\x00garbage", b"x" * 200_000, msgspec.msgpack.encode(Hello(99))]
+)
+def test_stranger_at_the_upgrade_socket_changes_nothing(
+    older: Proxy, tmp_path: Path, said: bytes
+) -> None:
     folder = os.open(tmp_path, os.O_RDONLY)
     while not (tmp_path / "larchhaven-upgrade.sock").exists():
         assert older.process.poll() is None  # it listens to clients a moment earlier
@@ -220,16 +229,19 @@
     """Guards one execution per command while two processes take clients side by side."""
     loop = Loop()
     older, younger = Side(loop, tmp_path), Side(loop, tmp_path)
-    assert older.ready and not younger.ready
+    assert older.ready
+    assert not younger.ready
     loop.turn()
     loop.turn()
     loop.turn()
-    assert younger.ready and younger.heard == [b"known"]
+    assert younger.ready
+    assert younger.heard == [b"known"]
     for one, other in ((older, younger), (younger, older)):
         one.handover.identity(b"id", True)
         one.handover.tell(b"said")
         loop.turn()
-        assert other.handover.is_open_elsewhere(b"id") and other.heard[-1] == b"said"
+        assert other.handover.is_open_elsewhere(b"id")
+        assert other.heard[-1] == b"said"
         assert not other.handover.is_open_elsewhere(b"another")
         one.handover.identity(b"id", False)
         loop.turn()
@@ -250,12 +262,15 @@
 
 def test_incarnation_is_handed_on_and_one_process_speaks(tmp_path: Path) -> None:
     """Guards against two processes that accuse each other, and a proxy that nobody speaks for."""
-    (tmp_path / "operator.textproto").write_text('membership { on: true key: "a key for this test" }')
+    (tmp_path / "operator.textproto").write_text(
+        'membership { on: true key: "a key for this test" }'
+    )
     older = Proxy(tmp_path, held=True, instances=2, policy_limits={"may_tell": True})
     first = heard(older.peer)
     younger = older.beside()
     second = heard(older.peer, besides=first.life)
-    assert second.stamp >> 2 > first.stamp >> 2 and second.stamp & 3 == State.ALIVE
+    assert second.stamp >> 2 > first.stamp >> 2
+    assert second.stamp & 3 == State.ALIVE
     younger.process.kill()
     younger.process.communicate()
     third = heard(older.peer, besides=second.life)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from larchhaven import interface as api
-from larchhaven import wire
-from larchhaven.adapter import Host
+from larchhaven.routing import interface as api
+from larchhaven.simulator import codec as wire
+from larchhaven.simulator.host import Host
 
 OPTIONS = (
     "contract.answer_slack=8000 contract.ask_within=10000000 contract.cold=9000000 contract.cold_from=0.3 "
@@ -44,10 +44,13 @@
     assert settings.classes[1].scope is api.Scope.CELL
     assert [c.message_aim_us for c in settings.classes] == [150_000, 0]
     assert [t.quota_connections for t in settings.tenants] == [math.inf, 12.0]
-    assert settings.prices.probe == 0.004 and settings.report_fields == ("ratio", "unheard_of")
+    assert settings.prices.probe == 0.004
+    assert settings.report_fields == ("ratio", "unheard_of")
 
 
-@pytest.mark.parametrize("missing", ["tick", "services.0.aim", "contract.cold", "services.1.repeat"])
+@pytest.mark.parametrize(
+    "missing", ["tick", "services.0.aim", "contract.cold", "services.1.repeat"]
+)
 def test_missing_setting_is_named(missing: str) -> None:
     left = " ".join(pair for pair in OPTIONS.split(" ") if not pair.startswith(missing + "="))
     with pytest.raises(wire.WireError, match=f"setting {missing}"):
@@ -59,11 +62,14 @@
         wire.decode_settings(OPTIONS.replace("index=1", "index=3"))
 
 
-@pytest.mark.parametrize("left", ["parties.0.share=0.4 ", "family_info.tenant_quota_connections=null,12.0 "])
+@pytest.mark.parametrize(
+    "left", ["parties.0.share=0.4 ", "family_info.tenant_quota_connections=null,12.0 "]
+)
 def test_member_without_a_share_or_quota_has_a_stated_default(left: str) -> None:
     """No share is 0 and decides nothing; a quota not told is never reached. Sums are not looked at."""
     tenants = wire.decode_settings(OPTIONS.replace(left, "")).tenants
-    assert len(tenants) == 2 and tenants[0].quota_connections == math.inf
+    assert len(tenants) == 2
+    assert tenants[0].quota_connections == math.inf
     assert wire.decode_settings(OPTIONS.replace("share=0.4", "share=0.9")).tenants[0].share == 0.9
 
 
@@ -99,7 +105,10 @@
         ("hint_update 9 0 5000 1 h:1", api.LoadNote(9, 0, "h:1", 0.005)),
         ("hint_update 9 0 55.5 2 h:1", api.DelayNote(9, 0, "h:1", 55_500.0)),
         ("aborted 9", api.ClientGone(9)),
-        ("ended 9 0 h:1 RST 18500 1 -", api.AttemptEnded(9, 0, "h:1", api.Result.RESET, 18_500, True)),
+        (
+            "ended 9 0 h:1 RST 18500 1 -",
+            api.AttemptEnded(9, 0, "h:1", api.Result.RESET, 18_500, True),
+        ),
         ("streaming 9 0 h:1 9250", api.Established(9, 0, "h:1", 9250)),
     ],
 )
@@ -127,7 +136,8 @@
     code, lines = play(text)
     assert code == 0
     assert lines[:2] == ["next 1", "on_behalf 4"]
-    assert lines[2].startswith("place 9 ") and lines[2].endswith(" 10.0.0.1:7000")
+    assert lines[2].startswith("place 9 ")
+    assert lines[2].endswith(" 10.0.0.1:7000")
     assert lines[3:] == ["next 2", "next 3", "next 4"]
 
 
@@ -154,15 +164,24 @@
 ) -> None:
     code, lines = play(OPENING + f"clock 2000 2\ncontext 4\n{line}\nyour_turn\n")
     faults = [text for text in lines if text.startswith("fault ")]
-    assert code != 0 and len(faults) == 1 and lines[-1] == "next 2"
-    assert "batch 2, line " in faults[0] and expected in faults[0]
+    assert code != 0
+    assert len(faults) == 1
+    assert lines[-1] == "next 2"
+    assert "batch 2, line " in faults[0]
+    assert expected in faults[0]
     assert faults[0].removeprefix("fault ") in capsys.readouterr().err
 
 
 def test_adapter_process_answers_and_exits_with_the_input() -> None:
-    command = [sys.executable, "-m", "larchhaven.adapter"]
+    command = [sys.executable, "-m", "larchhaven.simulator.host"]
     text = OPENING + "clock 2000 2\nyour_turn\n"
-    done = subprocess.run(command, input=text, capture_output=True, text=True, timeout=60, check=False)
+    done = subprocess.run(
+        command, input=text, capture_output=True, text=True, timeout=60, check=False
+    )
     assert (done.returncode, done.stdout, done.stderr) == (0, "next 1\nnext 2\n", "")
-    done = subprocess.run(command, input="hello\n", capture_output=True, text=True, timeout=60, check=False)
-    assert done.returncode != 0 and "Traceback" not in done.stderr and "expected 'clock" in done.stderr
+    done = subprocess.run(
+        command, input="hello\n", capture_output=True, text=True, timeout=60, check=False
+    )
+    assert done.returncode != 0
+    assert "Traceback" not in done.stderr
+    assert "expected 'clock" in done.stderr
--- a/tests/world.py
+++ b/tests/world.py
@@ -6,8 +6,8 @@
 from dataclasses import replace
 from typing import TypeVar
 
-from larchhaven import interface as api
-from larchhaven.choice import Balancer
+from larchhaven.routing import interface as api
+from larchhaven.routing.balancer import Balancer
 
 A = TypeVar("A")
 SECOND = 1_000_000
