--- a/benchmarks/membership_costs.py
+++ b/benchmarks/membership_costs.py
@@ -65,8 +65,9 @@
 
         for number in range(1, self.size):
             way, _ = await asyncio.get_running_loop().create_datagram_endpoint(
-                lambda number=number: Way(number), (HERE, 0)  # type: ignore[misc]
-            )  # fmt: skip
+                lambda number=number: Way(number),
+                (HERE, 0),  # type: ignore[misc]
+            )
             self._ways[number] = way
             self.addresses.append("{}:{}".format(*way.get_extra_info("sockname")))
             rng = random.Random(number)
@@ -116,12 +117,17 @@
     with tempfile.TemporaryDirectory() as folder:
         peers = [f"{HERE}:{port}", *crowd.addresses]
         configuration: dict[str, Any] = {
-            "name": "n0", "listen": "127.0.0.1:0", "mgmt": "127.0.0.1:0", "seed": "1",
+            "name": "n0",
+            "listen": "127.0.0.1:0",
+            "mgmt": "127.0.0.1:0",
+            "seed": "1",
             "discovery": f"127.0.0.1:{discovery.port}",
             "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
-            "settings": own, "peer_listen": peers[0], "peers": peers,
+            "settings": own,
+            "peer_listen": peers[0],
+            "peers": peers,
             "known": {"seq": 1, "whole": True, "hosts": [discovery.entry("s0")]},
-        }  # fmt: skip
+        }
         proxy = Proxy("n0", Path(folder), configuration)
         proxy.operator_file.write_text(operator_text(on=on))
         running = asyncio.get_running_loop().create_task(crowd.run())
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -28,7 +28,8 @@
 from larchhaven.net.core.rate_limited_log import Notices
 from larchhaven.net.text_protocol.listener import Listener
 from larchhaven.net.text_protocol.upstream_attempt import TextExecution
-from larchhaven.routing import interface as api
+from larchhaven.routing.events import Endpoint, EndpointListKind, EndpointListUpdate
+from larchhaven.routing.settings import RequestClass, RoutingSettings
 
 LINES = 1_500
 SETUPS = 250
@@ -54,16 +55,23 @@
     def __init__(self, account: Account) -> None:
         self.loop = loop = Loop()
         self.pool = pool = Pool(account)
-        settings = api.Settings(
-            classes=(api.RequestClass(aim_us=300_000, deadline_us=2_000_000),), instances=1, index=0,
-            drain_grace_us=3_000_000, cold_us=7_000_000, cold_from=0.33, tip_multiple=2.5,
-            tip_after_us=1_500_000, max_attempts=3, tells_load=True,
-        )  # fmt: skip
+        settings = RoutingSettings(
+            classes=(RequestClass(aim_us=300_000, deadline_us=2_000_000),),
+            proxy_count=1,
+            proxy_index=0,
+            drain_grace_us=3_000_000,
+            slow_start_us=7_000_000,
+            slow_start_initial_fraction=0.33,
+            collapse_multiple=2.5,
+            collapse_delay_us=1_500_000,
+            max_attempts=3,
+            has_load_updates=True,
+        )
         notices = Notices(loop)
         self.broker = broker = Broker(loop, notices, settings, 1, Figures.of(["chat"]), account)
         self.server = socket.create_server(("127.0.0.1", 0), backlog=64)
         broker.outside = Outside(
-            instances=self,
+            proxy_count=self,
             begin=self.begin,
             probe=lambda host, address: None,
             close_idle=lambda host: None,
@@ -78,7 +86,7 @@
             loop, pool, broker, notices, ("127.0.0.1", 0), {"chat": 0}, 1_000, rooms
         )
         self.listener.open()
-        broker.queue(api.FleetList(api.ListKind.COMPLETE, 1, (api.ServerEntry("s0"),)))
+        broker.queue(EndpointListUpdate(EndpointListKind.COMPLETE, 1, (Endpoint("s0"),)))
         loop.turn_end = broker.turn
         self.number = 0
         self.client, self.instance = self.open()
--- a/larchhaven/cli/members.py
+++ b/larchhaven/cli/members.py
@@ -81,8 +81,10 @@
         mark = " (this one)" if member.number == state.me else ""
         by = ", ".join(str(number) for number in member.by)
         name = member.name.encode("unicode_escape").decode()
-        print(f"{member.number:>4}  {name:<24}  {zone:>4}  {member.state:<8}  {member.since_s:>8.1f}s"
-              f"  {member.incarnation:>11}  {by}{mark}")  # fmt: skip
+        print(
+            f"{member.number:>4}  {name:<24}  {zone:>4}  {member.state:<8}  {member.since_s:>8.1f}s"
+            f"  {member.incarnation:>11}  {by}{mark}"
+        )
     unheard = state.table - len(state.members)
     if unheard:
         print(f"{unheard} never heard of")
--- a/larchhaven/cli/memory.py
+++ b/larchhaven/cli/memory.py
@@ -60,12 +60,17 @@
         print(
             msgspec.json.encode(
                 {
-                    "grant": made.grant, "start": made.start, "margin": made.margin, "planned": made.planned,
-                    "short": made.short, "socket_bound": made.socket_bound, "connections_fit": stand,
+                    "grant": made.grant,
+                    "start": made.start,
+                    "margin": made.margin,
+                    "planned": made.planned,
+                    "short": made.short,
+                    "socket_bound": made.socket_bound,
+                    "connections_fit": stand,
                     "caps": {purpose.key: cap for purpose, cap in made.caps.items()},
                 }
             ).decode()
-        )  # fmt: skip
+        )
         return 1 if made.short else 0
     print(f"{'granted':<14}{_kb(made.grant)}")
     print(f"{'program':<14}{_kb(made.start)}  {'given' if start is not None else 'measured here'}")
--- a/larchhaven/cli/model.py
+++ b/larchhaven/cli/model.py
@@ -54,13 +54,17 @@
         f"{result.name}, seed {result.seed}: {result.members} members, {result.seconds:g} s simulated"
     )
     for death in result.deaths:
-        print(f"  {death.number} died at {death.at:g} s: first said after {_s(death.detected)}, "
-              f"agreed after {_s(death.agreed)}")  # fmt: skip
+        print(
+            f"  {death.number} died at {death.at:g} s: first said after {_s(death.detected)}, "
+            f"agreed after {_s(death.agreed)}"
+        )
     for equal in result.equal:
         print(f"  {equal.after} at {equal.at:g} s: all views equal after {_s(equal.seconds)}")
     print(f"  {result.accusations} accused, {result.false_deaths} wrongly declared dead")
-    print(f"  {result.messages_a_second:g} messages a second and member, {result.messages_most:g} at most; "
-          f"{result.bytes_a_second:g} bytes")  # fmt: skip
+    print(
+        f"  {result.messages_a_second:g} messages a second and member, {result.messages_most:g} at most; "
+        f"{result.bytes_a_second:g} bytes"
+    )
     print(f"  trace {result.trace}, {result.events} events")
     print("holds" if holds else "does not hold")
     return 0 if holds else 1
--- a/larchhaven/gossip/shared_health_checks.py
+++ b/larchhaven/gossip/shared_health_checks.py
@@ -11,15 +11,21 @@
 
 from __future__ import annotations
 
-import struct
 from dataclasses import dataclass
 from zlib import crc32
 
-from larchhaven.routing import interface as api
+from larchhaven.routing.actions import Action, CheckHealth, SendGossip
+from larchhaven.routing.events import (
+    AttemptResult,
+    EndpointListKind,
+    EndpointListUpdate,
+    HealthCheckCompleted,
+    LoadReport,
+    ServerState,
+)
+from larchhaven.routing.gossip_messages import ServerLoad, SharedLoadReports
+from larchhaven.routing.settings import RoutingSettings
 
-# Messages of this kind are ours; the rest of a message is entries.
-REPORTS = b"R"
-ENTRY = struct.Struct(">HB")
 ENTRIES_MOST = 85  # in a message of 256 bytes
 # Loads over capacity are told in these steps; the last two values are no loads.
 STEP = 0.02
@@ -59,17 +65,17 @@
     failed: bool = False  # as last told
 
 
-def is_shared(settings: api.Settings) -> bool:
+def is_shared(settings: RoutingSettings) -> bool:
     """Tell whether looks are shared: where proxies may probe and talk, and are many."""
-    return settings.can_probe and settings.can_tell and settings.instances >= SHARED_FROM
+    return settings.can_check_health and settings.can_gossip and settings.proxy_count >= SHARED_FROM
 
 
 class Lookout:
     """One proxy's part: events and a time in, actions out, and news for the decision module."""
 
-    def __init__(self, settings: api.Settings) -> None:
+    def __init__(self, settings: RoutingSettings) -> None:
         self._settings = settings
-        self._present = frozenset(range(settings.instances))
+        self._present = frozenset(range(settings.proxy_count))
         self._ranks = self._rank_parts()
         self._servers: dict[str, _Seen] = {}
         self._marks: dict[
@@ -96,33 +102,33 @@
         """Tell whether the server is on the own list, and ready."""
         return server in self._servers
 
-    def on_list(self, now: int, news: api.FleetList) -> None:
+    def on_list(self, now: int, news: EndpointListUpdate) -> None:
         """Take which servers there are; none is looked at that the own list does not name as ready."""
-        if news.kind is api.ListKind.FAILED:
+        if news.kind is EndpointListKind.FAILED:
             return
         if self._others_at is None:
             self._others_at = now
-        if news.kind is not api.ListKind.CHANGES:
-            named = {entry.server for entry in news.entries}
+        if news.kind is not EndpointListKind.CHANGES:
+            named = {entry.server_id for entry in news.endpoints}
             for server in [s for s in self._servers if s not in named]:
                 self._drop(server)
-        for entry in news.entries:
-            if entry.state is not api.State.READY:
-                self._drop(entry.server)
-            elif entry.server not in self._servers:
-                mark = crc32(entry.server.encode()) >> 16
+        for entry in news.endpoints:
+            if entry.state is not ServerState.READY:
+                self._drop(entry.server_id)
+            elif entry.server_id not in self._servers:
+                mark = crc32(entry.server_id.encode()) >> 16
                 rank = self._ranks[mark % PARTS]
                 due = now + (SILENT_US + rank * RANK_US if rank else 0)
-                self._servers[entry.server] = _Seen(mark, rank, due)
-                self._marks.setdefault(mark, []).append(entry.server)
+                self._servers[entry.server_id] = _Seen(mark, rank, due)
+                self._marks.setdefault(mark, []).append(entry.server_id)
         self._plan()
 
     def _rank_parts(self) -> list[int]:
         """Return this proxy's place in the order of each part: how many that are present come before it."""
-        count, ranks = self._settings.instances, []
+        count, ranks = self._settings.proxy_count, []
         for part in range(PARTS):
             first = part * count // PARTS
-            before = (self._settings.index - first) % count
+            before = (self._settings.proxy_index - first) % count
             ranks.append(sum((proxy - first) % count < before for proxy in self._present))
         return ranks
 
@@ -147,22 +153,22 @@
             if not self._marks[seen.mark]:
                 del self._marks[seen.mark]
 
-    def on_look(self, now: int, result: api.ProbeResult) -> None:
+    def on_look(self, now: int, result: HealthCheckCompleted) -> None:
         """Take what an own look has found; ``turn`` tells the others soon if it is news to them."""
-        seen = self._servers.get(result.server)
+        seen = self._servers.get(result.server_id)
         if seen is None:
             return
         seen.looking = False
         if len(self._marks[seen.mark]) > 1:
             return  # the others could not tell which is meant
-        if result.result is api.Result.OK:
-            report = result.report or api.Report()
-            ratio = report.utilization if report.ratio is None else report.ratio
+        if result.result is AttemptResult.OK:
+            report = result.report or LoadReport()
+            ratio = report.utilization if report.load_ratio is None else report.load_ratio
             if ratio is None:
                 return
             news = min(max(round(ratio / STEP), 0), MOST)
             again = not seen.failed and abs(news * STEP - seen.told) < CHANGE
-        elif result.result in (api.Result.NOT_SENT, api.Result.CANCELLED):
+        elif result.result in (AttemptResult.NOT_SENT, AttemptResult.CANCELLED):
             return
         else:
             # The others leave it out for 1 to 3 s, and would all meet it again before they were told again.
@@ -179,14 +185,13 @@
         self._news[seen.mark] = news
         self._plan()
 
-    def on_told(self, now: int, data: bytes) -> list[api.ProbeResult]:
+    def on_told(self, now: int, message: SharedLoadReports) -> list[HealthCheckCompleted]:
         """Take what another proxy has found; what cannot be used is counted and passed over."""
-        body = data[1:]
-        if len(body) % ENTRY.size or not body:
+        if not message.entries:
             self.strange += 1
             return []
         found = []
-        for mark, news in ENTRY.iter_unpack(body):
+        for mark, news in message.entries:
             servers = self._marks.get(mark, ())
             if len(servers) != 1 or MOST < news < FAILED:
                 self.strange += 1  # not on the own list, perhaps not yet
@@ -196,10 +201,14 @@
             seen.told_at, seen.failed = now, news == FAILED
             self._heard_at[mark % PARTS] = now
             if seen.failed:
-                found.append(api.ProbeResult(server, api.Result.RESET, 0))
+                found.append(HealthCheckCompleted(server, AttemptResult.RESET, 0))
             else:
                 seen.told = news * STEP
-                found.append(api.ProbeResult(server, api.Result.OK, 0, api.Report(ratio=seen.told)))
+                found.append(
+                    HealthCheckCompleted(
+                        server, AttemptResult.OK, 0, LoadReport(load_ratio=seen.told)
+                    )
+                )
         if found:
             self._hear(now)
             self._plan()
@@ -235,14 +244,14 @@
         late = DEAF_RANKS * RANK_US * DEAF_GROWTH ** min(rank - DEAF_RANKS, 30)
         return self._others_at + SILENT_US + int(late)
 
-    def turn(self, now: int) -> list[api.Action]:
+    def turn(self, now: int) -> list[Action]:
         """Begin the looks that are due, and tell what the last ones have found."""
-        actions: list[api.Action] = []
+        actions: list[Action] = []
         if self._news and self._tell_at <= now:
-            entries = [ENTRY.pack(mark, news) for mark, news in self._news.items()]
+            entries = [ServerLoad(mark, news) for mark, news in self._news.items()]
             for first in range(0, len(entries), ENTRIES_MOST):
-                data = REPORTS + b"".join(entries[first : first + ENTRIES_MOST])
-                actions.append(api.Tell(None, data))
+                message = SharedLoadReports(tuple(entries[first : first + ENTRIES_MOST]))
+                actions.append(SendGossip(None, message))
             self._news.clear()
         for server, seen in self._servers.items():
             if seen.due <= now:
@@ -251,7 +260,7 @@
                     deaf_due if deaf_due > now else now + LOOK_US * (1 + rest * self._is_deaf(now))
                 )
                 if deaf_due <= now and self.wants(server):
-                    actions.append(api.Probe(server))
+                    actions.append(CheckHealth(server))
         self._plan()
         return actions
 
--- a/larchhaven/lab/discovery.py
+++ b/larchhaven/lab/discovery.py
@@ -94,6 +94,12 @@
         """Describe one server as discovery does."""
         server = self.servers[name]
         return {
-            "host": name, "dial": f"127.0.0.1:{server.port}", "site": "here", "class": "k", "block": 0,
-            "health": server.health, "share": 1.0, "born_ms": server.born_ms,
-        }  # fmt: skip
+            "host": name,
+            "dial": f"127.0.0.1:{server.port}",
+            "site": "here",
+            "class": "k",
+            "block": 0,
+            "health": server.health,
+            "share": 1.0,
+            "born_ms": server.born_ms,
+        }
--- a/larchhaven/lab/rules.py
+++ b/larchhaven/lab/rules.py
@@ -78,11 +78,20 @@
             deque()
         )  # answered ones that are forgotten after a while
         self._kinds: dict[str, Callable[[Record], None]] = {
-            "ask": self._ask, "answer": self._answer, "move": self._move, "end": self._end,
-            "leave": self._leave, "sent": self._sent, "up": self._up, "turned": self._over,
-            "over": self._over, "long": self._long, "told": self._told, "born": self._born,
+            "ask": self._ask,
+            "answer": self._answer,
+            "move": self._move,
+            "end": self._end,
+            "leave": self._leave,
+            "sent": self._sent,
+            "up": self._up,
+            "turned": self._over,
+            "over": self._over,
+            "long": self._long,
+            "told": self._told,
+            "born": self._born,
             "left": self._left,
-        }  # fmt: skip
+        }
 
     def take(self, record: Record) -> None:
         """Take the next record."""
--- a/larchhaven/lab/site.py
+++ b/larchhaven/lab/site.py
@@ -82,34 +82,63 @@
     tier = max(scenario.proxies, 1) + scenario.peers
     return {
         "contract": {
-            "answer_slack": 20000, "ask_within": 10000000, "cold": 7100000, "cold_from": 0.33,
+            "answer_slack": 20000,
+            "ask_within": 10000000,
+            "cold": 7100000,
+            "cold_from": 0.33,
             "stop_sending_within": int((scenario.drain_grace_ms or 3000) * 1000),
-            "tip_after": 1500000, "tip_multiple": 2.5,
+            "tip_after": 1500000,
+            "tip_multiple": 2.5,
         },
-        "discovery": "subscribe", "family": "conn", "index": index, "instances": tier,
-        "kinds": ["k"], "tick": 5000, "zone": 0, "zones": ["here"], "stages": ["s"], "over_share_worth": 0.2,
+        "discovery": "subscribe",
+        "family": "conn",
+        "index": index,
+        "instances": tier,
+        "kinds": ["k"],
+        "tick": 5000,
+        "zone": 0,
+        "zones": ["here"],
+        "stages": ["s"],
+        "over_share_worth": 0.2,
         "parties": [{"name": m.name, "share": m.share} for m in scenario.members],
-        "weights": "nominal", "prices": {"moves": 0.016, "probe": 0.002},
+        "weights": "nominal",
+        "prices": {"moves": 0.016, "probe": 0.002},
         "family_info": {
-            "message_aim": [100000.0] * len(classes), "mode": "pass" if scenario.pass_through else "proxy",
-            "park": 6000000 if scenario.pass_through else 0, "tells_delay": True, "tells_load": True,
-            "tenant_quota_connections": [m.quota for m in scenario.members], "groups": True, "hint": "",
+            "message_aim": [100000.0] * len(classes),
+            "mode": "pass" if scenario.pass_through else "proxy",
+            "park": 6000000 if scenario.pass_through else 0,
+            "tells_delay": True,
+            "tells_load": True,
+            "tenant_quota_connections": [m.quota for m in scenario.members],
+            "groups": True,
+            "hint": "",
         },
         "policy_limits": {
-            "cancel": True, "connect_timeout": 250000, "max_retry_after": 1500000,
-            "most_tries": scenario.attempts or 3, "parallel_tries": False, "probes": True,
-            "retry_after": True, "may_tell": tier > 1 and not scenario.proxies_keep_silent,
+            "cancel": True,
+            "connect_timeout": 250000,
+            "max_retry_after": 1500000,
+            "most_tries": scenario.attempts or 3,
+            "parallel_tries": False,
+            "probes": True,
+            "retry_after": True,
+            "may_tell": tier > 1 and not scenario.proxies_keep_silent,
         },
         "report": {"fields": ["x0"], "how": "pull"},
         "services": [
             {
-                "aim": int((c.aim_ms or 500) * 1000), "deadline": int((c.deadline_ms or 2000) * 1000),
-                "name": c.name, "repeat": "idempotent", "stream": True, "group": "all", "window": 5000000,
-                "credit": c.worth or 1.0, "late_worth": 0.0,
+                "aim": int((c.aim_ms or 500) * 1000),
+                "deadline": int((c.deadline_ms or 2000) * 1000),
+                "name": c.name,
+                "repeat": "idempotent",
+                "stream": True,
+                "group": "all",
+                "window": 5000000,
+                "credit": c.worth or 1.0,
+                "late_worth": 0.0,
             }
             for c in classes
         ],
-    }  # fmt: skip
+    }
 
 
 class Site:
@@ -176,16 +205,23 @@
             await peer.start(port)
         for index in range(count):
             configuration: dict[str, Any] = {
-                "name": f"n{index}", "listen": "127.0.0.1:0", "mgmt": "127.0.0.1:0",
-                "discovery": f"127.0.0.1:{self.discovery.port}", "seed": f"{self.scenario.seed + index:x}",
+                "name": f"n{index}",
+                "listen": "127.0.0.1:0",
+                "mgmt": "127.0.0.1:0",
+                "discovery": f"127.0.0.1:{self.discovery.port}",
+                "seed": f"{self.scenario.seed + index:x}",
                 "limits": {
-                    "cores": 1.0, "memory_mb": grant.memory_mb or 192, "sockets": grant.sockets or 1024,
+                    "cores": 1.0,
+                    "memory_mb": grant.memory_mb or 192,
+                    "sockets": grant.sockets or 1024,
                 },
                 "settings": settings(self.scenario, index),
                 "known": {
-                    "seq": 1, "whole": True, "hosts": [self.discovery.entry(name) for name in self.servers],
+                    "seq": 1,
+                    "whole": True,
+                    "hosts": [self.discovery.entry(name) for name in self.servers],
                 },
-            }  # fmt: skip
+            }
             if peers:
                 configuration |= {"peer_listen": peers[index], "peers": peers}
             self.proxies.append(Proxy(f"n{index}", self.folder / f"n{index}", configuration))
@@ -337,10 +373,13 @@
         for name, counts in self.terminals.counts.items():
             times = sorted(counts.setup_ms)
             outcome.classes[name] = {
-                "asked": counts.asked, "answers": counts.answers, "moves": counts.moves, "lost": counts.lost,
+                "asked": counts.asked,
+                "answers": counts.answers,
+                "moves": counts.moves,
+                "lost": counts.lost,
                 "setup_ms_p50": round(times[len(times) // 2], 2) if times else None,
                 "setup_ms_p99": round(times[len(times) * 99 // 100], 2) if times else None,
-            }  # fmt: skip
+            }
         outcome.members = {
             name: dict(words) for name, words in sorted(self.terminals.members.items())
         }
--- a/larchhaven/lab/tier.py
+++ b/larchhaven/lab/tier.py
@@ -82,12 +82,17 @@
             own["policy_limits"] |= {"may_tell": self.may_tell}
             peers = self.network.peers(number)
             configuration: dict[str, Any] = {
-                "name": f"n{number}", "listen": "127.0.0.1:0", "mgmt": "127.0.0.1:0",
-                "discovery": f"127.0.0.1:{self._discovery.port}", "seed": f"{self.seed + number:x}",
+                "name": f"n{number}",
+                "listen": "127.0.0.1:0",
+                "mgmt": "127.0.0.1:0",
+                "discovery": f"127.0.0.1:{self._discovery.port}",
+                "seed": f"{self.seed + number:x}",
                 "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
-                "settings": own, "peer_listen": peers[number], "peers": peers,
+                "settings": own,
+                "peer_listen": peers[number],
+                "peers": peers,
                 "known": {"seq": 1, "whole": True, "hosts": [self._discovery.entry("s0")]},
-            }  # fmt: skip
+            }
             proxy = Proxy(f"n{number}", self.folder / f"n{number}", configuration)
             proxy.operator_file.write_text(operator_text(on=self.on))
             self.proxies.append(proxy)
--- a/larchhaven/membership/messages.py
+++ b/larchhaven/membership/messages.py
@@ -132,20 +132,35 @@
     digests = message.digests
     parts = [
         _HEAD.pack(
-            OURS, FORM, message.kind, len(message.entries), message.sender, message.to, message.life,
-            message.count, message.stamp, message.seq, message.target,
+            OURS,
+            FORM,
+            message.kind,
+            len(message.entries),
+            message.sender,
+            message.to,
+            message.life,
+            message.count,
+            message.stamp,
+            message.seq,
+            message.target,
         ),
         *(_ENTRY.pack(entry.number, entry.stamp, entry.by) for entry in message.entries),
         *(_DIGEST.pack(digest) for digest in digests),
-    ]  # fmt: skip
+    ]
     for told in message.told:
         about, name = told.about, _name(told.about)
         parts.append(
             _ABOUT.pack(
-                told.number, told.told_at, about.zone & 0xFF, about.version & 0xFFFF,
-                about.started & 0xFFFFFFFF, about.can & 0xFFFF, len(name),
-            ) + name
-        )  # fmt: skip
+                told.number,
+                told.told_at,
+                about.zone & 0xFF,
+                about.version & 0xFFFF,
+                about.started & 0xFFFFFFFF,
+                about.can & 0xFFFF,
+                len(name),
+            )
+            + name
+        )
     data = b"".join(parts)
     data += tag(data, key)
     if len(data) > LONGEST:
--- a/larchhaven/model/plot.py
+++ b/larchhaven/model/plot.py
@@ -66,9 +66,18 @@
 
 
 HEADS = (
-    "detector", "members", "lost", "plays", "first says so, s", "all agree, s (longest)", "agreed",
-    "false deaths an hour", "equal after the fault, s (longest)", "messages a second", "bytes a second",
-)  # fmt: skip
+    "detector",
+    "members",
+    "lost",
+    "plays",
+    "first says so, s",
+    "all agree, s (longest)",
+    "agreed",
+    "false deaths an hour",
+    "equal after the fault, s (longest)",
+    "messages a second",
+    "bytes a second",
+)
 
 
 def row(cell: Cell) -> list[str]:
--- a/larchhaven/net/configuration.py
+++ b/larchhaven/net/configuration.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from larchhaven.net.control.endpoint_watch import HostList, read_address
-from larchhaven.routing import interface as api
+from larchhaven.routing.settings import RoutingSettings
 from larchhaven.simulator import codec as wire
 
 
@@ -57,7 +57,7 @@
     peers: tuple[tuple[str, int], ...]
     peers_all: tuple[str, int] | None
     known: HostList
-    settings: api.Settings
+    settings: RoutingSettings
     classes: dict[str, int]
     tenants: dict[str, int]
     zones: tuple[str, ...]
--- a/larchhaven/net/control/dispatcher.py
+++ b/larchhaven/net/control/dispatcher.py
@@ -13,15 +13,49 @@
 from functools import partial
 from typing import Any, Protocol
 
-from larchhaven.gossip.shared_health_checks import REPORTS, Lookout, is_shared
+from larchhaven.gossip.shared_health_checks import Lookout, is_shared
 from larchhaven.memory.account import Account
 from larchhaven.memory.purposes import COMMAND, Purpose
 from larchhaven.net.admin.metrics import Figures, Outcomes
 from larchhaven.net.core.event_loop import Deadline, Loop
 from larchhaven.net.core.rate_limited_log import Notices
 from larchhaven.net.core.slot_table import Slots
-from larchhaven.routing import interface as api
+from larchhaven.routing.actions import (
+    CancelAttempt,
+    CheckHealth,
+    CloseIdleConnections,
+    FailRequest,
+    LogMessage,
+    MigrateConnection,
+    PollEndpoints,
+    RejectRequest,
+    SendGossip,
+    StartAttempt,
+    StartTimer,
+    WatchEndpoints,
+)
 from larchhaven.routing.balancer import Balancer
+from larchhaven.routing.events import (
+    AdministrativeEjection,
+    AttemptEnded,
+    AttemptResult,
+    ClientDisconnected,
+    ConnectionEstablished,
+    ConnectionLoadChanged,
+    ConnectionRestored,
+    EndpointListUpdate,
+    Event,
+    GossipReceived,
+    HealthCheckCompleted,
+    LivePeersChanged,
+    LoadReport,
+    MessageDelayObserved,
+    RequestArrived,
+    ServerUnresponsive,
+    TimerFired,
+)
+from larchhaven.routing.gossip_messages import GossipMessage, SharedLoadReports
+from larchhaven.routing.settings import RoutingSettings
 
 # A delay note is sent at most this often for each instance.
 NOTE_US = 1_000_000
@@ -33,18 +67,18 @@
 FIRST_LIST_SHARE = 0.25
 
 
-def after_sleep(events: list[api.Event]) -> list[api.Event]:
+def after_sleep(events: list[Event]) -> list[Event]:
     """Put what happened while this process was asleep into the order in which it may be believed.
 
     What the list tells counts from when it was written to us, so it goes first: else what came in the same
     moment would be sent to servers that left meanwhile. Loads told by other proxies are as old as the sleep.
     """
-    lists = [event for event in events if isinstance(event, api.FleetList)]
+    lists = [event for event in events if isinstance(event, EndpointListUpdate)]
     rest = [
         event
         for event in events
-        if not isinstance(event, api.FleetList)
-        and not (isinstance(event, api.PeerMessage) and event.data[:1] == REPORTS)
+        if not isinstance(event, EndpointListUpdate)
+        and not (isinstance(event, GossipReceived) and isinstance(event.message, SharedLoadReports))
     ]
     return [*lists, *rest]
 
@@ -120,7 +154,7 @@
     close_idle: Callable[[str], None]
     watch: Callable[[bool], None]
     fetch: Callable[[], None]
-    tell: Callable[[int | None, bytes], None]
+    tell: Callable[[int | None, GossipMessage], None]
     identity: Callable[[bytes, bool], None]
     is_open_elsewhere: Callable[[bytes], bool]
 
@@ -129,9 +163,18 @@
     """A command, and the session it becomes."""
 
     __slots__ = (
-        "attempt", "begun_at", "charged", "client", "execution", "host", "limit", "load", "session", "until",
+        "attempt",
+        "begun_at",
+        "charged",
+        "client",
+        "execution",
+        "host",
+        "limit",
+        "load",
+        "session",
+        "until",
         "wants",
-    )  # fmt: skip
+    )
 
     def __init__(self, client: Client | None, wants: Wants, until: int) -> None:
         self.client = client  # None once it is answered or has left
@@ -154,7 +197,7 @@
         self,
         loop: Loop,
         notices: Notices,
-        settings: api.Settings,
+        settings: RoutingSettings,
         seed: int,
         figures: Figures,
         account: Account | None = None,
@@ -166,14 +209,14 @@
         self._lookout = Lookout(settings) if is_shared(settings) else None
         self._look: Deadline | None = None
         self._balancer = Balancer(
-            replace(settings, can_probe=False) if self._lookout else settings, seed
+            replace(settings, can_check_health=False) if self._lookout else settings, seed
         )
-        self._events: list[api.Event] = []
+        self._events: list[Event] = []
         self._answer_by: int | None = (
             None  # when all have to have their answer, as this process stops
         )
         self._awake_at = 0  # after a sleep: when events are handed over again
-        self._newcomers: list[api.Arrival] | None = (
+        self._newcomers: list[RequestArrived] | None = (
             None  # who waits for the first list; None: nobody has to
         )
         self._figures = figures
@@ -184,22 +227,22 @@
         self._identities: dict[bytes, int] = {}  # of the open commands
         self._suspended: dict[str, int] = {}  # the instances taken out, and since when
         self._notes: dict[str, tuple[int, bool]] = {}  # when the last was sent, and if it was slow
-        aims = [c.message_aim_us or c.aim_us for c in settings.classes]
+        aims = [c.message_latency_objective_us or c.latency_objective_us for c in settings.classes]
         self._slow_us = min(aims) / 3
         self.outside: Outside
         self._handlers: dict[type, Callable[[Any], None]] = {
-            api.Send: self._do_send,
-            api.Refuse: self._do_refuse,
-            api.Fail: self._do_fail,
-            api.Cancel: self._do_cancel,
-            api.Move: self._do_move,
-            api.Probe: self._do_probe,
-            api.Tell: lambda a: self.outside.tell(a.peer, a.data),
-            api.SetTimer: self._do_timer,
-            api.Watch: lambda a: self.outside.watch(a.on),
-            api.FetchList: lambda a: self.outside.fetch(),
-            api.CloseIdle: lambda a: self.outside.close_idle(a.server),
-            api.Log: lambda a: self._notices.tell("decisions", a.text),
+            StartAttempt: self._do_send,
+            RejectRequest: self._do_refuse,
+            FailRequest: self._do_fail,
+            CancelAttempt: self._do_cancel,
+            MigrateConnection: self._do_move,
+            CheckHealth: self._do_probe,
+            SendGossip: lambda a: self.outside.tell(a.peer_index, a.message),
+            StartTimer: self._do_timer,
+            WatchEndpoints: lambda a: self.outside.watch(a.is_enabled),
+            PollEndpoints: lambda a: self.outside.fetch(),
+            CloseIdleConnections: lambda a: self.outside.close_idle(a.server_id),
+            LogMessage: lambda a: self._notices.tell("decisions", a.text),
         }
 
     def held(self) -> int:
@@ -216,13 +259,13 @@
             self._suspended.setdefault(host, self._loop.now)
         else:
             self._suspended.pop(host, None)
-        self.queue(api.Suspended(host, on))
+        self.queue(AdministrativeEjection(host, on))
 
     def present(self, proxies: frozenset[int]) -> None:
         """Go by these proxies of the tier: the others are known to be gone."""
         if self._lookout is not None:
             self._lookout.on_present(self._loop.now, proxies)
-        self.queue(api.Present(proxies))
+        self.queue(LivePeersChanged(proxies))
 
     def forget(self, host: str) -> None:
         """Forget what was noted of an instance that is gone."""
@@ -240,7 +283,7 @@
 
     # Events
 
-    def queue(self, event: api.Event) -> None:
+    def queue(self, event: Event) -> None:
         """Have the decision module hear of this at the end of the turn."""
         self._events.append(event)
 
@@ -259,10 +302,10 @@
         self._loop.after(0, self._limit_wait)  # from the first turn on
 
     def _limit_wait(self) -> None:
-        wait = int(FIRST_LIST_SHARE * min(c.aim_us for c in self._settings.classes))
+        wait = int(FIRST_LIST_SHARE * min(c.latency_objective_us for c in self._settings.classes))
         self._loop.after(wait, self._let_in)
 
-    def heard(self, news: api.FleetList) -> None:
+    def heard(self, news: EndpointListUpdate) -> None:
         """Take news of the list, or that a call for it has failed."""
         self.queue(news)
         self._let_in()
@@ -270,7 +313,7 @@
     def _let_in(self) -> None:
         newcomers, self._newcomers = self._newcomers or [], None
         for arrival in newcomers:
-            command = self._commands.get(arrival.request)
+            command = self._commands.get(arrival.request_id)
             if command is not None and command.client is not None:  # neither gone nor answered
                 self.queue(replace(arrival, budget_us=max(command.until - self._loop.now, 0)))
 
@@ -288,25 +331,25 @@
         if self._events:
             self._loop.again()  # some actions end at once; their events must not wait for a socket
 
-    def _share(self, lookout: Lookout, events: list[api.Event]) -> list[api.Event]:
+    def _share(self, lookout: Lookout, events: list[Event]) -> list[Event]:
         """Have the lookout see what concerns it, and add what other proxies have found."""
-        kept: list[api.Event] = []
+        kept: list[Event] = []
         now = self._loop.now
         for event in events:
-            if isinstance(event, api.PeerMessage) and event.data[:1] == REPORTS:
+            if isinstance(event, GossipReceived) and isinstance(event.message, SharedLoadReports):
                 before = lookout.strange
-                kept += lookout.on_told(now, event.data)
+                kept += lookout.on_told(now, event.message)
                 self._figures.strange_messages += lookout.strange - before
                 continue
             kept.append(event)
-            if isinstance(event, api.PeerMessage):
+            if isinstance(event, GossipReceived):
                 if (
-                    event.sender != self._settings.index
+                    event.sender_index != self._settings.proxy_index
                 ):  # the other process of an upgrade proves nothing
                     lookout.on_message(now)
-            elif isinstance(event, api.FleetList):
+            elif isinstance(event, EndpointListUpdate):
                 lookout.on_list(now, event)
-            elif isinstance(event, api.ProbeResult):
+            elif isinstance(event, HealthCheckCompleted):
                 lookout.on_look(now, event)
         if lookout.due is not None and (self._look is None or self._look.at != lookout.due):
             self._loop.cancel(self._look)
@@ -316,8 +359,8 @@
     def _begin_looks(self) -> None:
         if self._lookout is not None:
             for action in self._lookout.turn(self._loop.now):
-                if isinstance(action, api.Probe):
-                    self._ask(action.server)
+                if isinstance(action, CheckHealth):
+                    self._ask(action.server_id)
                 else:
                     self._handlers[type(action)](action)
             if self._lookout.due is not None:
@@ -348,20 +391,20 @@
         token = self._add(command)
         # Should the decision module ever miss the deadline, the client gets its answer all the same.
         command.limit = self._loop.after(
-            wait + self._settings.answer_slack_us, partial(self._overdue, token)
+            wait + self._settings.response_slack_us, partial(self._overdue, token)
         )
-        arrival = api.Arrival(
+        arrival = RequestArrived(
             token,
             wants.cls,
             wait,
             wants.tenant,
-            key=wants.key,
+            affinity_key=wants.key,
             load=wants.load,
-            group=wants.group,
-            retry=wants.retry,
-            midflow=wants.midflow,
-            again=wants.again,
-            at=wants.at,
+            affinity_group=wants.group,
+            is_retry=wants.retry,
+            is_mid_flow=wants.midflow,
+            is_reconnect=wants.again,
+            pinned_server_id=wants.at,
         )
         if self._newcomers is None:
             self.queue(arrival)
@@ -402,7 +445,7 @@
         if command is None or command.client is None:
             return
         command.client = None
-        self.queue(api.ClientGone(token))
+        self.queue(ClientDisconnected(token))
         self._drop(token, command)
 
     def client_fails(self, token: int) -> None:
@@ -417,7 +460,7 @@
         """Fail a command over the head of the decision module; False if it had its answer."""
         if (answered := self._answered(token)) is None:
             return False
-        self.queue(api.ClientGone(token))
+        self.queue(ClientDisconnected(token))
         answered[1].failed += 1
         answered[0].fail()
         return True
@@ -428,7 +471,7 @@
         self._remove(token)
         if command.execution is not None:
             command.execution.cancel()
-            self._ended(token, command, api.Result.CANCELLED, None, finished=True)
+            self._ended(token, command, AttemptResult.CANCELLED, None, finished=True)
 
     def _remove(self, token: int) -> Command | None:
         command = self._commands.remove(token)
@@ -466,7 +509,7 @@
         if command is None or command.client is None or command.execution is None:
             return
         latency = self._loop.now - command.begun_at
-        self.queue(api.Established(token, command.attempt, command.host, latency))
+        self.queue(ConnectionEstablished(token, command.attempt, command.host, latency))
         client, command.client = command.client, None
         execution, command.execution = command.execution, None
         self._loop.cancel(command.limit)
@@ -477,7 +520,7 @@
         command.wants = replace(command.wants, payload=b"")
         command.session = client.serve(execution, token)
 
-    def execution_over(self, token: int, result: api.Result, report: api.Report | None) -> None:
+    def execution_over(self, token: int, result: AttemptResult, report: LoadReport | None) -> None:
         """Take how an execution ended that never came up."""
         command = self._commands.get(token)
         if command is not None and command.execution is not None:
@@ -488,15 +531,13 @@
         self,
         token: int,
         command: Command,
-        result: api.Result,
-        report: api.Report | None,
+        result: AttemptResult,
+        report: LoadReport | None,
         finished: bool,
     ) -> None:
         latency = self._loop.now - command.begun_at
         self.queue(
-            api.AttemptEnded(
-                token, command.attempt, command.host, result, latency, finished, report
-            )
+            AttemptEnded(token, command.attempt, command.host, result, latency, finished, report)
         )
 
     # Sessions
@@ -506,7 +547,7 @@
         command = self._commands.get(token)
         if command is not None:
             command.load = load
-            self.queue(api.LoadNote(token, command.attempt, command.host, load))
+            self.queue(ConnectionLoadChanged(token, command.attempt, command.host, load))
 
     def session_delay(self, token: int, delay_us: int) -> None:
         """Pass on a slow answer, once a second for each instance, and the first that is not slow again."""
@@ -517,7 +558,7 @@
         slow = delay_us > self._slow_us
         if (slow and (not high or self._loop.now >= at + NOTE_US)) or (high and not slow):
             self._notes[command.host] = (self._loop.now, slow)
-            self.queue(api.DelayNote(token, command.attempt, command.host, float(delay_us)))
+            self.queue(MessageDelayObserved(token, command.attempt, command.host, float(delay_us)))
 
     def session_waits(self, token: int, age_us: int) -> None:
         """Pass on that an answer takes at least this long."""
@@ -527,9 +568,9 @@
         """Pass on that a connection's instance is silent."""
         command = self._commands.get(token)
         if command is not None:
-            self.queue(api.Stalled(token, command.attempt, command.host, age_us))
+            self.queue(ServerUnresponsive(token, command.attempt, command.host, age_us))
 
-    def session_over(self, token: int, result: api.Result, report: api.Report | None) -> None:
+    def session_over(self, token: int, result: AttemptResult, report: LoadReport | None) -> None:
         """Take how a session ended."""
         command = self._remove(token)
         if command is not None:
@@ -554,15 +595,17 @@
         command = self._remove(token)
         if command is not None and command.session is not None:
             command.session.release()
-            self._ended(token, command, api.Result.CANCELLED, None, finished=True)
+            self._ended(token, command, AttemptResult.CANCELLED, None, finished=True)
 
     def adopt(self, wants: Wants, host: str, join: Callable[[int], Session]) -> None:
         """Go on with a connection that another process held."""
         command = Command(None, wants, self._loop.now)
         command.attempt, command.host, command.begun_at = 0, host, self._loop.now
         token = self._add(command)
-        arrival = api.Arrival(token, wants.cls, 0, wants.tenant, wants.key, wants.load, wants.group)
-        self.queue(api.Resumed(arrival, host))
+        arrival = RequestArrived(
+            token, wants.cls, 0, wants.tenant, wants.key, wants.load, wants.group
+        )
+        self.queue(ConnectionRestored(arrival, host))
         command.session = join(token)
 
     def _identify(self, token: int, command: Command) -> None:
@@ -572,20 +615,22 @@
 
     # Actions
 
-    def _do_send(self, action: api.Send) -> None:
-        command = self._commands.get(action.request)
+    def _do_send(self, action: StartAttempt) -> None:
+        command = self._commands.get(action.request_id)
         if command is None or command.client is None or command.execution is not None:
             return
         command.attempt += 1
-        command.host = action.server
+        command.host = action.server_id
         command.begun_at = self._loop.now
-        address = self.outside.instances.address(action.server)
+        address = self.outside.instances.address(action.server_id)
         left = command.until - self._loop.now
         wait = min(action.timeout_us or left, left)
-        if address is None or wait <= 0 or not self._open(action.server):
-            self._ended(action.request, command, api.Result.NOT_SENT, None, finished=False)
+        if address is None or wait <= 0 or not self._open(action.server_id):
+            self._ended(action.request_id, command, AttemptResult.NOT_SENT, None, finished=False)
             return
-        command.execution = self.outside.begin(action.request, command.wants.payload, address, wait)
+        command.execution = self.outside.begin(
+            action.request_id, command.wants.payload, address, wait
+        )
 
     def _answered(self, token: int) -> tuple[Client, Outcomes] | None:
         """Close a command that is about to get its final answer; None if it has had one."""
@@ -596,20 +641,20 @@
         self._drop(token, command)
         return client, self._outcomes[command.wants.cls]
 
-    def _do_refuse(self, action: api.Refuse) -> None:
-        answered = self._answered(action.request)
+    def _do_refuse(self, action: RejectRequest) -> None:
+        answered = self._answered(action.request_id)
         if answered is not None:
             answered[1].rejected += 1
             answered[0].refuse(min(action.retry_after_us, self._settings.max_retry_after_us))
 
-    def _do_fail(self, action: api.Fail) -> None:
-        answered = self._answered(action.request)
+    def _do_fail(self, action: FailRequest) -> None:
+        answered = self._answered(action.request_id)
         if answered is not None:
             answered[1].failed += 1
             answered[0].fail()
 
-    def _do_cancel(self, action: api.Cancel) -> None:
-        command = self._commands.get(action.request)
+    def _do_cancel(self, action: CancelAttempt) -> None:
+        command = self._commands.get(action.request_id)
         if (
             command is not None
             and command.execution is not None
@@ -617,26 +662,26 @@
         ):
             command.execution.cancel()
             command.execution = None
-            self._ended(action.request, command, api.Result.CANCELLED, None, finished=False)
+            self._ended(action.request_id, command, AttemptResult.CANCELLED, None, finished=False)
 
-    def _do_move(self, action: api.Move) -> None:
-        command = self._commands.get(action.request)
+    def _do_move(self, action: MigrateConnection) -> None:
+        command = self._commands.get(action.request_id)
         if command is not None and command.session is not None:
             command.session.move()
 
-    def _do_probe(self, action: api.Probe) -> None:
-        if self._lookout is None or self._lookout.wants(action.server):
-            self._ask(action.server)
-        elif not self._lookout.knows(action.server):
-            self.queue(api.ProbeResult(action.server, api.Result.NOT_SENT, 0))
+    def _do_probe(self, action: CheckHealth) -> None:
+        if self._lookout is None or self._lookout.wants(action.server_id):
+            self._ask(action.server_id)
+        elif not self._lookout.knows(action.server_id):
+            self.queue(HealthCheckCompleted(action.server_id, AttemptResult.NOT_SENT, 0))
 
     def _ask(self, host: str) -> None:
         address = self.outside.instances.address(host)
         if address is None:
-            self.queue(api.ProbeResult(host, api.Result.NOT_SENT, 0))
+            self.queue(HealthCheckCompleted(host, AttemptResult.NOT_SENT, 0))
         else:
             self.outside.probe(host, address)
 
-    def _do_timer(self, action: api.SetTimer) -> None:
-        event = api.TimerFired(action.token)
+    def _do_timer(self, action: StartTimer) -> None:
+        event = TimerFired(action.timer_id)
         self._loop.after(action.delay_us, lambda: self.queue(event))
--- a/larchhaven/net/control/endpoint_watch.py
+++ b/larchhaven/net/control/endpoint_watch.py
@@ -11,7 +11,7 @@
 from larchhaven.net.core.buffer_pool import Pool, Stream
 from larchhaven.net.core.event_loop import Deadline, Loop, unix_offset_us
 from larchhaven.net.core.rate_limited_log import Notices
-from larchhaven.routing import interface as api
+from larchhaven.routing.events import Endpoint, EndpointListKind, EndpointListUpdate, ServerState
 
 # How long discovery may hold a watch, and how long an answer may take. So long after the hold, what a silent
 # watch had to tell counts as told. A sound one answers as soon as the hold is over: one that has not by the
@@ -33,7 +33,11 @@
 # So many hosts are remembered as listed once, at most.
 LISTED_MOST = 10_000
 
-_STATES = {"ready": api.State.READY, "draining": api.State.DRAINING, "gone": api.State.GONE}
+_STATES = {
+    "ready": ServerState.READY,
+    "draining": ServerState.DRAINING,
+    "gone": ServerState.REMOVED,
+}
 
 
 class HostEntry(msgspec.Struct):
@@ -100,9 +104,9 @@
         """Tell whether the instance is on the list, or was."""
         return host in self._listed
 
-    def take(self, kind: api.ListKind, told: HostList, now: int) -> api.FleetList:
+    def take(self, kind: EndpointListKind, told: HostList, now: int) -> EndpointListUpdate:
         """Take in a list and turn it into the decision module's event."""
-        if kind is not api.ListKind.CHANGES:
+        if kind is not EndpointListKind.CHANGES:
             old = [
                 h
                 for h, at in self._told.items()
@@ -114,11 +118,11 @@
             for host in [h for h in self._addresses if h not in named]:
                 self._leave(host, now, gone=True)
         entries = tuple(self._entry(entry, now) for entry in told.hosts)
-        return api.FleetList(kind, told.seq, entries)
+        return EndpointListUpdate(kind, told.seq, entries)
 
-    def _entry(self, entry: HostEntry, now: int) -> api.ServerEntry:
+    def _entry(self, entry: HostEntry, now: int) -> Endpoint:
         # A state that is not known yet is none to send something new to.
-        state = _STATES.get(entry.health, api.State.DRAINING)
+        state = _STATES.get(entry.health, ServerState.DRAINING)
         self._listed.pop(entry.host, None)
         self._listed[entry.host] = None
         if len(self._listed) > self._listed_most:
@@ -126,12 +130,12 @@
         address = read_address(entry.dial)
         if address is not None:
             self._addresses[entry.host] = address
-        if state is api.State.READY:
+        if state is ServerState.READY:
             self._told.pop(entry.host, None)
         else:
-            self._leave(entry.host, now, gone=state is api.State.GONE)
+            self._leave(entry.host, now, gone=state is ServerState.REMOVED)
         born = int(entry.born_ms * 1000)
-        return api.ServerEntry(
+        return Endpoint(
             entry.host,
             state,
             entry.share,
--- a/larchhaven/net/control/membership_switch.py
+++ b/larchhaven/net/control/membership_switch.py
@@ -59,11 +59,11 @@
         """Say why the membership is off, in words for operators; empty if it may be on."""
         if not self._own.membership:
             return "the operators' file does not turn it on (membership.on)"
-        if not self._config.settings.can_tell:
+        if not self._config.settings.can_gossip:
             return "the platform's settings do not let proxies talk"
         if self._config.peer_listen is None or len(self._config.peers) < 2:
             return "the platform's configuration names no other proxies (peer_listen, peers)"
-        if self._config.settings.index >= len(self._config.peers):
+        if self._config.settings.proxy_index >= len(self._config.peers):
             return "the own number is not in the platform's list of peers"
         if self._handed_on:
             return "the next process of this proxy speaks for it"
@@ -106,11 +106,11 @@
         about = About(config.name, settings.zone, can=Can.REPORTS if self._shares else Can.NOTHING)
         size = len(config.peers)
         self.members = Members(
-            self._loop, settings.index, size, about, keys, self._tell, config.seed
+            self._loop, settings.proxy_index, size, about, keys, self._tell, config.seed
         )
         self.members.changed = self.present
         self.members.take_over(self._above)
-        _log.info("membership is on: %d of %d proxies", settings.index, size)
+        _log.info("membership is on: %d of %d proxies", settings.proxy_index, size)
 
     def on_datagram(self, sender: int, data: bytes) -> bool:
         """Take a datagram if it is the membership's, and that is on."""
--- a/larchhaven/net/core/buffer_pool.py
+++ b/larchhaven/net/core/buffer_pool.py
@@ -174,10 +174,27 @@
     """A TCP connection with at most one buffer each way."""
 
     __slots__ = (
-        "__weakref__", "_channel", "_connecting", "_deaf", "_ending", "_finished_at", "_heard_at", "_linger",
-        "_loop", "_outbox", "_pool", "_reading", "_sock", "closed", "ended", "gone", "inbox", "overflow",
-        "owner", "yielding",
-    )  # fmt: skip
+        "__weakref__",
+        "_channel",
+        "_connecting",
+        "_deaf",
+        "_ending",
+        "_finished_at",
+        "_heard_at",
+        "_linger",
+        "_loop",
+        "_outbox",
+        "_pool",
+        "_reading",
+        "_sock",
+        "closed",
+        "ended",
+        "gone",
+        "inbox",
+        "overflow",
+        "owner",
+        "yielding",
+    )
 
     owner: Owner  # set by whoever takes the stream over, if not at once
 
--- a/larchhaven/net/graceful_shutdown.py
+++ b/larchhaven/net/graceful_shutdown.py
@@ -13,7 +13,8 @@
 from larchhaven.net.core.buffer_pool import LINGER_US, Pool
 from larchhaven.net.core.event_loop import Loop
 from larchhaven.net.text_protocol.listener import Listener
-from larchhaven.routing import interface as api
+from larchhaven.routing.events import ProxyDraining
+from larchhaven.routing.settings import RoutingSettings
 
 # The platform kills no earlier than the longest deadline, or the first of these if that is less, plus the
 # second.
@@ -54,7 +55,7 @@
     end_us: int | None  # the process ends; None: it stays while it holds anything
 
 
-def limits(settings: api.Settings, shared: bool) -> Limits:
+def limits(settings: RoutingSettings, shared: bool) -> Limits:
     """Derive the limits from the deadlines; ``shared`` is with another process on the clients' socket."""
     longest = max(c.deadline_us for c in settings.classes)
     if shared:
@@ -73,7 +74,7 @@
         broker: Broker,
         listener: Listener,
         pool: Pool,
-        settings: api.Settings,
+        settings: RoutingSettings,
         shared: bool,
     ) -> None:
         self._loop = loop
@@ -118,7 +119,7 @@
     def _move(self, within_us: int) -> None:
         """Have moved what is still here, unless packets pass through: others take it over then."""
         if not self._settings.pass_through:
-            self._broker.queue(api.Leaving(within_us))
+            self._broker.queue(ProxyDraining(within_us))
 
     def _close(self) -> None:
         """Close the listener once nobody waits in its queue: they would be reset with what they sent."""
--- a/larchhaven/net/hot_restart.py
+++ b/larchhaven/net/hot_restart.py
@@ -22,7 +22,7 @@
 from larchhaven.net.core.event_loop import READ, Deadline, Loop
 from larchhaven.net.core.rate_limited_log import Notices
 from larchhaven.net.text_protocol.connection_relay import RelayState
-from larchhaven.routing import interface as api
+from larchhaven.routing.events import LoadReport
 
 VERSION = 1
 # The longest message: the state of a connection with four full buffers, or the open ids.
@@ -40,11 +40,42 @@
     v: int
 
 
+class ReportRecord(msgspec.Struct):
+    """A load report, with the field names that other versions know."""
+
+    load_ratio: float | None = msgspec.field(name="ratio", default=None)
+    utilization: float | None = None
+    in_flight: float | None = msgspec.field(name="inflight", default=None)
+    queue_length: float | None = msgspec.field(name="queue", default=None)
+    backlog_s: float | None = None
+
+    @classmethod
+    def of(cls, report: LoadReport) -> ReportRecord:
+        """Return the record of a report."""
+        return cls(
+            report.load_ratio,
+            report.utilization,
+            report.in_flight,
+            report.queue_length,
+            report.backlog_s,
+        )
+
+    def report(self) -> LoadReport:
+        """Return the report."""
+        return LoadReport(
+            self.load_ratio,
+            self.utilization,
+            self.in_flight,
+            self.queue_length,
+            self.backlog_s,
+        )
+
+
 class Known(msgspec.Struct, tag=True):
     """The older process answers: the latest reports with their times, and its open ids."""
 
     v: int
-    reports: list[tuple[str, int, api.Report]]
+    reports: list[tuple[str, int, ReportRecord]]
     identities: list[bytes]
     incarnation: int = 0  # in the membership; 0: it was off
 
--- a/larchhaven/net/proxy.py
+++ b/larchhaven/net/proxy.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from larchhaven.gossip.codec import is_readable
+from larchhaven.gossip import codec as gossip_codec
 from larchhaven.gossip.shared_health_checks import is_shared
 from larchhaven.memory import plan, purposes
 from larchhaven.memory.account import Account
@@ -34,14 +34,22 @@
 from larchhaven.net.core.event_loop import Loop
 from larchhaven.net.core.rate_limited_log import KINDS_MOST, Notices
 from larchhaven.net.graceful_shutdown import PASS_MOST_US, Phase, Stopping
-from larchhaven.net.hot_restart import VERSION, Handover, Known, Standing, mark
+from larchhaven.net.hot_restart import VERSION, Handover, Known, ReportRecord, Standing, mark
 from larchhaven.net.text_protocol.connection_relay import Relay
 from larchhaven.net.text_protocol.health_check_connection import Probes
 from larchhaven.net.text_protocol.listener import SPARE_DESCRIPTORS, Listener
 from larchhaven.net.text_protocol.upstream_attempt import TextExecution
 from larchhaven.operator.settings import Complaint, Reading, Settings
-from larchhaven.routing import interface as api
-from larchhaven.routing.balancer import STARTED
+from larchhaven.routing.events import (
+    AttemptResult,
+    EndpointListKind,
+    EndpointListUpdate,
+    GossipReceived,
+    HealthCheckCompleted,
+    LoadReport,
+    ProxyDraining,
+)
+from larchhaven.routing.gossip_messages import GossipMessage, is_peer_message
 
 # The parts of the memory for tables that what only helps may fill: it is forgotten, the oldest first.
 HOLDERS_SHARE = 0.25
@@ -98,7 +106,9 @@
         tables = account.cap(Purpose.TABLES)
         settings = replace(
             settings,
-            holders_most=min(settings.holders_most, int(HOLDERS_SHARE * tables) // purposes.HOLDER),
+            sticky_table_capacity=min(
+                settings.sticky_table_capacity, int(HOLDERS_SHARE * tables) // purposes.HOLDER
+            ),
         )
         self._figures = Figures.of(list(config.classes))
         self._broker = broker = Broker(loop, notices, settings, config.seed, self._figures, account)
@@ -109,7 +119,7 @@
         )
         shared = config.socket_fd is not None  # with another process, during an upgrade
         self._suspensions = Suspensions(folder, self._on_suspended, self._accounting.files_fit)
-        self._reports: dict[str, tuple[int, api.Report]] = {}  # the latest, and when it came
+        self._reports: dict[str, tuple[int, LoadReport]] = {}  # the latest, and when it came
         self._probes = Probes(
             loop,
             Pool(account, Purpose.PROBES, Purpose.PROBES),
@@ -156,7 +166,7 @@
         )
         descriptors = self._descriptors() - (DESCRIPTORS if config.mgmt is not None else 0)
         most = max(descriptors - SPARE_DESCRIPTORS, descriptors // 2)
-        self._rooms = Rooms(loop, account, [c.worth for c in settings.classes], most)
+        self._rooms = Rooms(loop, account, [c.priority_weight for c in settings.classes], most)
         self._rooms.spare_tables = self._spare_tables
         self._listener = Listener(
             loop,
@@ -183,10 +193,10 @@
 
     def run(self) -> None:
         """Serve until told to stop."""
-        known = self._directory.take(api.ListKind.REMEMBERED, self._config.known, self._loop.now)
+        known = self._directory.take(EndpointListKind.CACHED, self._config.known, self._loop.now)
         self._broker.queue(known)
         self._look_at_suspensions()
-        if not self._config.settings.subscribe:
+        if not self._config.settings.subscribes_to_endpoints:
             # The simulator's "automatic" sends news unasked; over HTTP nothing comes without a watch.
             self._discovery.begin()
             self._broker.hear_first()
@@ -263,35 +273,37 @@
 
     def _on_list(self, told: HostList | None) -> None:
         if told is None:
-            self._broker.heard(api.FleetList(api.ListKind.FAILED))
+            self._broker.heard(EndpointListUpdate(EndpointListKind.FAILED))
             return
-        kind = api.ListKind.COMPLETE if told.whole else api.ListKind.CHANGES
+        kind = EndpointListKind.COMPLETE if told.whole else EndpointListKind.CHANGES
         # What comes late has counted as told before: the drain rule's time runs from then.
         self._broker.heard(
             self._directory.take(kind, told, self._loop.now - self._discovery.late_us)
         )
 
     def _on_probe(
-        self, host: str, result: api.Result, latency_us: int, report: api.Report | None
+        self, host: str, result: AttemptResult, latency_us: int, report: LoadReport | None
     ) -> None:
         if report is not None:
             self._reports[host] = (self._loop.now, report)
-        self._broker.queue(api.ProbeResult(host, result, latency_us, report))
+        self._broker.queue(HealthCheckCompleted(host, result, latency_us, report))
 
     def _on_peer(self, sender: int, data: bytes) -> None:
         if self._members.on_datagram(sender, data):
             return
-        if is_readable(data):
-            self._broker.queue(api.PeerMessage(sender, data))
+        message = gossip_codec.decode(data)
+        if is_peer_message(message):
+            self._broker.queue(GossipReceived(sender, message))
         else:
             self._count_strange()
 
     def _count_strange(self) -> None:
         self._figures.strange_messages += 1
 
-    def _tell(self, peer: int | None, data: bytes) -> None:
+    def _tell(self, peer: int | None, message: GossipMessage) -> None:
         """Pass on a message to other proxies, and to the other process of an upgrade: it has our number."""
-        if self._peers is not None and peer != self._config.settings.index:
+        data = gossip_codec.encode(message)
+        if self._peers is not None and peer != self._config.settings.proxy_index:
             self._peers.tell(peer, data)
         self._handover.tell(data)
 
@@ -303,8 +315,12 @@
 
     def known(self) -> Known:
         """Return what the younger process must know; suspensions are in their file."""
-        self.on_heard(STARTED)  # our decision module tells the other what it has learnt
-        reports = [(host, at, report) for host, (at, report) in self._reports.items()]
+        self.on_heard(
+            gossip_codec.PROXY_STARTED
+        )  # our decision module tells the other what it has learnt
+        reports = [
+            (host, at, ReportRecord.of(report)) for host, (at, report) in self._reports.items()
+        ]
         identities = [mark(identity) for identity in self._broker.identities()]
         return Known(VERSION, reports, identities, self._members.hand_on())
 
@@ -313,11 +329,12 @@
         self._members.take_over(known.incarnation)
         for host, at, report in known.reports:
             age = max(self._loop.now - at, 0)
-            self._broker.queue(api.ProbeResult(host, api.Result.OK, age, report))
+            self._broker.queue(HealthCheckCompleted(host, AttemptResult.OK, age, report.report()))
 
     def on_heard(self, data: bytes) -> None:
         """Take a message of the other process's decision module."""
-        self._broker.queue(api.PeerMessage(self._config.settings.index, data))
+        own = self._config.settings.proxy_index
+        self._broker.queue(GossipReceived(own, gossip_codec.decode(data)))
 
     def on_standing(self, standing: Standing, descriptors: Sequence[int]) -> None:
         """Go on with a connection that the older process held."""
@@ -415,7 +432,7 @@
         self._listener.away = on
         _log.info("told to drain" if on else "told to work again")
         if not self._config.settings.pass_through and self._stopping.phase is Phase.SERVING:
-            self._broker.queue(api.Leaving(DRAIN_US if on else 0))
+            self._broker.queue(ProxyDraining(DRAIN_US if on else 0))
 
     # A new configuration
 
--- a/larchhaven/net/text_protocol/codec.py
+++ b/larchhaven/net/text_protocol/codec.py
@@ -7,7 +7,7 @@
 
 from larchhaven.net.control.dispatcher import Wants
 from larchhaven.net.core.buffer_pool import Buffer
-from larchhaven.routing import interface as api
+from larchhaven.routing.events import AttemptResult, LoadReport
 
 LONGEST = 4096
 # A client may wait as long as it likes, and one that stood before the run says that it waits for over an
@@ -23,10 +23,10 @@
 
 # The names that load reports use on sockets; those without a use here are left out.
 _REPORT_FIELDS = {
-    b"x0": "ratio",
+    b"x0": "load_ratio",
     b"util": "utilization",
-    b"inflight": "inflight",
-    b"queue": "queue",
+    b"inflight": "in_flight",
+    b"queue": "queue_length",
     b"x1": "backlog_s",
 }
 
@@ -123,7 +123,7 @@
     return b"BUSY %d" % -(-retry_after_us // 1000) + END if retry_after_us > 0 else b"BUSY" + END
 
 
-def read_report(text: bytes) -> api.Report | None:
+def read_report(text: bytes) -> LoadReport | None:
     """Read ``name=value`` pairs; None if there are none, and fields that make no sense are left out."""
     values: dict[str, float] = {}
     for pair in text.split(b","):
@@ -134,26 +134,26 @@
                 values[field] = _share(value, field)
             except BadLineError:
                 continue
-    return api.Report(**values) if values else None
+    return LoadReport(**values) if values else None
 
 
 _RESULTS = {
-    b"BYE": api.Result.OK,
-    b"MOVE": api.Result.CANCELLED,
-    b"ERR": api.Result.ERROR,
-    b"SYNTAX": api.Result.ERROR,
-    b"BUSY": api.Result.FULL,
+    b"BYE": AttemptResult.OK,
+    b"MOVE": AttemptResult.CANCELLED,
+    b"ERR": AttemptResult.ERROR,
+    b"SYNTAX": AttemptResult.ERROR,
+    b"BUSY": AttemptResult.OVERLOADED,
 }
 
 
-def read_ending(line: bytes) -> tuple[api.Result, api.Report | None] | None:
+def read_ending(line: bytes) -> tuple[AttemptResult, LoadReport | None] | None:
     """Read a line by which an instance ends an execution; None for any other line."""
     word, _, rest = line.partition(b" ")
     result = _RESULTS.get(word)
     return None if result is None else (result, read_report(rest))
 
 
-def read_last(line: bytes) -> tuple[api.Result, api.Report | None] | None:
+def read_last(line: bytes) -> tuple[AttemptResult, LoadReport | None] | None:
     """Read the line by which an instance ends a connection that stands; None for any other line.
 
     Only these two do: what else the instance says then is between it and the client, ``ERR`` included.
@@ -176,15 +176,15 @@
         return None
 
 
-def read_probe(line: bytes) -> tuple[api.Result, api.Report | None]:
+def read_probe(line: bytes) -> tuple[AttemptResult, LoadReport | None]:
     """Read the answer to a probe."""
     word, _, rest = line.partition(b" ")
     if word == b"PONG":
-        return api.Result.OK, read_report(rest)
+        return AttemptResult.OK, read_report(rest)
     if word == b"NO":
-        return api.Result.NOT_SENT, None
-    result, report = read_ending(line) or (api.Result.ERROR, None)
-    return (result if result is api.Result.FULL else api.Result.ERROR), report
+        return AttemptResult.NOT_SENT, None
+    result, report = read_ending(line) or (AttemptResult.ERROR, None)
+    return (result if result is AttemptResult.OVERLOADED else AttemptResult.ERROR), report
 
 
 class LineCounter:
--- a/larchhaven/net/text_protocol/connection_relay.py
+++ b/larchhaven/net/text_protocol/connection_relay.py
@@ -10,7 +10,7 @@
 from larchhaven.net.core.buffer_pool import LINGER_US, Stream
 from larchhaven.net.core.event_loop import Deadline, Loop
 from larchhaven.net.text_protocol import codec as lines
-from larchhaven.routing import interface as api
+from larchhaven.routing.events import AttemptResult, LoadReport
 
 # Client lines without an answer are looked at this often; their age is told as a delay.
 LOOK_US = 1_000_000
@@ -44,7 +44,7 @@
     def session_stalled(self, token: int, age_us: int) -> None:
         """Take that a line has gone unanswered so long that the connection should be moved."""
 
-    def session_over(self, token: int, result: api.Result, report: api.Report | None) -> None:
+    def session_over(self, token: int, result: AttemptResult, report: LoadReport | None) -> None:
         """Take how the connection ended."""
 
 
@@ -115,9 +115,20 @@
     """One served connection."""
 
     __slots__ = (
-        "_asked", "_client", "_closing", "_ending", "_heard_at", "_idle", "_instance", "_look", "_loop",
-        "_moving", "_over", "_owner", "_token",
-    )  # fmt: skip
+        "_asked",
+        "_client",
+        "_closing",
+        "_ending",
+        "_heard_at",
+        "_idle",
+        "_instance",
+        "_look",
+        "_loop",
+        "_moving",
+        "_over",
+        "_owner",
+        "_token",
+    )
 
     def __init__(
         self,
@@ -136,7 +147,9 @@
         self._asked: deque[int] = deque()
         self._look: Deadline | None = None
         self._closing: Deadline | None = None
-        self._ending: tuple[api.Result, api.Report | None] | None = None  # the instance's last line
+        self._ending: tuple[AttemptResult, LoadReport | None] | None = (
+            None  # the instance's last line
+        )
         self._moving = False
         self._over = False
         self._heard_at = loop.now
@@ -236,7 +249,7 @@
             return
         age = self._loop.now - self._asked[0]
         if age >= SILENT_MOST_US:
-            self._end_now(api.Result.TIMEOUT)
+            self._end_now(AttemptResult.TIMEOUT)
             return
         if age >= STALLED_US:
             self._owner.session_stalled(self._token, age)
@@ -244,7 +257,7 @@
             self._owner.session_waits(self._token, age)
         self._look = self._loop.after(max(LOOK_US - age, LOOK_US // 2), self._look_again)
 
-    def _end_now(self, result: api.Result) -> None:
+    def _end_now(self, result: AttemptResult) -> None:
         self._instance.stream.close(reset=True)
         if self._client.stream.closed:
             self._tell_over(result, None)
@@ -258,7 +271,7 @@
         if left > 0:
             self._idle = self._loop.after(left, self._on_idle)
         else:
-            self._end_now(api.Result.CANCELLED)
+            self._end_now(AttemptResult.CANCELLED)
 
     def give_way(self) -> None:
         """End both sides, as the client does not read what it asked for and others need the room."""
@@ -281,7 +294,7 @@
         if self._over:
             return
         self._write_move()
-        self._tell_over(api.Result.CANCELLED, None)
+        self._tell_over(AttemptResult.CANCELLED, None)
         self._finish_both()
 
     def _write_move(self) -> None:
@@ -294,9 +307,9 @@
     def on_side_end(self, side: _Side) -> None:
         """Pass on the end of one side after what it sent before."""
         if side is self._instance:
-            self._tell_over(*(self._ending or (api.Result.RESET, None)))
+            self._tell_over(*(self._ending or (AttemptResult.RESET, None)))
         else:
-            self._tell_over(api.Result.CANCELLED, None)
+            self._tell_over(AttemptResult.CANCELLED, None)
         self._closing = self._closing or self._loop.after(LINGER_US, self._finish_both)
         self.pass_on(side)
 
@@ -312,7 +325,9 @@
             self._tell_over(*self._ending)
             self._finish_both()
             return
-        self._tell_over(api.Result.RESET if side is self._instance else api.Result.CANCELLED, None)
+        self._tell_over(
+            AttemptResult.RESET if side is self._instance else AttemptResult.CANCELLED, None
+        )
         self.other(side).stream.close(reset=True)
         self._loop.cancel(self._closing)
 
@@ -322,12 +337,12 @@
             del self._client.relay, self._instance.relay
 
     def _finish_both(self) -> None:
-        self._tell_over(*(self._ending or (api.Result.CANCELLED, None)))
+        self._tell_over(*(self._ending or (AttemptResult.CANCELLED, None)))
         self._loop.cancel(self._closing)
         self._client.stream.finish()
         self._instance.stream.finish()
 
-    def _tell_over(self, result: api.Result, report: api.Report | None) -> None:
+    def _tell_over(self, result: AttemptResult, report: LoadReport | None) -> None:
         if not self._over:
             self._over = True
             self._loop.cancel(self._look)
--- a/larchhaven/net/text_protocol/health_check_connection.py
+++ b/larchhaven/net/text_protocol/health_check_connection.py
@@ -8,12 +8,12 @@
 from larchhaven.net.core.buffer_pool import SHORT_OF, Pool, Stream
 from larchhaven.net.core.event_loop import Deadline, Loop
 from larchhaven.net.text_protocol import codec as lines
-from larchhaven.routing import interface as api
+from larchhaven.routing.events import AttemptResult, LoadReport
 
 # A probe without an answer in this time has failed: a hung instance takes probes and says nothing.
 PROBE_US = 500_000
 
-Done = Callable[[str, api.Result, int, api.Report | None], None]
+Done = Callable[[str, AttemptResult, int, LoadReport | None], None]
 
 
 class _Asker:
@@ -38,7 +38,7 @@
             return
         self.asking = True
         self._asked_at = self._loop.now
-        self._limit = self._loop.after(PROBE_US, lambda: self._end(api.Result.TIMEOUT))
+        self._limit = self._loop.after(PROBE_US, lambda: self._end(AttemptResult.TIMEOUT))
         if self._stream is None:
             self._connect()
         else:
@@ -50,11 +50,11 @@
             self._stream = Stream.connect(self._loop, self._probes.pool, self.address, self)
         except OSError as error:
             short = error.errno in SHORT_OF
-            result = api.Result.NOT_SENT if short else api.Result.UNREACHABLE
+            result = AttemptResult.NOT_SENT if short else AttemptResult.UNREACHABLE
             self._loop.after(0, lambda: self._end(result))
             return
         self._connect_limit = self._loop.after(
-            self._probes.connect_us, lambda: self._end(api.Result.UNREACHABLE)
+            self._probes.connect_us, lambda: self._end(AttemptResult.UNREACHABLE)
         )
 
     def on_open(self) -> None:
@@ -75,7 +75,7 @@
         try:
             line = lines.take_line(stream.inbox)
         except lines.BadLineError:
-            self._end(api.Result.ERROR)
+            self._end(AttemptResult.ERROR)
             return
         if line is None:
             return
@@ -94,7 +94,7 @@
     def on_broken(self, code: int) -> None:
         """Take the loss of the connection."""
         if code in SHORT_OF:
-            self._end(api.Result.NOT_SENT)
+            self._end(AttemptResult.NOT_SENT)
         else:
             self._lost()
 
@@ -104,10 +104,10 @@
             self._close()
             self._connect()
         else:
-            self._end(api.Result.RESET if self._standing else api.Result.UNREACHABLE)
+            self._end(AttemptResult.RESET if self._standing else AttemptResult.UNREACHABLE)
 
     def _end(
-        self, result: api.Result, report: api.Report | None = None, keep: bool = False
+        self, result: AttemptResult, report: LoadReport | None = None, keep: bool = False
     ) -> None:
         if not keep:
             self._close()
@@ -124,7 +124,7 @@
 
     def drop(self) -> None:
         """Close the connection; a probe under way ends as cancelled."""
-        self._end(api.Result.CANCELLED)
+        self._end(AttemptResult.CANCELLED)
 
 
 class Probes:
@@ -142,7 +142,7 @@
         asker = self._askers.get(host)
         if asker is None and not self.pool.account.take(Purpose.PROBES, STREAM):
             self.done(
-                host, api.Result.NOT_SENT, 0, None
+                host, AttemptResult.NOT_SENT, 0, None
             )  # the decision module does without this report
             return
         if asker is None:
--- a/larchhaven/net/text_protocol/upstream_attempt.py
+++ b/larchhaven/net/text_protocol/upstream_attempt.py
@@ -8,7 +8,7 @@
 from larchhaven.net.core.buffer_pool import SHORT_OF, Pool, Stream
 from larchhaven.net.core.event_loop import Loop
 from larchhaven.net.text_protocol import codec as lines
-from larchhaven.routing import interface as api
+from larchhaven.routing.events import AttemptResult, LoadReport
 
 
 class ExecutionOwner(Protocol):
@@ -23,7 +23,7 @@
     def execution_up(self, token: int) -> None:
         """Take that the instance serves the command."""
 
-    def execution_over(self, token: int, result: api.Result, report: api.Report | None) -> None:
+    def execution_over(self, token: int, result: AttemptResult, report: LoadReport | None) -> None:
         """Take how the execution ended without having come up."""
 
 
@@ -56,7 +56,7 @@
             self.stream = Stream.connect(loop, pool, address, self)
         except OSError as error:
             short = error.errno in SHORT_OF
-            result = api.Result.NOT_SENT if short else api.Result.UNREACHABLE
+            result = AttemptResult.NOT_SENT if short else AttemptResult.UNREACHABLE
             # Told in a turn of its own: the owner is still at work on the action that began this.
             loop.after(0, lambda: self._end(result))
 
@@ -69,11 +69,11 @@
         if stream is None or self._over:
             return
         if not self._owner.may_begin(self._token):
-            self._end(api.Result.NOT_SENT)
+            self._end(AttemptResult.NOT_SENT)
             return
         line = lines.with_wait(self._first_line, self._until - self._loop.now)
         if stream.write(line) < len(line):
-            self._end(api.Result.NOT_SENT)  # no buffer left for the rest
+            self._end(AttemptResult.NOT_SENT)  # no buffer left for the rest
             return
         if not stream.pending:
             self.on_room()
@@ -92,7 +92,7 @@
         try:
             line = lines.take_line(inbox)
         except lines.BadLineError:
-            self._end(api.Result.ERROR)
+            self._end(AttemptResult.ERROR)
             return
         if line is None:
             return
@@ -103,30 +103,30 @@
             self.up_line = line
             self._owner.execution_up(self._token)
             return
-        result, report = lines.read_ending(line) or (api.Result.ERROR, None)
+        result, report = lines.read_ending(line) or (AttemptResult.ERROR, None)
         self._end(result, report)
 
     def on_end(self) -> None:
         """Take an end without an answer."""
-        self._end(api.Result.RESET if self._written else api.Result.UNREACHABLE)
+        self._end(AttemptResult.RESET if self._written else AttemptResult.UNREACHABLE)
 
     def on_broken(self, code: int) -> None:
         """Take a break, which proves that nothing ran only before the line's last byte was written."""
         if code in SHORT_OF and code != errno.ENOBUFS:
-            self._end(api.Result.NOT_SENT)
+            self._end(AttemptResult.NOT_SENT)
         else:
-            self._end(api.Result.RESET if self._written else api.Result.UNREACHABLE)
+            self._end(AttemptResult.RESET if self._written else AttemptResult.UNREACHABLE)
 
     # Limits
 
     def _on_late_connect(self) -> None:
-        self._end(api.Result.UNREACHABLE)
+        self._end(AttemptResult.UNREACHABLE)
 
     def _on_late(self) -> None:
         """Give up; an answer that has just come still counts."""
         if self.stream is not None and self._written:
             self.stream.look()
-        self._end(api.Result.TIMEOUT if self._written else api.Result.UNREACHABLE)
+        self._end(AttemptResult.TIMEOUT if self._written else AttemptResult.UNREACHABLE)
 
     # Ending
 
@@ -138,7 +138,7 @@
             if self.stream is not None:
                 self.stream.close()
 
-    def _end(self, result: api.Result, report: api.Report | None = None) -> None:
+    def _end(self, result: AttemptResult, report: LoadReport | None = None) -> None:
         if not self._over:
             self.cancel()  # closed before the owner hears of it: the next execution must not overlap
             self._owner.execution_over(self._token, result, report)
--- a/larchhaven/routing/balancer.py
+++ b/larchhaven/routing/balancer.py
@@ -9,7 +9,6 @@
 
 import math
 import random
-import struct
 from bisect import bisect_left, insort
 from collections import Counter, deque
 from collections.abc import Callable, Iterable, Iterator, Sequence
@@ -18,8 +17,49 @@
 from itertools import accumulate, islice
 from zlib import crc32
 
-from larchhaven.routing import interface as api
-from larchhaven.routing.interface import Effect, ListKind, Result, Scope, State
+from larchhaven.routing.actions import (
+    Action,
+    CancelAttempt,
+    CheckHealth,
+    FailRequest,
+    MigrateConnection,
+    RejectRequest,
+    SendGossip,
+    StartAttempt,
+    StartTimer,
+    WatchEndpoints,
+)
+from larchhaven.routing.events import (
+    AdministrativeEjection,
+    AttemptEnded,
+    AttemptResult,
+    ClientDisconnected,
+    ConnectionEstablished,
+    ConnectionLoadChanged,
+    ConnectionRestored,
+    Endpoint,
+    EndpointListKind,
+    EndpointListUpdate,
+    Event,
+    GossipReceived,
+    HealthCheckCompleted,
+    LivePeersChanged,
+    LoadReport,
+    MessageDelayObserved,
+    ProxyDraining,
+    RequestArrived,
+    ServerState,
+    ServerUnresponsive,
+    TimerFired,
+)
+from larchhaven.routing.gossip_messages import (
+    LearnedState,
+    ProxyStarted,
+    StickyEntries,
+    StickyEntry,
+    StickyEntryQuery,
+)
+from larchhaven.routing.settings import DeduplicationScope, Idempotency, RoutingSettings
 
 REPORT_LAG_US = (
     800_000  # a report shows a server as it was so long before it came: half a refresh, transport
@@ -83,8 +123,6 @@
 # One instance's part stands for so many at most unseen; from so many on several keep what each knows.
 SPEAKS_FOR, MANY, MIX = 4, 8, 0x9E3779B97F4A7C15
 DENSITIES = 32  # what an arrival is worth is ranked among so many before it
-# Messages between instances: where connections stand, who knows of one, that one has started, what it learnt.
-HELD, ASKED, STARTED, LEARNT = b"H", b"Q", b"S", b"L"
 TAG, MARK, TOLD_MOST = (
     4,
     2,
@@ -104,10 +142,20 @@
 # pushed all counts as told at once: half the grace of drains takes the place of ask_within.
 ASK_SHARE, ASK_EACH_US, ASK_MOST = 0.1, 125_000, 0.5
 
-MAY_HAVE_RUN = (Result.ERROR, Result.TIMEOUT, Result.RESET, Result.CANCELLED)
-SHARED_FAULTS = (Result.ERROR, Result.TIMEOUT)
-QUICK_FAULTS = (Result.ERROR, Result.RESET)
-SERVER_FAULTS = (Result.ERROR, Result.TIMEOUT, Result.RESET, Result.UNREACHABLE)
+MAY_HAVE_RUN = (
+    AttemptResult.ERROR,
+    AttemptResult.TIMEOUT,
+    AttemptResult.RESET,
+    AttemptResult.CANCELLED,
+)
+SHARED_FAULTS = (AttemptResult.ERROR, AttemptResult.TIMEOUT)
+QUICK_FAULTS = (AttemptResult.ERROR, AttemptResult.RESET)
+SERVER_FAULTS = (
+    AttemptResult.ERROR,
+    AttemptResult.TIMEOUT,
+    AttemptResult.RESET,
+    AttemptResult.UNREACHABLE,
+)
 
 
 def _short(text: str, size: int) -> bytes:
@@ -150,11 +198,11 @@
     id: str
     tie: float  # orders exact ties at random, differently at each instance
     mark: bytes  # short for its id, the same at all instances
-    listed: api.ServerEntry  # what the list last told of it
+    listed: Endpoint  # what the list last told of it
     zone: int = 0
     cell: int = 0
     weight: float = 1.0
-    state: State = State.GONE
+    state: ServerState = ServerState.REMOVED
     started_at: int = -1  # unlike any that a list tells
     entry: tuple[float, float, Server] | None = None  # its place in the ranking, if ready
     ratio: float | None = None  # load over capacity as last reported
@@ -176,10 +224,10 @@
 class Balancer:
     """One instance: events and the time in, actions out."""
 
-    def __init__(self, settings: api.Settings, seed: int) -> None:
+    def __init__(self, settings: RoutingSettings, seed: int) -> None:
         self.settings = settings
         self.rng = random.Random(seed)
-        self.actions: list[api.Action] = []
+        self.actions: list[Action] = []
         self.started = False
         self.conns: dict[int, Conn] = {}
         self.fleet: dict[str, Server] = {}
@@ -189,23 +237,22 @@
         ] = {}  # marks of servers by tags of the connections that stand there
         self.marks: dict[bytes, Server] = {}
         self.open: Counter[int] = Counter()  # own connections that flow, by tenant
-        self.quotas = [*(tenant.quota_connections for tenant in settings.tenants), 0.0]
+        self.quotas = [*(tenant.connection_quota for tenant in settings.tenants), 0.0]
         self.suspended: set[str] = set()  # ids that operators have taken out
         self.present = frozenset(
-            range(settings.instances)
+            range(settings.proxy_count)
         )  # the instances that are not known to be gone
-        self.tells = settings.can_tell and settings.pass_through and settings.instances > 1
+        self.tells = settings.can_gossip and settings.pass_through and settings.proxy_count > 1
         self.timers: dict[int, Callable[[], None]] = {}
         self.class_load = [FIRST_LOAD] * len(settings.classes)
-        self.learnt = struct.Struct(
-            f"<{3 + len(self.class_load)}d"
-        )  # what one that takes over is told
         self.now = self.next_token = self.ask_span = self.ranked_at = 0
         self.ask_most = (
-            settings.ask_within_us if settings.subscribe else settings.drain_grace_us // 2
+            settings.poll_deadline_us
+            if settings.subscribes_to_endpoints
+            else settings.drain_grace_us // 2
         )
         parts = (int(part * self.ask_most) for part in (ASK_SHARE, ASK_MOST))
-        self.calm = sorted((*parts, ASK_EACH_US * settings.instances))[1]
+        self.calm = sorted((*parts, ASK_EACH_US * settings.proxy_count))[1]
         self.failures = self.gate_at = (
             0  # set-ups that failed since one last stood; none begun before
         )
@@ -214,39 +261,58 @@
         self.densities: deque[float] = deque(maxlen=DENSITIES)
         self.ratio_sum = self.ratio_weight = self.probe_credit = self.move_credit = 0.0
         self.waiting: dict[str, list[Conn]] = {}  # requests that wait for a probe of this server
-        spend = PROBE_SPEND / settings.prices.probe if settings.prices.probe > 0 else PROBES_MOST
-        self.probes_each = min(max(spend, PROBES_LEAST), PROBES_MOST) if settings.can_probe else 0
-        self.moves_each = min(MOVE_SPEND / max(settings.prices.moves, MOVE_SPEND), 1.0)
+        spend = (
+            PROBE_SPEND / settings.costs.health_check
+            if settings.costs.health_check > 0
+            else PROBES_MOST
+        )
+        self.probes_each = (
+            min(max(spend, PROBES_LEAST), PROBES_MOST) if settings.can_check_health else 0
+        )
+        self.moves_each = min(MOVE_SPEND / max(settings.costs.migration, MOVE_SPEND), 1.0)
         self.leave_by = (
             0  # when this instance stops, the last of its connections is to be moved by then
         )
         self.handlers: dict[type, Callable[..., None]] = {
-            api.Arrival: self._on_arrival, api.Resumed: self._on_resumed, api.TimerFired: self._on_timer,
-            api.FleetList: self._on_list, api.ProbeResult: self._on_probe, api.PeerMessage: self._on_peer,
-            api.LoadNote: self._on_load_note, api.DelayNote: self._on_delay_note,
-            api.Stalled: self._on_stalled, api.Leaving: self._on_leaving, api.Suspended: self._on_suspended,
-            api.ClientGone: self._on_client_gone, api.Established: self._on_established,
-            api.AttemptEnded: self._on_ended, api.Present: self._on_present,
-        }  # fmt: skip
-
-    def handle(self, now: int, events: Iterable[api.Event]) -> Sequence[api.Action]:
+            RequestArrived: self._on_arrival,
+            ConnectionRestored: self._on_resumed,
+            TimerFired: self._on_timer,
+            EndpointListUpdate: self._on_list,
+            HealthCheckCompleted: self._on_probe,
+            GossipReceived: self._on_peer,
+            ConnectionLoadChanged: self._on_load_note,
+            MessageDelayObserved: self._on_delay_note,
+            ServerUnresponsive: self._on_stalled,
+            ProxyDraining: self._on_leaving,
+            AdministrativeEjection: self._on_suspended,
+            ClientDisconnected: self._on_client_gone,
+            ConnectionEstablished: self._on_established,
+            AttemptEnded: self._on_ended,
+            LivePeersChanged: self._on_present,
+        }
+
+    def handle(self, now: int, events: Iterable[Event]) -> Sequence[Action]:
         """Take the events of one moment and return the actions they call for, in order."""
         self.now = now
         self.actions = []
         if not self.started:
             self.started = True
-            if self.settings.subscribe:
-                self._after(self.rng.random() * self.calm, lambda: self.actions.append(api.Watch()))
-            count = self.settings.instances
+            if self.settings.subscribes_to_endpoints:
+                self._after(
+                    self.rng.random() * self.calm, lambda: self.actions.append(WatchEndpoints())
+                )
+            count = self.settings.proxy_count
             for step in ((-1, 1) if count >= MANY else (-1,)) if self.tells else ():
-                self.actions.append(api.Tell((self.settings.index + step) % count, STARTED))
+                self.actions.append(
+                    SendGossip((self.settings.proxy_index + step) % count, ProxyStarted())
+                )
         for event in events:
             self.handlers[type(event)](event)
         return self.actions
 
     # Request lifecycle
 
-    def _on_arrival(self, event: api.Arrival) -> None:
+    def _on_arrival(self, event: RequestArrived) -> None:
         conn = self._admit(event)
         self.arrivals.append(self.now)
         self.mean_load += LEARN * (conn.load - self.mean_load)
@@ -255,8 +321,8 @@
         if conn.at is not None or self._holder(conn) is not None:
             self._place(conn)
         elif conn.midflow and conn.tag and self.tells:
-            for peer in self._keepers(conn.tag) if self.settings.instances >= MANY else [None]:
-                self.actions.append(api.Tell(peer, ASKED + conn.tag))
+            for peer in self._keepers(conn.tag) if self.settings.proxy_count >= MANY else [None]:
+                self.actions.append(SendGossip(peer, StickyEntryQuery(conn.tag)))
             self._hold(conn, min(ASK_US, HOLD_SHARE * event.budget_us))
         elif self._refuses(conn):
             self._give_up(conn)
@@ -267,41 +333,41 @@
             self._look(conn)
             self._refresh()
 
-    def _admit(self, event: api.Arrival) -> Conn:
-        cls = min(max(event.cls, 0), len(self.settings.classes) - 1)
+    def _admit(self, event: RequestArrived) -> Conn:
+        cls = min(max(event.class_index, 0), len(self.settings.classes) - 1)
         load = self.class_load[cls] if event.load is None else event.load
-        tag = b"" if event.key is None else _short(str(event.key), TAG)
-        group = None if event.group is None else crc32(str(event.group).encode())
+        tag = b"" if event.affinity_key is None else _short(str(event.affinity_key), TAG)
+        group = None if event.affinity_group is None else crc32(str(event.affinity_group).encode())
         conn = Conn(
-            event.request,
+            event.request_id,
             cls,
             self.now + event.budget_us,
             load,
             tag,
-            event.midflow,
+            event.is_mid_flow,
             group,
-            event.at,
+            event.pinned_server_id,
         )
-        conn.tenant = event.tenant
+        conn.tenant = event.tenant_index
         self.conns[conn.id] = conn
         return conn
 
-    def _on_resumed(self, event: api.Resumed) -> None:
+    def _on_resumed(self, event: ConnectionRestored) -> None:
         conn = self._admit(event.arrival)
         conn.attempts, conn.out, conn.flows = 1, 0, True
-        conn.server = self.fleet.get(event.server)
+        conn.server = self.fleet.get(event.server_id)
         self._stand(conn)
 
     def _place(self, conn: Conn) -> None:
         """Send a request to its server now, hold it for one, or answer it when its time or tries are up."""
         limits, left = self.settings, conn.deadline - self.now
         if (
-            left <= 2 * limits.tick_us
+            left <= 2 * limits.timer_resolution_us
             or conn.attempts >= limits.max_attempts
             or not self._may_send(conn)
         ):
             return self._give_up(conn)
-        aim = limits.classes[conn.cls].aim_us
+        aim = limits.classes[conn.cls].latency_objective_us
         server = self._holder(conn)
         if server is None and conn.at is None and self.now >= self.gate_at:
             near, shares = self._band(conn)
@@ -318,7 +384,7 @@
             return self._give_up(conn)  # nobody is left to wait for
         if server is None:
             wait = max(HOLD_SHARE * aim, self.gate_at - self.now) * (1 + self.rng.random() / 2)
-            return self._hold(conn, min(wait, left - 2 * limits.tick_us))
+            return self._hold(conn, min(wait, left - 2 * limits.timer_resolution_us))
         if self.failures >= GATE_AFTER:
             self._shut_gate()  # let one through, and see how it fares
         conn.out = conn.attempts
@@ -329,7 +395,7 @@
         timeout = int(max(left - aim, TRY_SHARE * left)) if spare else left
         self._close_cold(server, max(conn.load / max(self.mean_load, 1e-6), 1.0))
         self._add_own(server, conn.load)
-        self.actions.append(api.Send(conn.id, server.id, timeout))
+        self.actions.append(StartAttempt(conn.id, server.id, timeout))
         return None
 
     def _hold(self, conn: Conn, wait_us: float) -> None:
@@ -341,12 +407,20 @@
         """Where a mid-flow connection is known to stand, also while that server drains, within the grace."""
         if conn.at is not None:
             pinned = self.fleet.get(conn.at)
-            return None if pinned is None or pinned.state is State.GONE else pinned
+            return None if pinned is None or pinned.state is ServerState.REMOVED else pinned
         server = self.marks.get(self.holders.get(conn.tag, b""))
-        if not conn.midflow or conn.attempts or server is None or server.state is State.GONE:
+        if (
+            not conn.midflow
+            or conn.attempts
+            or server is None
+            or server.state is ServerState.REMOVED
+        ):
             return None
-        graced = self.now < server.told_at + self.settings.drain_grace_us - self.settings.tick_us
-        return server if server.state is State.READY or graced else None
+        graced = (
+            self.now
+            < server.told_at + self.settings.drain_grace_us - self.settings.timer_resolution_us
+        )
+        return server if server.state is ServerState.READY or graced else None
 
     def _resume_held(self, conn: Conn, then: Callable[[Conn], None] | None = None) -> None:
         conn.turn += 1
@@ -361,8 +435,11 @@
     def _may_send(self, conn: Conn) -> bool:
         """Rule 2: whether another attempt can do no harm."""
         cls = self.settings.classes[conn.cls]
-        safe = conn.ran_on is None or cls.effect is Effect.SAFE
-        return safe or (cls.effect is Effect.KEYED and self.now < conn.ran_at + cls.window_us)
+        safe = conn.ran_on is None or cls.idempotency is Idempotency.ALWAYS
+        return safe or (
+            cls.idempotency is Idempotency.WITH_KEY
+            and self.now < conn.ran_at + cls.deduplication_window_us
+        )
 
     def _allowed(self, conn: Conn, server: Server | None) -> bool:
         """Rule 2: a keyed request that may have run stays with the servers that discard its duplicates."""
@@ -370,20 +447,27 @@
         if (
             first is None
             or server is None
-            or cls.effect is not Effect.KEYED
-            or cls.scope is Scope.ALL
+            or cls.idempotency is not Idempotency.WITH_KEY
+            or cls.deduplication_scope is DeduplicationScope.ALL
         ):
             return True
-        return server.zone == first.zone if cls.scope is Scope.ZONE else server.cell == first.cell
+        return (
+            server.zone == first.zone
+            if cls.deduplication_scope is DeduplicationScope.ZONE
+            else server.cell == first.cell
+        )
 
     def _give_up(self, conn: Conn) -> None:
         """Give the one final answer of a request that has no attempt out."""
         cls, refusal = (
             self.settings.classes[conn.cls],
-            api.Refuse(conn.id, self.settings.max_retry_after_us),
+            RejectRequest(conn.id, self.settings.max_retry_after_us),
+        )
+        again = cls.idempotency is Idempotency.ALWAYS or (
+            cls.idempotency is Idempotency.WITH_KEY
+            and cls.deduplication_scope is DeduplicationScope.ALL
         )
-        again = cls.effect is Effect.SAFE or (cls.effect is Effect.KEYED and cls.scope is Scope.ALL)
-        self.actions.append(refusal if conn.ran_on is None or again else api.Fail(conn.id))
+        self.actions.append(refusal if conn.ran_on is None or again else FailRequest(conn.id))
         self._close(conn)
 
     def _close(self, conn: Conn) -> None:
@@ -391,16 +475,16 @@
         if conn.out is None:
             self.conns.pop(conn.id, None)
 
-    def _on_client_gone(self, event: api.ClientGone) -> None:
-        conn = self.conns.get(event.request)
+    def _on_client_gone(self, event: ClientDisconnected) -> None:
+        conn = self.conns.get(event.request_id)
         if conn is None or conn.done:
             return
         if conn.out is not None and not conn.flows and self.settings.can_cancel:
-            self.actions.append(api.Cancel(conn.id, conn.out))
+            self.actions.append(CancelAttempt(conn.id, conn.out))
         self._close(conn)
 
-    def _on_established(self, event: api.Established) -> None:
-        conn = self.conns.get(event.request)
+    def _on_established(self, event: ConnectionEstablished) -> None:
+        conn = self.conns.get(event.request_id)
         if conn is not None and conn.out == event.attempt:
             conn.flows = True
             # One that stands does not prove that all would: the pace doubles, it is not given up at once.
@@ -420,29 +504,35 @@
                 self._remember(conn.tag, conn.server.mark)
                 for peer in self._keepers(conn.tag):
                     self._tell_held(peer, [conn.tag])
-            if conn.server.state is State.DRAINING:
+            if conn.server.state is ServerState.DRAINING:
                 self._clear(conn.server, [conn])
         if self.leave_by:
             self._leave(conn)
 
-    def _on_ended(self, event: api.AttemptEnded) -> None:
-        conn = self.conns.get(event.request)
-        server = self.fleet.get(event.server)
+    def _on_ended(self, event: AttemptEnded) -> None:
+        conn = self.conns.get(event.request_id)
+        server = self.fleet.get(event.server_id)
         # A request that no server can use fails at each in turn, and one with no time left at any.
-        aim = self.settings.classes[conn.cls].aim_us if conn is not None and not conn.flows else 0
+        aim = (
+            self.settings.classes[conn.cls].latency_objective_us
+            if conn is not None and not conn.flows
+            else 0
+        )
         quick = event.latency_us < TRY_SHARE * aim
         if server is not None:
             self._take_report(server, event.report, event.latency_us)
             if conn is not None and quick and event.result in QUICK_FAULTS:
                 conn.doubted.append(server)
-            elif event.result in SERVER_FAULTS and not (quick and event.result is Result.TIMEOUT):
+            elif event.result in SERVER_FAULTS and not (
+                quick and event.result is AttemptResult.TIMEOUT
+            ):
                 self._eject(server)
-            elif event.result is Result.FULL:
+            elif event.result is AttemptResult.OVERLOADED:
                 server.full_until = self.now + SLOW_US
                 self._reorder(server)
         if conn is None or conn.out != event.attempt:
             return
-        once = event.result is Result.ERROR and conn.attempts == 1
+        once = event.result is AttemptResult.ERROR and conn.attempts == 1
         if event.result in SHARED_FAULTS and not conn.flows and (once or not quick):
             self.failures += 1
             if self.failures >= GATE_AFTER:
@@ -455,13 +545,13 @@
             conn.tried.append(conn.server)
         self.open[conn.tenant] -= conn.flows
         conn.out = None
-        if event.finished or conn.done:
+        if event.is_final or conn.done:
             self._close(conn)
         else:
             self._place(conn)
 
-    def _on_load_note(self, event: api.LoadNote) -> None:
-        conn = self.conns.get(event.request)
+    def _on_load_note(self, event: ConnectionLoadChanged) -> None:
+        conn = self.conns.get(event.request_id)
         if conn is None or conn.out != event.attempt:
             return
         self.class_load[conn.cls] += LEARN * (event.load - self.class_load[conn.cls])
@@ -469,23 +559,26 @@
             self._add_own(conn.server, event.load - conn.load)
         conn.load = event.load
 
-    def _on_delay_note(self, event: api.DelayNote) -> None:
+    def _on_delay_note(self, event: MessageDelayObserved) -> None:
         """Slow messages tell for nothing, and sooner than a report, that a server is full."""
-        server = self.fleet.get(event.server)
+        server = self.fleet.get(event.server_id)
         if server is not None:
-            aim = min(c.message_aim_us or c.aim_us for c in self.settings.classes)
+            aim = min(
+                c.message_latency_objective_us or c.latency_objective_us
+                for c in self.settings.classes
+            )
             server.slow_until = self.now + SLOW_US if event.delay_us > aim / 3 else 0
             self._reorder(server)
             # A jam is a ground for moves, once a report says how much has to go.
             jammed = event.delay_us > aim and server.relief_at <= self.now
-            if jammed and self.settings.can_probe and server.id not in self.waiting:
+            if jammed and self.settings.can_check_health and server.id not in self.waiting:
                 self._rest(server)
                 self.waiting[server.id] = []
-                self.actions.append(api.Probe(server.id))
+                self.actions.append(CheckHealth(server.id))
 
-    def _on_stalled(self, event: api.Stalled) -> None:
+    def _on_stalled(self, event: ServerUnresponsive) -> None:
         """A silent connection must not be kept: its client comes again, and goes elsewhere."""
-        conn, server = self.conns.get(event.request), self.fleet.get(event.server)
+        conn, server = self.conns.get(event.request_id), self.fleet.get(event.server_id)
         if server is not None:
             self._eject(server)
         if conn is not None and conn.flows and not conn.done and conn.out == event.attempt:
@@ -500,10 +593,10 @@
             self._after(self.rng.random() * span, partial(self._clear_one, conn))
 
     def _clear_one(self, conn: Conn) -> None:
-        if self.leave_by or (conn.server is not None and conn.server.state is State.DRAINING):
+        if self.leave_by or (conn.server is not None and conn.server.state is ServerState.DRAINING):
             self._move(conn)
 
-    def _on_leaving(self, event: api.Leaving) -> None:
+    def _on_leaving(self, event: ProxyDraining) -> None:
         """Move every connection in good time, spread evenly so that the servers are not flooded, or none."""
         self.leave_by = self.now + int(LEAVE_SHARE * event.within_us) if event.within_us else 0
         for conn in self.conns.values() if self.leave_by else ():
@@ -516,7 +609,7 @@
 
     def _move(self, conn: Conn) -> None:
         if conn.flows and not conn.done:
-            self.actions.append(api.Move(conn.id))
+            self.actions.append(MigrateConnection(conn.id))
             conn.done = True
 
     def _rest(self, server: Server) -> None:
@@ -550,66 +643,71 @@
         self.next_token += 1
         self.timers[self.next_token] = then
         self.actions.append(
-            api.SetTimer(self.next_token, max(int(delay_us), self.settings.tick_us))
+            StartTimer(self.next_token, max(int(delay_us), self.settings.timer_resolution_us))
         )
 
-    def _on_timer(self, event: api.TimerFired) -> None:
-        self.timers.pop(event.token, lambda: None)()
+    def _on_timer(self, event: TimerFired) -> None:
+        self.timers.pop(event.timer_id, lambda: None)()
 
     # Fleet view and probing
 
-    def _on_list(self, event: api.FleetList) -> None:
-        if event.kind is ListKind.FAILED:
+    def _on_list(self, event: EndpointListUpdate) -> None:
+        if event.kind is EndpointListKind.FAILED:
             self.ask_span = min(max(2 * self.ask_span, self.calm), self.ask_most)
             self._after(
-                self.ask_span * self.rng.uniform(1 / 3, 1), lambda: self.actions.append(api.Watch())
+                self.ask_span * self.rng.uniform(1 / 3, 1),
+                lambda: self.actions.append(WatchEndpoints()),
             )
             return
         self.ask_span = 0
-        if event.kind is not ListKind.CHANGES:
-            named = {entry.server for entry in event.entries}
+        if event.kind is not EndpointListKind.CHANGES:
+            named = {entry.server_id for entry in event.endpoints}
             gone = [s.listed for s in self.fleet.values() if s.id not in named]
-            self._list_entries([replace(entry, state=State.GONE) for entry in gone])
-        self._list_entries(event.entries)
+            self._list_entries([replace(entry, state=ServerState.REMOVED) for entry in gone])
+        self._list_entries(event.endpoints)
 
-    def _on_suspended(self, event: api.Suspended) -> None:
+    def _on_suspended(self, event: AdministrativeEjection) -> None:
         """Have a server drain whatever the list says, or take it back as one that starts now and is well."""
-        server, changed = self.fleet.get(event.server), {event.server}
-        back = not event.on and event.server in self.suspended
-        self.suspended = self.suspended | changed if event.on else self.suspended - changed
+        server, changed = self.fleet.get(event.server_id), {event.server_id}
+        back = not event.is_ejected and event.server_id in self.suspended
+        self.suspended = self.suspended | changed if event.is_ejected else self.suspended - changed
         if server is not None and back:
             server.ejected_until, server.slow_until, server.full_until = self.now - PROVEN_US, 0, 0
-            server.listed = replace(server.listed, started_at=self.now)
-            if self.settings.can_probe:
+            server.listed = replace(server.listed, started_at_us=self.now)
+            if self.settings.can_check_health:
                 self._probe(server)
         if server is not None:
             self._list_entries([server.listed])
 
-    def _list_entries(self, entries: Iterable[api.ServerEntry]) -> None:
+    def _list_entries(self, entries: Iterable[Endpoint]) -> None:
         for entry in entries:
-            server = self.fleet.get(entry.server)
+            server = self.fleet.get(entry.server_id)
             if server is None:
-                server = Server(entry.server, self.rng.random(), _short(entry.server, MARK), entry)
+                server = Server(
+                    entry.server_id, self.rng.random(), _short(entry.server_id, MARK), entry
+                )
                 self.fleet[server.id] = self.marks[server.mark] = server
             server.listed, state = entry, entry.state
-            if state is State.READY and server.id in self.suspended:
-                state = State.DRAINING
-            restarted = entry.started_at > server.started_at
-            drains = state is State.DRAINING and server.state is not State.DRAINING
-            if state is not State.READY and server.state is State.READY:
+            if state is ServerState.READY and server.id in self.suspended:
+                state = ServerState.DRAINING
+            restarted = entry.started_at_us > server.started_at
+            drains = state is ServerState.DRAINING and server.state is not ServerState.DRAINING
+            if state is not ServerState.READY and server.state is ServerState.READY:
                 server.told_at = self.now
             server.state, server.zone, server.cell = state, entry.zone, entry.cell
             if drains:
                 self._clear(server, list(server.conns.values()))
-            if state is State.GONE:
+            if state is ServerState.REMOVED:
                 self._forget_load(server)
             if server.weight != max(entry.weight, 1e-3):
                 self._forget_report(server)
                 server.weight = max(entry.weight, 1e-3)
             if restarted:
-                server.started_at = entry.started_at
+                server.started_at = entry.started_at_us
                 self._forget_load(server)
-                server.warm_at = entry.started_at + self.settings.cold_us if entry.started_at else 0
+                server.warm_at = (
+                    entry.started_at_us + self.settings.slow_start_us if entry.started_at_us else 0
+                )
                 self._close_cold(
                     server, self.rng.random()
                 )  # not all instances send their first together
@@ -617,7 +715,7 @@
 
     def _look(self, conn: Conn) -> None:
         """Refresh the apparently lowest just before placing; a steady sweep would be stale or dear."""
-        wait = int(PROBE_WAIT * self.settings.classes[conn.cls].aim_us)
+        wait = int(PROBE_WAIT * self.settings.classes[conn.cls].latency_objective_us)
         near, shares = self._band(conn, looking=True)
         most = 1 if conn.group is None else GROUP_LOOKS
         again = (
@@ -651,23 +749,23 @@
         self.probe_credit -= 1
         if server.id not in self.waiting:
             self.waiting[server.id] = []
-            self.actions.append(api.Probe(server.id))
+            self.actions.append(CheckHealth(server.id))
 
-    def _on_probe(self, event: api.ProbeResult) -> None:
-        server = self.fleet.get(event.server)
-        if server is not None and event.result is Result.OK:
+    def _on_probe(self, event: HealthCheckCompleted) -> None:
+        server = self.fleet.get(event.server_id)
+        if server is not None and event.result is AttemptResult.OK:
             self._take_report(server, event.report, event.latency_us)
             self._relieve(server)
         elif server is not None and event.result in SERVER_FAULTS:
             self._eject(server)
-        for conn in self.waiting.pop(event.server, ()):
+        for conn in self.waiting.pop(event.server_id, ()):
             conn.looks -= 1
             if conn.looks == 0:
                 self._resume_held(conn, self._look)  # a group may have to go on to the next
 
-    def _take_report(self, server: Server, report: api.Report | None, latency_us: int) -> None:
-        told = api.Report() if report is None else report
-        ratio = told.utilization if told.ratio is None else told.ratio
+    def _take_report(self, server: Server, report: LoadReport | None, latency_us: int) -> None:
+        told = LoadReport() if report is None else report
+        ratio = told.utilization if told.load_ratio is None else told.load_ratio
         if ratio is None:
             return
         ratio = min(ratio, SATURATED)
@@ -692,7 +790,7 @@
         server.recent.clear()
 
     def _add_own(self, server: Server, load: float) -> None:
-        if server.state is State.GONE:
+        if server.state is ServerState.REMOVED:
             return  # no report will ever contain it
         server.recent.append((self.now, load))
         server.own += load
@@ -703,53 +801,58 @@
     def _remember(self, tag: bytes, mark: bytes) -> None:
         self.holders.pop(tag, None)
         self.holders[tag] = mark
-        if len(self.holders) > self.settings.holders_most:
+        if len(self.holders) > self.settings.sticky_table_capacity:
             del self.holders[next(iter(self.holders))]
 
-    def _on_present(self, event: api.Present) -> None:
-        self.present = event.instances
+    def _on_present(self, event: LivePeersChanged) -> None:
+        self.present = event.proxies
 
     def _keepers(self, tag: bytes) -> list[int]:
         """The other instances that are told where a connection stands: the next that are present."""
-        count, own = self.settings.instances, self.settings.index
+        count, own = self.settings.proxy_count, self.settings.proxy_index
         first, many = (int.from_bytes(tag, "big"), KEEPERS) if count >= MANY else (own + 1, 1)
         ring = (p for j in range(count) if (p := (first + j) % count) in self.present)
         return [p for p in islice(ring, many) if p != own]
 
     def _tell_held(self, peer: int, tags: Sequence[bytes]) -> None:
-        entries = [tag + self.holders[tag] for tag in tags if tag in self.holders]
+        entries = [StickyEntry(tag, self.holders[tag]) for tag in tags if tag in self.holders]
         for first in range(0, len(entries) if self.tells else 0, TOLD_MOST):
-            self.actions.append(api.Tell(peer, HELD + b"".join(entries[first : first + TOLD_MOST])))
+            self.actions.append(
+                SendGossip(peer, StickyEntries(tuple(entries[first : first + TOLD_MOST])))
+            )
 
-    def _on_peer(self, event: api.PeerMessage) -> None:
+    def _on_peer(self, event: GossipReceived) -> None:
         """Learn where connections stand, or tell it; one that has started kept what its neighbours keep."""
-        kind, body = event.data[:1], event.data[1:]
-        if kind == ASKED:
-            self._tell_held(event.sender, [body])
-        elif kind == STARTED:
-            flows = [conn.tag for conn in self.conns.values() if conn.flows]
-            own = event.sender == self.settings.index
-            known = (
-                flows if own or self.settings.instances < MANY else list(self.holders)[-AGAIN_MOST:]
-            )
-            self._tell_held(
-                event.sender, [t for t in known if own or event.sender in self._keepers(t)]
-            )
-            if own:
-                learnt = len(self.arrivals), self.mean_load, self.move_credit, *self.class_load
-                self.actions.append(api.Tell(event.sender, LEARNT + self.learnt.pack(*learnt)))
-        elif (
-            kind == LEARNT and event.sender == self.settings.index and len(body) == self.learnt.size
-        ):
-            count, self.mean_load, self.move_credit, *self.class_load = self.learnt.unpack(body)
-            self.arrivals = deque([self.now] * int(count))
-        elif kind == HELD:
-            for at in range(0, len(body) - TAG - MARK + 1, TAG + MARK):
-                self._remember(body[at : at + TAG], body[at + TAG : at + TAG + MARK])
+        message = event.message
+        if isinstance(message, StickyEntryQuery):
+            self._tell_held(event.sender_index, [message.key_hash])
+        elif isinstance(message, ProxyStarted):
+            self._answer_started(event.sender_index)
+        elif isinstance(message, LearnedState):
+            own = event.sender_index == self.settings.proxy_index
+            if own and len(message.class_loads) == len(self.class_load):
+                self.mean_load, self.move_credit = message.mean_load, message.migration_credit
+                self.class_load = list(message.class_loads)
+                self.arrivals = deque([self.now] * int(message.arrival_count))
+        elif isinstance(message, StickyEntries):
+            for tag, mark in message.entries:
+                self._remember(tag, mark)
             for conn in list(self.conns.values()):
                 if conn.midflow and not conn.attempts and conn.tag in self.holders:
                     self._resume_held(conn)
 
+    def _answer_started(self, sender: int) -> None:
+        own = sender == self.settings.proxy_index
+        if own or self.settings.proxy_count < MANY:
+            known = [conn.tag for conn in self.conns.values() if conn.flows]
+        else:
+            known = list(self.holders)[-AGAIN_MOST:]
+        self._tell_held(sender, [tag for tag in known if own or sender in self._keepers(tag)])
+        if own:
+            counts = len(self.arrivals), self.mean_load, self.move_credit
+            learned = LearnedState(*counts, tuple(self.class_load))
+            self.actions.append(SendGossip(sender, learned))
+
     # Ratio and choice
 
     def _mean(self) -> float:
@@ -772,7 +875,7 @@
 
     def _ratio(self, server: Server) -> float:
         """What it is ranked by: its load, the price of a crossing, and more while it is slow or full."""
-        crossing = self.settings.prices.cross_zone if server.zone != self.settings.zone else 0.0
+        crossing = self.settings.costs.cross_zone if server.zone != self.settings.zone else 0.0
         marked = max(server.slow_until, server.full_until) > self.now
         return self._load(server) + crossing + FULL_RATIO * marked
 
@@ -786,7 +889,7 @@
         if server.entry is not None:
             del self.ranking[bisect_left(self.ranking, server.entry)]
             server.entry = None
-        if server.state is State.READY:
+        if server.state is ServerState.READY:
             server.entry = (self._ratio(server), server.tie, server)
             insort(self.ranking, server.entry)
 
@@ -796,7 +899,7 @@
             self.ranked_at = self.now
             for server in self.fleet.values():
                 entry = self._ratio(server), server.tie, server
-                server.entry = entry if server.state is State.READY else None
+                server.entry = entry if server.state is ServerState.READY else None
             self.ranking = sorted(s.entry for s in self.fleet.values() if s.entry is not None)
         if conn.group is not None:
             drawn = self._draw_for_group(conn, conn.group, looking)
@@ -876,7 +979,7 @@
 
     def _shut_gate(self) -> None:
         """Pace set-ups while one after the other fails: a slow shared store is kept down by tries at once."""
-        least = min(c.aim_us for c in self.settings.classes)
+        least = min(c.latency_objective_us for c in self.settings.classes)
         span = min(least * GATE_SHARE * 2 ** min(self.failures - GATE_AFTER, 20), GATE_MOST * least)
         self.gate_at = self.now + int(span * (0.5 + self.rng.random()))
 
@@ -884,18 +987,20 @@
         """Count the listed servers that get nothing new now: not ready, or cast out while that is heeded."""
         self.now = now
         until = now if self._ejections_trusted() else math.inf
-        listed = [s for s in self.fleet.values() if s.state is not State.GONE]
-        return sum(s.state is State.DRAINING or s.ejected_until > until for s in listed)
+        listed = [s for s in self.fleet.values() if s.state is not ServerState.REMOVED]
+        return sum(s.state is ServerState.DRAINING or s.ejected_until > until for s in listed)
 
     # Admission
 
     def _refuses(self, conn: Conn) -> bool:
         """Refuse early rather than jam: the least worth for its load first."""
-        limits, worth = self.settings, self.settings.classes[conn.cls].worth
+        limits, worth = self.settings, self.settings.classes[conn.cls].priority_weight
         quota = self.quotas[min(conn.tenant, len(limits.tenants))]
         if limits.tenants and quota <= self.open[conn.tenant] * len(self.present):
-            worth *= limits.over_share_worth  # that of one who is no tenant is past any share
-        density = worth if limits.worth_by_work else worth / max(conn.load, 1e-6)
+            worth *= (
+                limits.over_quota_priority_factor
+            )  # that of one who is no tenant is past any share
+        density = worth if limits.weighs_priority_by_load else worth / max(conn.load, 1e-6)
         below = sum((d < density) + 0.5 * (d == density) for d in self.densities)
         rank = below / len(self.densities) if self.densities else 1.0
         self.densities.append(density)
@@ -917,9 +1022,9 @@
         if server.warm_at <= self.now:
             return
         first, cold, most = (
-            self.settings.cold_from,
-            self.settings.cold_us,
-            self.settings.tip_multiple,
+            self.settings.slow_start_initial_fraction,
+            self.settings.slow_start_us,
+            self.settings.collapse_multiple,
         )
         pace = (
             COLD_FILL * most * server.weight / max(self.mean_load, 1e-6) / cold / len(self.present)
--- a/larchhaven/simulator/codec.py
+++ b/larchhaven/simulator/codec.py
@@ -8,7 +8,50 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import TypeVar
 
-from larchhaven.routing import interface as api
+from larchhaven.gossip import codec as gossip_codec
+from larchhaven.routing.actions import (
+    Action,
+    CancelAttempt,
+    CheckHealth,
+    CloseIdleConnections,
+    FailRequest,
+    LogMessage,
+    MigrateConnection,
+    PollEndpoints,
+    RejectRequest,
+    SendGossip,
+    StartAttempt,
+    StartTimer,
+    WatchEndpoints,
+)
+from larchhaven.routing.events import (
+    AttemptEnded,
+    AttemptResult,
+    ClientDisconnected,
+    ConnectionEstablished,
+    ConnectionLoadChanged,
+    ConnectionRestored,
+    Endpoint,
+    EndpointListKind,
+    EndpointListUpdate,
+    Event,
+    GossipReceived,
+    HealthCheckCompleted,
+    LoadReport,
+    MessageDelayObserved,
+    RequestArrived,
+    ServerState,
+    TimerFired,
+)
+from larchhaven.routing.settings import (
+    DeduplicationScope,
+    Idempotency,
+    OperationCosts,
+    RequestClass,
+    RoutingSettings,
+    Tenant,
+    WeightSource,
+)
 
 T = TypeVar("T")
 
@@ -18,39 +61,43 @@
 
 
 _EFFECTS = {
-    "idempotent": api.Effect.SAFE,
-    "deduplicated": api.Effect.KEYED,
-    "at_most_once": api.Effect.UNSAFE,
+    "idempotent": Idempotency.ALWAYS,
+    "deduplicated": Idempotency.WITH_KEY,
+    "at_most_once": Idempotency.NEVER,
 }
-_SCOPES = {"all": api.Scope.ALL, "zone": api.Scope.ZONE, "cell": api.Scope.CELL}
-_STATES = {"on": api.State.READY, "fading": api.State.DRAINING, "off": api.State.GONE}
+_SCOPES = {
+    "all": DeduplicationScope.ALL,
+    "zone": DeduplicationScope.ZONE,
+    "cell": DeduplicationScope.CELL,
+}
+_STATES = {"on": ServerState.READY, "fading": ServerState.DRAINING, "off": ServerState.REMOVED}
 _LISTS = {
-    "changes": api.ListKind.CHANGES,
-    "all": api.ListKind.COMPLETE,
-    "remembered": api.ListKind.REMEMBERED,
-    "refused": api.ListKind.FAILED,
+    "changes": EndpointListKind.CHANGES,
+    "all": EndpointListKind.COMPLETE,
+    "remembered": EndpointListKind.CACHED,
+    "refused": EndpointListKind.FAILED,
 }
 _RESULTS = {
-    "GOOD": api.Result.OK,
-    "BAD": api.Result.ERROR,
-    "FULL": api.Result.FULL,
-    "LATE": api.Result.TIMEOUT,
-    "NOCONN": api.Result.UNREACHABLE,
-    "RST": api.Result.RESET,
-    "CXL": api.Result.CANCELLED,
-    "NOP": api.Result.NOT_SENT,
+    "GOOD": AttemptResult.OK,
+    "BAD": AttemptResult.ERROR,
+    "FULL": AttemptResult.OVERLOADED,
+    "LATE": AttemptResult.TIMEOUT,
+    "NOCONN": AttemptResult.UNREACHABLE,
+    "RST": AttemptResult.RESET,
+    "CXL": AttemptResult.CANCELLED,
+    "NOP": AttemptResult.NOT_SENT,
 }
 _WEIGHTS = {
-    "silent": api.Weights.NONE,
-    "nominal": api.Weights.NOMINAL,
-    "rough": api.Weights.ROUGH,
-    "live": api.Weights.LIVE,
+    "silent": WeightSource.NONE,
+    "nominal": WeightSource.NOMINAL,
+    "rough": WeightSource.ESTIMATED,
+    "live": WeightSource.LIVE,
 }
 _REPORT_FIELDS = {
-    "x0": "ratio",
+    "x0": "load_ratio",
     "utilization": "utilization",
-    "outstanding": "inflight",
-    "backlog": "queue",
+    "outstanding": "in_flight",
+    "backlog": "queue_length",
     "x1": "backlog_s",
 }
 _BOOLS = {"0": False, "1": True}
@@ -98,7 +145,7 @@
     return None if text == "-" else _number(text, "effort") * _MICRO
 
 
-def _report(text: str) -> api.Report | None:
+def _report(text: str) -> LoadReport | None:
     if text in ("-", ""):
         return None
     values: dict[str, float] = {}
@@ -109,7 +156,7 @@
         field = _REPORT_FIELDS.get(name)
         if field and value != "-":
             values[field] = _number(value, f"telemetry {name}")
-    return api.Report(**values)
+    return LoadReport(**values)
 
 
 def _bytes(text: str) -> bytes:
@@ -121,8 +168,8 @@
         raise WireError(f"expected base64 data, not {text!r}") from None
 
 
-def _submit(p: list[str]) -> api.Event:
-    return api.Arrival(
+def _submit(p: list[str]) -> Event:
+    return RequestArrived(
         _int(p[1], "op_id"),
         _int(p[2], "profile"),
         _int(p[5], "budget"),
@@ -136,8 +183,8 @@
     )
 
 
-def _resumed(p: list[str]) -> api.Event:
-    arrival = api.Arrival(
+def _resumed(p: list[str]) -> Event:
+    arrival = RequestArrived(
         _int(p[1], "op_id"),
         _int(p[4], "profile"),
         _int_or_0(p[2], "budget"),
@@ -149,39 +196,39 @@
         _flag(p[3], "stray"),
         _flag(p[6], "reconnect"),
     )
-    return api.Resumed(arrival, p[9])
+    return ConnectionRestored(arrival, p[9])
 
 
-def _wakeup(p: list[str]) -> api.Event:
-    return api.TimerFired(_int(p[1], "key_back"))
+def _wakeup(p: list[str]) -> Event:
+    return TimerFired(_int(p[1], "key_back"))
 
 
-def _echo(p: list[str]) -> api.Event:
-    return api.ProbeResult(
+def _echo(p: list[str]) -> Event:
+    return HealthCheckCompleted(
         p[2], _word(_RESULTS, p[1], "reason"), _int_or_0(p[3], "time_taken"), _report(p[4])
     )
 
 
-def _from_peer(p: list[str]) -> api.Event:
-    return api.PeerMessage(_int(p[1], "src"), _bytes(p[2]))
+def _from_peer(p: list[str]) -> Event:
+    return GossipReceived(_int(p[1], "src"), gossip_codec.decode(_bytes(p[2])))
 
 
-def _hint_update(p: list[str]) -> api.Event:
+def _hint_update(p: list[str]) -> Event:
     request, attempt, level = _int(p[1], "op_id"), _int(p[2], "leg"), _number(p[3], "level")
     what = _int(p[4], "what")
     if what == 1:
-        return api.LoadNote(request, attempt, p[5], level * _MICRO)
+        return ConnectionLoadChanged(request, attempt, p[5], level * _MICRO)
     if what == 2:
-        return api.DelayNote(request, attempt, p[5], level * 1000)
+        return MessageDelayObserved(request, attempt, p[5], level * 1000)
     raise WireError(f"expected what to be 1 or 2, not {what}")
 
 
-def _aborted(p: list[str]) -> api.Event:
-    return api.ClientGone(_int(p[1], "op_id"))
+def _aborted(p: list[str]) -> Event:
+    return ClientDisconnected(_int(p[1], "op_id"))
 
 
-def _ended(p: list[str]) -> api.Event:
-    return api.AttemptEnded(
+def _ended(p: list[str]) -> Event:
+    return AttemptEnded(
         _int(p[1], "op_id"),
         _int(p[2], "leg"),
         p[3],
@@ -192,13 +239,13 @@
     )
 
 
-def _streaming(p: list[str]) -> api.Event:
-    return api.Established(
+def _streaming(p: list[str]) -> Event:
+    return ConnectionEstablished(
         _int(p[1], "op_id"), _int(p[2], "leg"), p[3], _int_or_0(p[4], "time_taken")
     )
 
 
-_EVENTS: dict[str, tuple[Callable[[list[str]], api.Event], str]] = {
+_EVENTS: dict[str, tuple[Callable[[list[str]], Event], str]] = {
     "submit": (
         _submit,
         "op_id profile customer affinity budget effort group is_retry stray reconnect",
@@ -224,7 +271,7 @@
         raise WireError(f"expected '{parts[0]} {fields}', found {len(parts) - 1} fields")
 
 
-def decode_event(parts: list[str]) -> api.Event:
+def decode_event(parts: list[str]) -> Event:
     """Turn one split line into an event; view, context and the like are the adapter's."""
     entry = _EVENTS.get(parts[0])
     if entry is None:
@@ -234,7 +281,7 @@
     return entry[0](parts)
 
 
-def decode_view(parts: list[str], take_line: Callable[[], str]) -> api.FleetList:
+def decode_view(parts: list[str], take_line: Callable[[], str]) -> EndpointListUpdate:
     """Turn a view line and the server lines after it into a fleet list."""
     expect_fields(parts, "kind revision members_list")
     kind = _word(_LISTS, parts[1], "kind")
@@ -242,14 +289,14 @@
     if count < 0:
         raise WireError(f"expected members_list to be 0 or more, not {count}")
     entries = tuple(_decode_server(take_line().split(" ")) for _ in range(count))
-    return api.FleetList(kind, _int_or_0(parts[2], "revision"), entries)
+    return EndpointListUpdate(kind, _int_or_0(parts[2], "revision"), entries)
 
 
-def _decode_server(parts: list[str]) -> api.ServerEntry:
+def _decode_server(parts: list[str]) -> Endpoint:
     if parts[0] != "server":
         raise WireError(f"expected a 'server' line of the view, not {parts[0]!r}")
     expect_fields(parts, "cluster weight started_at dc readiness machine server")
-    return api.ServerEntry(
+    return Endpoint(
         parts[7],
         _word(_STATES, parts[5], "readiness"),
         1.0 if parts[2] == "-" else _number(parts[2], "weight"),
@@ -317,7 +364,7 @@
     return default if i >= len(items) or items[i] in _ABSENT else _number(items[i], what)
 
 
-def decode_settings(text: str) -> api.Settings:
+def decode_settings(text: str) -> RoutingSettings:
     """Turn the options of an open_instance line into Settings."""
     pairs: dict[str, str] = {}
     for pair in text.split(" "):
@@ -328,7 +375,7 @@
     return _settings(_Options(pairs))
 
 
-def decode_nested_settings(settings: Mapping[str, object]) -> api.Settings:
+def decode_nested_settings(settings: Mapping[str, object]) -> RoutingSettings:
     """Turn the same settings, as nested objects and lists, into Settings."""
     pairs: dict[str, str] = {}
     for name, value in settings.items():
@@ -357,14 +404,14 @@
     return str(value).replace(" ", "_").replace(",", "_")
 
 
-def _settings(o: _Options) -> api.Settings:
+def _settings(o: _Options) -> RoutingSettings:
     aims = o.items("family_info.message_aim")
     quotas = o.items("family_info.tenant_quota_connections")
     classes = []
     for i in range(o.count("services")):
         at = f"services.{i}"
         classes.append(
-            api.RequestClass(
+            RequestClass(
                 o.whole(f"{at}.aim"),
                 o.whole(f"{at}.deadline"),
                 o.number(f"{at}.credit", 1.0),
@@ -377,7 +424,7 @@
             )
         )
     tenants = tuple(
-        api.Tenant(
+        Tenant(
             o.number(f"parties.{i}.share", 0.0),
             o.number(f"parties.{i}.allowance_per_s", 0.0),
             _number_at(quotas, i, "family_info.tenant_quota_connections", math.inf),
@@ -386,72 +433,79 @@
     )
     how = o.text("report.how", "silent")
     names = () if how == "silent" else tuple(o.items("report.fields"))
-    prices = api.Prices(
-        **{
-            name: o.number(f"prices.{name}", 0.0)
-            for name in ("probe", "peer", "cross_zone", "moves", "waste", "late_fail", "handshake")
-        }
+    costs = OperationCosts(
+        health_check=o.number("prices.probe", 0.0),
+        gossip_message=o.number("prices.peer", 0.0),
+        cross_zone=o.number("prices.cross_zone", 0.0),
+        migration=o.number("prices.moves", 0.0),
+        wasted_work=o.number("prices.waste", 0.0),
+        late_failure=o.number("prices.late_fail", 0.0),
+        handshake=o.number("prices.handshake", 0.0),
     )
     try:
-        return api.Settings(
+        return RoutingSettings(
             classes=tuple(classes),
-            instances=o.whole("instances"),
-            index=o.whole("index"),
+            proxy_count=o.whole("instances"),
+            proxy_index=o.whole("index"),
             drain_grace_us=o.whole("contract.stop_sending_within"),
-            cold_us=o.whole("contract.cold"),
-            cold_from=o.number("contract.cold_from"),
-            tip_multiple=o.number("contract.tip_multiple"),
-            tip_after_us=o.whole("contract.tip_after"),
+            slow_start_us=o.whole("contract.cold"),
+            slow_start_initial_fraction=o.number("contract.cold_from"),
+            collapse_multiple=o.number("contract.tip_multiple"),
+            collapse_delay_us=o.whole("contract.tip_after"),
             max_attempts=o.whole("policy_limits.most_tries"),
             zone=o.whole("zone", 0),
-            zones=max(1, len(o.items("zones"))),
-            tick_us=o.whole("tick"),
+            zone_count=max(1, len(o.items("zones"))),
+            timer_resolution_us=o.whole("tick"),
             tenants=tenants,
-            over_share_worth=o.number("over_share_worth", 1.0),
-            subscribe=o.word("discovery", {"automatic": False, "subscribe": True}),
-            ask_within_us=o.whole("contract.ask_within", 10_000_000),
-            answer_slack_us=o.whole("contract.answer_slack", 0),
+            over_quota_priority_factor=o.number("over_share_worth", 1.0),
+            subscribes_to_endpoints=o.word("discovery", {"automatic": False, "subscribe": True}),
+            poll_deadline_us=o.whole("contract.ask_within", 10_000_000),
+            response_slack_us=o.whole("contract.answer_slack", 0),
             can_cancel=o.flag("policy_limits.cancel"),
-            parallel_tries=o.flag("policy_limits.parallel_tries"),
-            can_probe=o.flag("policy_limits.probes"),
-            can_tell=o.flag("policy_limits.may_tell"),
-            retry_after=o.flag("policy_limits.retry_after"),
+            can_hedge=o.flag("policy_limits.parallel_tries"),
+            can_check_health=o.flag("policy_limits.probes"),
+            can_gossip=o.flag("policy_limits.may_tell"),
+            sends_retry_after=o.flag("policy_limits.retry_after"),
             max_retry_after_us=o.whole("policy_limits.max_retry_after", 0),
-            max_open=o.whole("policy_limits.max_open", 0),
+            max_open_connections=o.whole("policy_limits.max_open", 0),
             connect_timeout_us=o.whole("policy_limits.connect_timeout", 250_000),
             pass_through=o.text("family_info.mode", "proxy") == "pass",
-            park_us=o.whole("family_info.park", 0),
-            tells_load=o.flag("family_info.tells_load"),
-            tells_delay=o.flag("family_info.tells_delay"),
-            shared_groups=o.flag("family_info.groups"),
-            has_hint=bool(o.text("family_info.hint", " ").strip()),
-            worth_by_work=o.text("worth_by", "request") == "work",
-            weights=o.word("weights", _WEIGHTS, "silent"),
+            idle_park_us=o.whole("family_info.park", 0),
+            has_load_updates=o.flag("family_info.tells_load"),
+            has_delay_updates=o.flag("family_info.tells_delay"),
+            has_affinity_groups=o.flag("family_info.groups"),
+            has_load_hint=bool(o.text("family_info.hint", " ").strip()),
+            weighs_priority_by_load=o.text("worth_by", "request") == "work",
+            weight_source=o.word("weights", _WEIGHTS, "silent"),
             report_fields=tuple(_REPORT_FIELDS.get(name, name) for name in names),
-            prices=prices,
+            costs=costs,
         )
     except ValueError as error:
         raise WireError(f"expected settings that make sense: {error}") from None
 
 
+def _encode_gossip(action: SendGossip) -> str:
+    peer = "*" if action.peer_index is None else action.peer_index
+    data = gossip_codec.encode(action.message)
+    return f"signal {peer} {base64.b64encode(data).decode() or '-'}"
+
+
 _ENCODERS: dict[type, Callable[..., str]] = {
-    api.Send: lambda a: f"place {a.request} {a.timeout_us} {a.server}",
-    api.Refuse: lambda a: f"push_back {a.request} {a.retry_after_us}",
-    api.Fail: lambda a: f"report_failure {a.request}",
-    api.Cancel: lambda a: f"stop_attempt {a.request} {a.attempt}",
-    api.Move: lambda a: f"move {a.request}",
-    api.Probe: lambda a: f"inspect {a.server}",
-    api.Tell: lambda a: (
-        f"signal {'*' if a.peer is None else a.peer} {base64.b64encode(a.data).decode() or '-'}"
-    ),
-    api.SetTimer: lambda a: f"after {a.token} {a.delay_us}",
-    api.Watch: lambda a: f"stream_changes {int(a.on)}",
-    api.FetchList: lambda a: "query_all",
-    api.CloseIdle: lambda a: f"close {a.server}",
-    api.Log: lambda a: f"trace {' '.join(a.text.split())}",
+    StartAttempt: lambda a: f"place {a.request_id} {a.timeout_us} {a.server_id}",
+    RejectRequest: lambda a: f"push_back {a.request_id} {a.retry_after_us}",
+    FailRequest: lambda a: f"report_failure {a.request_id}",
+    CancelAttempt: lambda a: f"stop_attempt {a.request_id} {a.attempt}",
+    MigrateConnection: lambda a: f"move {a.request_id}",
+    CheckHealth: lambda a: f"inspect {a.server_id}",
+    SendGossip: _encode_gossip,
+    StartTimer: lambda a: f"after {a.timer_id} {a.delay_us}",
+    WatchEndpoints: lambda a: f"stream_changes {int(a.is_enabled)}",
+    PollEndpoints: lambda _: "query_all",
+    CloseIdleConnections: lambda a: f"close {a.server_id}",
+    LogMessage: lambda a: f"trace {' '.join(a.text.split())}",
 }
 
 
-def encode_actions(actions: Iterable[api.Action]) -> list[str]:
+def encode_actions(actions: Iterable[Action]) -> list[str]:
     """Turn actions into lines of a reply."""
     return [_ENCODERS[type(action)](action) for action in actions]
--- a/larchhaven/simulator/host.py
+++ b/larchhaven/simulator/host.py
@@ -8,7 +8,7 @@
 from typing import TextIO
 
 from larchhaven.routing.balancer import Balancer
-from larchhaven.routing.interface import Event
+from larchhaven.routing.events import Event
 from larchhaven.simulator import codec as wire
 
 
--- a/larchhaven/soak/days.py
+++ b/larchhaven/soak/days.py
@@ -82,9 +82,13 @@
         what = ABUSES[abuse]
         if what.rate:
             group = scenario.terminals.add(
-                habit=what.habit, arrivals_per_second=what.rate, stay_seconds=what.stay, message_seconds=1.0,
-                bytes=what.size, id_bytes=what.id_bytes,
-            )  # fmt: skip
+                habit=what.habit,
+                arrivals_per_second=what.rate,
+                stay_seconds=what.stay,
+                message_seconds=1.0,
+                bytes=what.size,
+                id_bytes=what.id_bytes,
+            )
             setattr(group, "class", "cevap-kaydet")
         _every(scenario, seconds, what.surge_every, Event(surge=what.surge))
         _every(scenario, seconds, what.reconnect_every, Event(reconnect_all=True))
--- a/tests/deployments.py
+++ b/tests/deployments.py
@@ -15,8 +15,36 @@
 from functools import partial
 from typing import Any
 
-from larchhaven.routing import interface as api
+from larchhaven.gossip.codec import encode
+from larchhaven.routing.actions import (
+    Action,
+    CancelAttempt,
+    CheckHealth,
+    FailRequest,
+    MigrateConnection,
+    RejectRequest,
+    SendGossip,
+    StartAttempt,
+    StartTimer,
+)
 from larchhaven.routing.balancer import Balancer
+from larchhaven.routing.events import (
+    AttemptEnded,
+    AttemptResult,
+    ConnectionEstablished,
+    ConnectionLoadChanged,
+    Endpoint,
+    EndpointListKind,
+    EndpointListUpdate,
+    Event,
+    GossipReceived,
+    HealthCheckCompleted,
+    LoadReport,
+    RequestArrived,
+    ServerState,
+    TimerFired,
+)
+from larchhaven.routing.settings import OperationCosts, RequestClass, RoutingSettings, Tenant
 
 SECOND = 1_000_000
 RANGES: dict[str, tuple[Any, ...]] = {
@@ -29,12 +57,18 @@
     "quota": (0.0, 3.0, 40.0, float("inf")),  # connections of a member
     "over_share_worth": (0.0, 0.2, 1.0),
     "price": (0.0, 0.002, 0.5),  # of a probe, a move, a crossing, each drawn by itself
-    "can_probe": (True, True, False),
-    "can_tell": (True, False),
+    "can_check_health": (True, True, False),
+    "can_gossip": (True, False),
     "can_cancel": (True, False),
-    "retry_after": (True, False),
-    "tells_load": (True, False),
-    "fields": (("ratio",), ("utilization",), ("queue",), ("queue", "backlog_s"), ()),
+    "sends_retry_after": (True, False),
+    "has_load_updates": (True, False),
+    "fields": (
+        ("load_ratio",),
+        ("utilization",),
+        ("queue_length",),
+        ("queue_length", "backlog_s"),
+        (),
+    ),
     "max_attempts": (1, 3, 4, 10),
     "grace_s": (0.5, 2.0, 3.0, 10.0),
     "cold_s": (0.0, 4.0, 15.0),
@@ -45,7 +79,7 @@
     "life_s": (5.0, 60.0, 300.0, 3000.0),
     "per_core": (5.0, 25.0, 150.0),  # connections that fill a core
     "groups": (0, 0, 3, 30),
-    "tick_us": (1_000, 5_000, 20_000),
+    "timer_resolution_us": (1_000, 5_000, 20_000),
     "load": (0.3, 0.6, 1.1),  # asked for, of what the servers can do
     "trouble": ("none", "drain", "crash", "silent", "restart", "all full"),
 }
@@ -55,8 +89,8 @@
 class Deployment:
     """One draw: settings as an instance is told them, and what it is not told."""
 
-    settings: api.Settings
-    servers: tuple[api.ServerEntry, ...]
+    settings: RoutingSettings
+    servers: tuple[Endpoint, ...]
     facts: dict[str, Any]
 
 
@@ -65,46 +99,50 @@
     rng = random.Random(seed)
     facts = {name: rng.choice(values) for name, values in RANGES.items()} | fixed
     prices = dict(
-        zip(("probe", "moves", "cross_zone"), rng.choices(RANGES["price"], k=3), strict=True)
+        zip(
+            ("health_check", "migration", "cross_zone"),
+            rng.choices(RANGES["price"], k=3),
+            strict=True,
+        )
     )
     aims = [int(facts["aim_ms"] * 1000 * rng.uniform(1, 3)) for _ in range(facts["classes"])]
     classes = tuple(
-        api.RequestClass(aim, int(aim * facts["patience"]), worth=rng.choice((0.0, 1.0, 5.0)))
+        RequestClass(aim, int(aim * facts["patience"]), priority_weight=rng.choice((0.0, 1.0, 5.0)))
         for aim in aims
     )
     share = 1 / max(facts["members"], 1)
     names = (
-        "can_probe",
-        "can_tell",
+        "can_check_health",
+        "can_gossip",
         "can_cancel",
-        "retry_after",
-        "tells_load",
+        "sends_retry_after",
+        "has_load_updates",
         "max_attempts",
-        "tick_us",
+        "timer_resolution_us",
     )
-    settings = api.Settings(
+    settings = RoutingSettings(
         classes=classes,
-        instances=facts["instances"],
-        index=0,
+        proxy_count=facts["instances"],
+        proxy_index=0,
         drain_grace_us=int(facts["grace_s"] * SECOND),
-        cold_us=int(facts["cold_s"] * SECOND),
-        cold_from=facts["cold_from"],
-        tip_multiple=facts["tip_multiple"],
-        tip_after_us=SECOND * 3 // 2,
-        zones=facts["zones"],
-        tenants=(api.Tenant(share, quota_connections=facts["quota"]),) * facts["members"],
-        over_share_worth=facts["over_share_worth"],
-        max_retry_after_us=SECOND if facts["retry_after"] else 0,
-        answer_slack_us=20_000,
+        slow_start_us=int(facts["cold_s"] * SECOND),
+        slow_start_initial_fraction=facts["cold_from"],
+        collapse_multiple=facts["tip_multiple"],
+        collapse_delay_us=SECOND * 3 // 2,
+        zone_count=facts["zones"],
+        tenants=(Tenant(share, connection_quota=facts["quota"]),) * facts["members"],
+        over_quota_priority_factor=facts["over_share_worth"],
+        max_retry_after_us=SECOND if facts["sends_retry_after"] else 0,
+        response_slack_us=20_000,
         pass_through=rng.random() < 0.5,
-        shared_groups=facts["groups"] > 0,
+        has_affinity_groups=facts["groups"] > 0,
         report_fields=facts["fields"],
-        prices=api.Prices(**prices),
+        costs=OperationCosts(**prices),
         **{name: facts[name] for name in names},
     )
     sizes = rng.choices(RANGES["cores"], k=2)
     servers = tuple(
-        api.ServerEntry(f"h{i}", weight=sizes[i % 2], zone=i % facts["zones"], cell=i // 4)
+        Endpoint(f"h{i}", weight=sizes[i % 2], zone=i % facts["zones"], cell=i // 4)
         for i in range(facts["servers"])
     )
     return Deployment(settings, servers, facts)
@@ -114,7 +152,7 @@
 class Host:
     """A server as it is."""
 
-    entry: api.ServerEntry
+    entry: Endpoint
     load: float = 0.0
     up: bool = True
     silent: bool = False
@@ -122,10 +160,13 @@
     started: int = -(10**12)
     standing: dict[tuple[int, int], float] = field(default_factory=dict)
 
-    def capacity(self, now: int, settings: api.Settings) -> float:
+    def capacity(self, now: int, settings: RoutingSettings) -> float:
         """What it can do now, in cores; it warms up evenly."""
-        warm = min((now - self.started) / max(settings.cold_us, 1), 1.0)
-        return self.entry.weight * (settings.cold_from + (1 - settings.cold_from) * max(warm, 0.0))
+        warm = min((now - self.started) / max(settings.slow_start_us, 1), 1.0)
+        return self.entry.weight * (
+            settings.slow_start_initial_fraction
+            + (1 - settings.slow_start_initial_fraction) * max(warm, 0.0)
+        )
 
 
 class World:
@@ -137,10 +178,10 @@
         self.now = 1000 * SECOND
         self.queue: list[tuple[int, int, Callable[[], None]]] = []
         self.count = itertools.count()
-        self.hosts = {entry.server: Host(entry) for entry in deployment.servers}
+        self.hosts = {entry.server_id: Host(entry) for entry in deployment.servers}
         self.proxies = [
-            Balancer(replace(self.settings, index=i), seed + i)
-            for i in range(self.settings.instances)
+            Balancer(replace(self.settings, proxy_index=i), seed + i)
+            for i in range(self.settings.proxy_count)
         ]
         self.told: dict[tuple[int, str], int] = {}  # by proxy and server: that it drains or is gone
         self.owed: dict[tuple[int, int], int] = {}  # until when
@@ -148,13 +189,13 @@
         self.out: dict[
             tuple[int, int], tuple[int, str]
         ] = {}  # the attempt that is out, and where to
-        self.asked: dict[tuple[int, int], api.Arrival] = {}
+        self.asked: dict[tuple[int, int], RequestArrived] = {}
         self.answers: dict[str, int] = defaultdict(int)
         mean = 1 / self.facts["per_core"]
         room = sum(host.entry.weight for host in self.hosts.values()) * self.facts["load"]
         self.loads = [mean * self.rng.uniform(0.3, 2.0) for _ in self.settings.classes]
         self.arrivals_per_s = min(room / mean / self.facts["life_s"] + 5, 60.0)
-        self._list(api.ListKind.COMPLETE, [host.entry for host in self.hosts.values()])
+        self._list(EndpointListKind.COMPLETE, [host.entry for host in self.hosts.values()])
 
     # Time
 
@@ -175,7 +216,7 @@
         late = [key for key, until in self.owed.items() if until < last - SECOND // 2]
         assert not late, f"without an answer: {late[:3]}"
 
-    def feed(self, proxy: int, event: api.Event) -> None:
+    def feed(self, proxy: int, event: Event) -> None:
         """Hand an event to a proxy, and do what it says."""
         for action in self.proxies[proxy].handle(self.now, [event]):
             self._do(proxy, action)
@@ -187,24 +228,27 @@
             return
         cls = self.rng.randrange(len(self.settings.classes))
         groups = self.facts["groups"]
-        arrival = api.Arrival(
+        arrival = RequestArrived(
             next(self.count),
             cls,
             self.settings.classes[cls].deadline_us,
-            tenant=self.rng.randrange(self.facts["members"] + 1),  # the last is no member
-            key=self.rng.randrange(10**6),
-            group=self.rng.randrange(groups) if groups else None,
-            midflow=self.settings.pass_through and self.rng.random() < 0.05,
+            tenant_index=self.rng.randrange(self.facts["members"] + 1),  # the last is no member
+            affinity_key=self.rng.randrange(10**6),
+            affinity_group=self.rng.randrange(groups) if groups else None,
+            is_mid_flow=self.settings.pass_through and self.rng.random() < 0.05,
         )
         self._ask(arrival)
         self.after(self.rng.expovariate(self.arrivals_per_s) * SECOND, lambda: self._arrive(end))
 
-    def _ask(self, arrival: api.Arrival) -> None:
+    def _ask(self, arrival: RequestArrived) -> None:
         proxy = self.rng.randrange(len(self.proxies))
-        key = (proxy, arrival.request)
+        key = (proxy, arrival.request_id)
         self.asked[key] = arrival
         self.owed[key] = (
-            self.now + arrival.budget_us + self.settings.answer_slack_us + self.settings.tick_us
+            self.now
+            + arrival.budget_us
+            + self.settings.response_slack_us
+            + self.settings.timer_resolution_us
         )
         self.feed(proxy, arrival)
 
@@ -220,59 +264,63 @@
                 if trouble == "restart":
                     self.after(3 * SECOND, partial(self._start, host))
             elif trouble == "drain":
-                host.entry = replace(host.entry, state=api.State.DRAINING)
-                self._list(api.ListKind.CHANGES, [host.entry])
+                host.entry = replace(host.entry, state=ServerState.DRAINING)
+                self._list(EndpointListKind.CHANGES, [host.entry])
 
     def _cut(self, host: Host) -> None:
         for key in list(host.standing):
-            self._end(key, host, api.Result.RESET)
+            self._end(key, host, AttemptResult.RESET)
 
     def _gone(self, host: Host) -> None:
-        self._list(api.ListKind.CHANGES, [replace(host.entry, state=api.State.GONE)])
+        self._list(EndpointListKind.CHANGES, [replace(host.entry, state=ServerState.REMOVED)])
 
     def _start(self, host: Host) -> None:
         host.up, host.started = True, self.now
-        host.entry = replace(host.entry, state=api.State.READY, started_at=self.now)
-        self._list(api.ListKind.CHANGES, [host.entry])
+        host.entry = replace(host.entry, state=ServerState.READY, started_at_us=self.now)
+        self._list(EndpointListKind.CHANGES, [host.entry])
 
-    def _list(self, kind: api.ListKind, entries: list[api.ServerEntry]) -> None:
+    def _list(self, kind: EndpointListKind, entries: list[Endpoint]) -> None:
         for proxy in range(len(self.proxies)):
             for entry in entries:
-                if entry.state is api.State.READY:
-                    self.told.pop((proxy, entry.server), None)
+                if entry.state is ServerState.READY:
+                    self.told.pop((proxy, entry.server_id), None)
                 else:
-                    self.told.setdefault((proxy, entry.server), self.now)
-            self.feed(proxy, api.FleetList(kind, next(self.count), tuple(entries)))
+                    self.told.setdefault((proxy, entry.server_id), self.now)
+            self.feed(proxy, EndpointListUpdate(kind, next(self.count), tuple(entries)))
 
-    def _end(self, key: tuple[int, int], host: Host, result: api.Result) -> None:
+    def _end(self, key: tuple[int, int], host: Host, result: AttemptResult) -> None:
         load = host.standing.pop(key, None)
         if load is not None:
             host.load -= load
             attempt, name = self.out.pop(key)
-            self.feed(key[0], api.AttemptEnded(key[1], attempt, name, result, 1000, finished=True))
+            self.feed(key[0], AttemptEnded(key[1], attempt, name, result, 1000, is_final=True))
 
     # What proxies do
 
-    def _do(self, proxy: int, action: api.Action) -> None:
-        if isinstance(action, api.SetTimer):
+    def _do(self, proxy: int, action: Action) -> None:
+        if isinstance(action, StartTimer):
             assert action.delay_us > 0
-            self.after(action.delay_us, lambda: self.feed(proxy, api.TimerFired(action.token)))
-        elif isinstance(action, api.Send):
+            self.after(action.delay_us, lambda: self.feed(proxy, TimerFired(action.timer_id)))
+        elif isinstance(action, StartAttempt):
             self._send(proxy, action)
-        elif isinstance(action, api.Probe):
-            assert self.settings.can_probe
-            self.after(2000, lambda: self.feed(proxy, self._look(action.server)))
-        elif isinstance(action, api.Tell):
-            assert self.settings.can_tell
-            assert len(action.data) <= 256
+        elif isinstance(action, CheckHealth):
+            assert self.settings.can_check_health
+            self.after(2000, lambda: self.feed(proxy, self._look(action.server_id)))
+        elif isinstance(action, SendGossip):
+            assert self.settings.can_gossip
+            assert len(encode(action.message)) <= 256
             others = [p for p in range(len(self.proxies)) if p != proxy]
-            for peer in others if action.peer is None else [p for p in others if p == action.peer]:
-                self.after(3000, partial(self.feed, peer, api.PeerMessage(proxy, action.data)))
-        elif isinstance(action, api.Refuse | api.Fail):
-            self._answer((proxy, action.request), type(action).__name__)
-        elif isinstance(action, api.Move):
-            self._move((proxy, action.request))
-        elif isinstance(action, api.Cancel):
+            for peer in (
+                others
+                if action.peer_index is None
+                else [p for p in others if p == action.peer_index]
+            ):
+                self.after(3000, partial(self.feed, peer, GossipReceived(proxy, action.message)))
+        elif isinstance(action, RejectRequest | FailRequest):
+            self._answer((proxy, action.request_id), type(action).__name__)
+        elif isinstance(action, MigrateConnection):
+            self._move((proxy, action.request_id))
+        elif isinstance(action, CancelAttempt):
             assert self.settings.can_cancel
 
     def _answer(self, key: tuple[int, int], how: str) -> None:
@@ -284,69 +332,71 @@
 
     def _move(self, key: tuple[int, int]) -> None:
         if key in self.out and key not in self.owed:
-            self._end(key, self.hosts[self.out[key][1]], api.Result.CANCELLED)
-            again = replace(self.asked[key], request=next(self.count), again=True, midflow=False)
+            self._end(key, self.hosts[self.out[key][1]], AttemptResult.CANCELLED)
+            again = replace(
+                self.asked[key], request_id=next(self.count), is_reconnect=True, is_mid_flow=False
+            )
             self.after(200_000, lambda: self._ask(again))
 
-    def _send(self, proxy: int, send: api.Send) -> None:
-        key = (proxy, send.request)
+    def _send(self, proxy: int, send: StartAttempt) -> None:
+        key = (proxy, send.request_id)
         assert key in self.owed, "sent after the answer"
         assert key not in self.out, "two attempts out"
         assert 0 < send.timeout_us <= self.owed[key] - self.now
         self.sends[key] += 1
         assert self.sends[key] <= self.settings.max_attempts
-        told = self.told.get((proxy, send.server))
+        told = self.told.get((proxy, send.server_id))
         assert told is None or self.now <= told + self.settings.drain_grace_us, (
             "sent past the grace of a drain"
         )
-        self.out[key] = self.sends[key] - 1, send.server
-        host = self.hosts[send.server]
+        self.out[key] = self.sends[key] - 1, send.server_id
+        host = self.hosts[send.server_id]
         asked = host.load / host.capacity(self.now, self.settings)
         wait = int(2000 * (1 + 50 * max(asked - 0.9, 0.0)))
         if host.silent or wait >= send.timeout_us:
-            self.after(send.timeout_us, lambda: self._over(key, api.Result.TIMEOUT))
+            self.after(send.timeout_us, lambda: self._over(key, AttemptResult.TIMEOUT))
         elif not host.up:
-            self.after(1000, lambda: self._over(key, api.Result.UNREACHABLE))
+            self.after(1000, lambda: self._over(key, AttemptResult.UNREACHABLE))
         elif host.full:
-            self.after(wait, lambda: self._over(key, api.Result.FULL))
+            self.after(wait, lambda: self._over(key, AttemptResult.OVERLOADED))
         else:
             self.after(wait, lambda: self._stand(key, host))
 
-    def _over(self, key: tuple[int, int], result: api.Result) -> None:
+    def _over(self, key: tuple[int, int], result: AttemptResult) -> None:
         attempt, name = self.out.pop(key)
-        self.feed(key[0], api.AttemptEnded(key[1], attempt, name, result, 1000, finished=False))
+        self.feed(key[0], AttemptEnded(key[1], attempt, name, result, 1000, is_final=False))
 
     def _stand(self, key: tuple[int, int], host: Host) -> None:
-        if not host.up or host.entry.state is api.State.DRAINING:
-            self._over(key, api.Result.FULL)
+        if not host.up or host.entry.state is ServerState.DRAINING:
+            self._over(key, AttemptResult.OVERLOADED)
             return
         assert self.owed.pop(key) >= self.now
         self.answers["up"] += 1
-        load = self.loads[self.asked[key].cls] * self.rng.uniform(0.5, 1.5)
+        load = self.loads[self.asked[key].class_index] * self.rng.uniform(0.5, 1.5)
         host.standing[key] = load
         host.load += load
-        if self.now < host.started + self.settings.cold_us:
-            most = self.settings.tip_multiple * host.capacity(self.now, self.settings)
+        if self.now < host.started + self.settings.slow_start_us:
+            most = self.settings.collapse_multiple * host.capacity(self.now, self.settings)
             assert host.load <= most + 2 * max(self.loads), "a cold server pushed over"
         attempt = self.out[key][0]
-        self.feed(key[0], api.Established(key[1], attempt, host.entry.server, 2000))
-        if self.settings.tells_load and key in self.out:
-            self.feed(key[0], api.LoadNote(key[1], attempt, host.entry.server, load))
+        self.feed(key[0], ConnectionEstablished(key[1], attempt, host.entry.server_id, 2000))
+        if self.settings.has_load_updates and key in self.out:
+            self.feed(key[0], ConnectionLoadChanged(key[1], attempt, host.entry.server_id, load))
         life = self.rng.expovariate(1 / self.facts["life_s"]) * SECOND
-        self.after(life, lambda: self._end(key, host, api.Result.OK))
+        self.after(life, lambda: self._end(key, host, AttemptResult.OK))
 
-    def _look(self, name: str) -> api.ProbeResult:
+    def _look(self, name: str) -> HealthCheckCompleted:
         host = self.hosts[name]
         if host.silent or not host.up:
-            return api.ProbeResult(
-                name, api.Result.TIMEOUT if host.silent else api.Result.UNREACHABLE, 100_000
+            return HealthCheckCompleted(
+                name, AttemptResult.TIMEOUT if host.silent else AttemptResult.UNREACHABLE, 100_000
             )
         ratio = host.load / host.capacity(self.now, self.settings)
         told = {
-            "ratio": ratio,
+            "load_ratio": ratio,
             "utilization": min(ratio, 1.0),
-            "queue": 0.0,
+            "queue_length": 0.0,
             "backlog_s": max(ratio - 1, 0.0),
         }
-        report = api.Report(**{name: told[name] for name in self.facts["fields"]})
-        return api.ProbeResult(name, api.Result.OK, 2000, report)
+        report = LoadReport(**{name: told[name] for name in self.facts["fields"]})
+        return HealthCheckCompleted(name, AttemptResult.OK, 2000, report)
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -26,26 +26,62 @@
 
 SETTINGS: dict[str, Any] = {
     "contract": {
-        "answer_slack": 20000, "ask_within": 1000000, "cold": 7100000, "cold_from": 0.33,
-        "stop_sending_within": 3000000, "tip_after": 1500000, "tip_multiple": 2.5,
+        "answer_slack": 20000,
+        "ask_within": 1000000,
+        "cold": 7100000,
+        "cold_from": 0.33,
+        "stop_sending_within": 3000000,
+        "tip_after": 1500000,
+        "tip_multiple": 2.5,
     },
-    "discovery": "automatic", "family": "conn", "index": 0, "instances": 1, "kinds": ["k"], "tick": 5000,
+    "discovery": "automatic",
+    "family": "conn",
+    "index": 0,
+    "instances": 1,
+    "kinds": ["k"],
+    "tick": 5000,
     "family_info": {
-        "message_aim": [100000.0, None], "mode": "pass", "park": 6000000, "tells_delay": True,
-        "tells_load": True, "tenant_quota_connections": [], "groups": True, "hint": "",
+        "message_aim": [100000.0, None],
+        "mode": "pass",
+        "park": 6000000,
+        "tells_delay": True,
+        "tells_load": True,
+        "tenant_quota_connections": [],
+        "groups": True,
+        "hint": "",
     },
-    "parties": [], "prices": {"moves": 0.016, "probe": 0.002}, "weights": "nominal", "zone": 0,
+    "parties": [],
+    "prices": {"moves": 0.016, "probe": 0.002},
+    "weights": "nominal",
+    "zone": 0,
     "policy_limits": {
-        "cancel": True, "connect_timeout": 250000, "max_retry_after": 1500000, "most_tries": 3,
-        "parallel_tries": False, "probes": False, "retry_after": False, "may_tell": True,
+        "cancel": True,
+        "connect_timeout": 250000,
+        "max_retry_after": 1500000,
+        "most_tries": 3,
+        "parallel_tries": False,
+        "probes": False,
+        "retry_after": False,
+        "may_tell": True,
     },
-    "report": {"fields": ["x0"], "how": "pull"}, "stages": ["s"], "zones": ["here"],
+    "report": {"fields": ["x0"], "how": "pull"},
+    "stages": ["s"],
+    "zones": ["here"],
     "services": [
-        {"aim": 500000, "deadline": 2000000, "name": name, "repeat": "idempotent", "stream": True,
-         "group": "all", "window": 5000000, "credit": 1.0, "late_worth": 0.0}
+        {
+            "aim": 500000,
+            "deadline": 2000000,
+            "name": name,
+            "repeat": "idempotent",
+            "stream": True,
+            "group": "all",
+            "window": 5000000,
+            "credit": 1.0,
+            "late_worth": 0.0,
+        }
         for name in ("chat", "exam")
     ],
-}  # fmt: skip
+}
 
 
 def listener() -> socket.socket:
@@ -86,9 +122,15 @@
 
 def host(name: str, sock: socket.socket, health: str = "ready", born_ms: int = 0) -> dict[str, Any]:
     return {
-        "host": name, "dial": dial(sock), "site": "here", "class": "k", "block": 0, "health": health,
-        "share": 1.0, "born_ms": born_ms,
-    }  # fmt: skip
+        "host": name,
+        "dial": dial(sock),
+        "site": "here",
+        "class": "k",
+        "block": 0,
+        "health": health,
+        "share": 1.0,
+        "born_ms": born_ms,
+    }
 
 
 class Proxy:
@@ -156,11 +198,15 @@
             merged[name] = {**merged[name], **value} if isinstance(value, dict) else value
         hosts = [host(f"s{i}", sock) for i, sock in enumerate(self.instances)]
         return {
-            "name": "n0", "listen": "127.0.0.1:0", "mgmt": "127.0.0.1:0",
-            "discovery": dial(self.discovery), "seed": "8c1f30d2",
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": merged,
+            "name": "n0",
+            "listen": "127.0.0.1:0",
+            "mgmt": "127.0.0.1:0",
+            "discovery": dial(self.discovery),
+            "seed": "8c1f30d2",
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+            "settings": merged,
             "known": {"seq": 7, "whole": True, "hosts": hosts},
-        }  # fmt: skip
+        }
 
     def reload(self, text: str) -> None:
         """Replace the configuration and tell the program."""
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -18,7 +18,7 @@
 )
 from larchhaven.net.core.event_loop import Loop
 from larchhaven.net.core.rate_limited_log import Notices
-from larchhaven.routing import interface as api
+from larchhaven.routing.events import AttemptResult, Endpoint, EndpointListKind, EndpointListUpdate
 from tests.world import PLAIN
 
 
@@ -76,7 +76,7 @@
     made = Broker(loop, Notices(loop), PLAIN, 1, Figures.of(["chat"]))
     nothing: Any = lambda *_: None  # noqa: E731
     made.outside = Outside(world, world.begin, *[nothing] * 7)
-    made.queue(api.FleetList(api.ListKind.COMPLETE, 1, (api.ServerEntry("s0"),)))
+    made.queue(EndpointListUpdate(EndpointListKind.COMPLETE, 1, (Endpoint("s0"),)))
     loop.turn_end = made.turn
     return made
 
@@ -115,12 +115,12 @@
     )
     broker.turn()
     broker.execution_up(token)
-    broker.execution_over(token, api.Result.RESET, None)
+    broker.execution_over(token, AttemptResult.RESET, None)
     broker._overdue(token)
     broker.client_left(token)
     broker.turn()
     assert world.answers == first
-    broker.session_over(token, api.Result.OK, None)
+    broker.session_over(token, AttemptResult.OK, None)
     assert broker.held() == 0
 
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -119,9 +119,19 @@
 
 def test_soak_writes_its_verdict_and_report(tmp_path: Path) -> None:
     done = run(
-        "soak", "--minutes", "0", "--abuse", "cut", "--abuse-minutes", "0.1", "--arrivals", "10",
-        "--out", str(tmp_path), "--json",
-    )  # fmt: skip
+        "soak",
+        "--minutes",
+        "0",
+        "--abuse",
+        "cut",
+        "--abuse-minutes",
+        "0.1",
+        "--arrivals",
+        "10",
+        "--out",
+        str(tmp_path),
+        "--json",
+    )
     verdict = json.loads(done.stdout)["cut"]
     assert verdict["holds"]
     assert verdict["caps"]["connections"]["held"]
@@ -181,8 +191,11 @@
             run("model", "sweep", str(path), *more, "--out", str(tmp_path / out)).stdout
         )
     assert [(cell["members"], cell["loss_percent"], cell["plays"]) for cell in cells] == [
-        (4, 0, 2), (4, 10, 2), (6, 0, 2), (6, 10, 2),
-    ]  # fmt: skip
+        (4, 0, 2),
+        (4, 10, 2),
+        (6, 0, 2),
+        (6, 10, 2),
+    ]
     assert all(
         cell["agreed"]["low"] <= cell["agreed"]["mean"] <= cell["agreed_most"] for cell in cells
     )
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -16,12 +16,12 @@
 
 from larchhaven.net.core.buffer_pool import SIZE, Buffer
 from larchhaven.net.graceful_shutdown import LOOK_US, Stopping
-from larchhaven.routing import interface as api
-from larchhaven.routing.interface import Effect, Scope
+from larchhaven.routing.events import Endpoint
+from larchhaven.routing.settings import DeduplicationScope, Idempotency
 from tests.test_leaks import LINE, Bench
 from tests.world import PLAIN
 
-PAIR = (api.ServerEntry("s0"), api.ServerEntry("s1"))
+PAIR = (Endpoint("s0"), Endpoint("s1"))
 WINDOW_US = 100_000
 
 
@@ -146,11 +146,11 @@
 # Repeats, when the connect of the second attempt is held across the end of the window
 
 
-def effects() -> Iterator[tuple[Effect, Scope]]:
-    yield Effect.SAFE, Scope.ALL
-    yield Effect.UNSAFE, Scope.ALL
-    for scope in Scope:
-        yield Effect.KEYED, scope
+def effects() -> Iterator[tuple[Idempotency, DeduplicationScope]]:
+    yield Idempotency.ALWAYS, DeduplicationScope.ALL
+    yield Idempotency.NEVER, DeduplicationScope.ALL
+    for scope in DeduplicationScope:
+        yield Idempotency.WITH_KEY, scope
 
 
 @pytest.mark.parametrize("late", [False, True])
@@ -158,10 +158,15 @@
 @pytest.mark.parametrize("first", [b"ERR\r\n", b"BUSY\r\n", b"MOVE\r\n", b"reset"])
 @pytest.mark.parametrize(("effect", "scope"), list(effects()))
 def test_what_may_be_repeated_is_asked_when_the_bytes_go_out(
-    effect: Effect, scope: Scope, first: bytes, other: str, late: bool
+    effect: Idempotency, scope: DeduplicationScope, first: bytes, other: str, late: bool
 ) -> None:
     """Guards effects that happen once: the window ended while a connect was under way, and it went out."""
-    cls = replace(PLAIN.classes[0], effect=effect, scope=scope, window_us=WINDOW_US)
+    cls = replace(
+        PLAIN.classes[0],
+        idempotency=effect,
+        deduplication_scope=scope,
+        deduplication_window_us=WINDOW_US,
+    )
     zone, cell = {"same cell": (0, 0), "other cell": (0, 1), "other zone": (1, 1)}[other]
     bench = Bench(replace(PLAIN, classes=(cls,)), (PAIR[0], replace(PAIR[1], zone=zone, cell=cell)))
     try:
@@ -178,13 +183,13 @@
         bench.spin(1, WINDOW_US + 10_000 if late else 10_000)
         bench.spin(4)
         ran = first != b"BUSY\r\n"
-        keyed = effect is Effect.KEYED
+        keyed = effect is Idempotency.WITH_KEY
         near = (
-            scope is Scope.ALL
+            scope is DeduplicationScope.ALL
             or other == "same cell"
-            or (scope is Scope.ZONE and other == "other cell")
+            or (scope is DeduplicationScope.ZONE and other == "other cell")
         )
-        if not ran or effect is Effect.SAFE or (keyed and near and not late):
+        if not ran or effect is Idempotency.ALWAYS or (keyed and near and not late):
             assert len(sent_on(bench)) == 1
             assert read(sock) == b""
         else:
@@ -192,7 +197,9 @@
                 4, WINDOW_US
             )  # what no server may get waits for one that may, as long as that helps
             assert sent_on(bench) == []
-            assert read(sock) == (b"BUSY\r\n." if keyed and scope is Scope.ALL else b"ERR\r\n.")
+            assert read(sock) == (
+                b"BUSY\r\n." if keyed and scope is DeduplicationScope.ALL else b"ERR\r\n."
+            )
         bench.settled()
     finally:
         bench.close()
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -18,12 +18,12 @@
 
 
 @pytest.mark.parametrize("trouble", RANGES["trouble"])
-@pytest.mark.parametrize("fields", [("ratio",), ("queue",), ()])
+@pytest.mark.parametrize("fields", [("load_ratio",), ("queue_length",), ()])
 def test_every_trouble_with_every_kind_of_report(trouble: str, fields: tuple[str, ...]) -> None:
     given = {
         "trouble": trouble,
         "fields": fields,
-        "can_probe": bool(fields),
+        "can_check_health": bool(fields),
         "instances": 2,
         "servers": 5,
     }
@@ -33,15 +33,29 @@
 
 
 @pytest.mark.parametrize("instances", [1, 3, 12])
-@pytest.mark.parametrize("fields", [("ratio",), ()])
+@pytest.mark.parametrize("fields", [("load_ratio",), ()])
 @pytest.mark.parametrize("groups", [0, 30])
 def test_fleet_at_rest_is_near_even(instances: int, fields: tuple[str, ...], groups: int) -> None:
     """Guards least ratio routing itself, with and without reports, groups and others that place unseen."""
     given = {
-        "fields": fields, "can_probe": bool(fields), "instances": instances, "servers": 6, "groups": groups,
-        "trouble": "none", "load": 0.3, "life_s": 5.0, "per_core": 25.0, "cores": 4.0, "classes": 1,
-        "members": 0, "zones": 1, "cold_s": 0.0, "tells_load": True, "aim_ms": 300, "patience": 4.0,
-    }  # fmt: skip
+        "fields": fields,
+        "can_check_health": bool(fields),
+        "instances": instances,
+        "servers": 6,
+        "groups": groups,
+        "trouble": "none",
+        "load": 0.3,
+        "life_s": 5.0,
+        "per_core": 25.0,
+        "cores": 4.0,
+        "classes": 1,
+        "members": 0,
+        "zones": 1,
+        "cold_s": 0.0,
+        "has_load_updates": True,
+        "aim_ms": 300,
+        "patience": 4.0,
+    }
     world = World(draw(11, **given), 11)
     world.play(25.0)
     ratios = [host.load / host.entry.weight for host in world.hosts.values()]
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -14,7 +14,7 @@
 from larchhaven.net.core.buffer_pool import Pool
 from larchhaven.net.core.event_loop import Loop
 from larchhaven.net.core.rate_limited_log import Notices
-from larchhaven.routing.interface import ListKind
+from larchhaven.routing.events import EndpointListKind
 
 PATIENCE_S = 10.0
 ANSWER = b'{"seq":8,"whole":false,"hosts":[]}'
@@ -109,7 +109,7 @@
     assert service.calls.late_us > 0
     told = HostList(9, [HostEntry("s0", "127.0.0.1:1", health="draining")])
     directory = Directory(["a"], ["x"])
-    directory.take(ListKind.CHANGES, told, service.loop.now - service.calls.late_us)
+    directory.take(EndpointListKind.CHANGES, told, service.loop.now - service.calls.late_us)
     assert (directory.told_at("s0") or 0) < service.loop.now
 
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -35,15 +35,23 @@
     ("lines", "code", "printed"),
     [
         ([BAD, HALF], 0, f"known red, passed over: {BAD.replace('; a', ' (a')})"),
-        ([BAD, HALF, GOOD], 0, f"known red, passes now: take its line out: {GOOD.replace('; m', ' (m')})"),
+        (
+            [BAD, HALF, GOOD],
+            0,
+            f"known red, passes now: take its line out: {GOOD.replace('; m', ' (m')})",
+        ),
         ([BAD], 1, "FAILED tests/test_it.py::test_half[2]"),
         ([], 1, "FAILED tests/test_it.py::test_bad"),
         ([BAD, HALF, NO_TEST], None, "there is no test tests/test_it.py::test_no"),
         ([BAD, HALF, NO_FILE], None, "there is no test tests/test_no.py::test_no"),
-        ([BAD, HALF, "tests/test_it.py::test_good"], None, "KNOWN-RED.txt:3: write 'test; cause; issue'"),
+        (
+            [BAD, HALF, "tests/test_it.py::test_good"],
+            None,
+            "KNOWN-RED.txt:3: write 'test; cause; issue'",
+        ),
         ([BAD] * 4, None, "4 lines, and 3 are the most"),
     ],
-)  # fmt: skip
+)
 def test_only_what_is_listed_is_passed_over(
     tmp_path: Path, lines: list[str], code: int | None, printed: str, processes: str
 ) -> None:
--- a/tests/test_leaks.py
+++ b/tests/test_leaks.py
@@ -32,18 +32,19 @@
 from larchhaven.net.text_protocol.connection_relay import Relay
 from larchhaven.net.text_protocol.listener import Listener
 from larchhaven.net.text_protocol.upstream_attempt import TextExecution
-from larchhaven.routing import interface as api
+from larchhaven.routing.events import Endpoint, EndpointListKind, EndpointListUpdate
+from larchhaven.routing.settings import RoutingSettings
 from tests.world import PLAIN
 
 BUFFERS = 12
-SERVERS = (api.ServerEntry("s0"),)
+SERVERS = (Endpoint("s0"),)
 
 
 class Bench:
     """The client's, the broker's and the instance's side in one process."""
 
     def __init__(
-        self, settings: api.Settings = PLAIN, servers: tuple[api.ServerEntry, ...] = SERVERS
+        self, settings: RoutingSettings = PLAIN, servers: tuple[Endpoint, ...] = SERVERS
     ) -> None:
         self.clock = SimpleNamespace(ns=10**12)
         self.real = vars(loop_module)["time"]
@@ -81,8 +82,8 @@
         self.instances: list[socket.socket] = []
         self.spin()
 
-    def list_servers(self, servers: tuple[api.ServerEntry, ...]) -> None:
-        self.broker.queue(api.FleetList(api.ListKind.COMPLETE, 1, servers))
+    def list_servers(self, servers: tuple[Endpoint, ...]) -> None:
+        self.broker.queue(EndpointListUpdate(EndpointListKind.COMPLETE, 1, servers))
 
     def client(self, data: bytes) -> socket.socket:
         """Connect, and send something without a turn of the loop."""
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -12,7 +12,7 @@
 from larchhaven.net.core.buffer_pool import SIZE, Buffer, Pool
 from larchhaven.net.core.slot_table import Slots
 from larchhaven.net.text_protocol import codec as lines
-from larchhaven.routing import interface as api
+from larchhaven.routing.events import AttemptResult, EndpointListKind, LoadReport, ServerState
 
 PIECES = st.lists(
     st.sampled_from([b"a", b"\r", b"\n", b"\r\n", b"BYE x0=1", b"\x00\xff" * 200]), max_size=30
@@ -60,16 +60,19 @@
 @pytest.mark.parametrize(
     ("line", "answer"),
     [
-        (b"PONG x0=0.4,util=0.3,qps=9", (api.Result.OK, api.Report(ratio=0.4, utilization=0.3))),
-        (b"PONG", (api.Result.OK, None)),
-        (b"PONG x0=nan,util=-1,x0", (api.Result.OK, None)),
-        (b"BUSY", (api.Result.FULL, None)),
-        (b"ERR", (api.Result.ERROR, None)),
-        (b"NO", (api.Result.NOT_SENT, None)),
-        (b"\xff\x00", (api.Result.ERROR, None)),
+        (
+            b"PONG x0=0.4,util=0.3,qps=9",
+            (AttemptResult.OK, LoadReport(load_ratio=0.4, utilization=0.3)),
+        ),
+        (b"PONG", (AttemptResult.OK, None)),
+        (b"PONG x0=nan,util=-1,x0", (AttemptResult.OK, None)),
+        (b"BUSY", (AttemptResult.OVERLOADED, None)),
+        (b"ERR", (AttemptResult.ERROR, None)),
+        (b"NO", (AttemptResult.NOT_SENT, None)),
+        (b"\xff\x00", (AttemptResult.ERROR, None)),
     ],
 )
-def test_probe_answers(line: bytes, answer: tuple[api.Result, api.Report | None]) -> None:
+def test_probe_answers(line: bytes, answer: tuple[AttemptResult, LoadReport | None]) -> None:
     assert lines.read_probe(line) == answer
 
 
@@ -116,18 +119,18 @@
 def test_directory_keeps_since_when_an_instance_is_to_be_left_alone() -> None:
     directory = Directory(["a"], ["k"])
     entry = HostEntry("s0", "127.0.0.1:7000", "a", "k", born_ms=1)
-    directory.take(api.ListKind.COMPLETE, HostList(1, [entry], True), 100)
+    directory.take(EndpointListKind.COMPLETE, HostList(1, [entry], True), 100)
     assert directory.told_at("s0") is None
     assert directory.address("s0") == ("127.0.0.1", 7000)
     entry.health = "draining"
     for now in (200, 300):
-        told = directory.take(api.ListKind.CHANGES, HostList(2, [entry]), now)
+        told = directory.take(EndpointListKind.CHANGES, HostList(2, [entry]), now)
         assert directory.told_at("s0") == 200
-        assert told.entries[0].state is api.State.DRAINING
-    directory.take(api.ListKind.COMPLETE, HostList(3, [], True), 400)
+        assert told.endpoints[0].state is ServerState.DRAINING
+    directory.take(EndpointListKind.COMPLETE, HostList(3, [], True), 400)
     assert directory.told_at("s0") == 200
     assert directory.address("s0") is None
     entry.health = "what is this"
-    assert directory.take(api.ListKind.CHANGES, HostList(4, [entry]), 500).entries[0].state is (
-        api.State.DRAINING
-    )
+    assert directory.take(EndpointListKind.CHANGES, HostList(4, [entry]), 500).endpoints[
+        0
+    ].state is (ServerState.DRAINING)
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -36,13 +36,20 @@
 @pytest.mark.parametrize(
     ("method", "path", "status"),
     [
-        ("GET", "/v1/readyz", 200), ("GET", "/v1/readyz?verbose=1", 200), ("POST", "/v1/readyz", 405),
-        ("GET", "/v1/metrics", 200), ("PUT", "/v1/metrics", 405), ("GET", "/v1/proxy/drain", 405),
-        ("GET", "/v1/exam-servers/s0/suspend", 405), ("POST", "/v1/exam-servers/nobody/suspend", 404),
-        ("POST", "/v1/exam-servers/nobody/resume", 404), ("GET", "/", 404), ("GET", "/v1/readyz/x", 404),
+        ("GET", "/v1/readyz", 200),
+        ("GET", "/v1/readyz?verbose=1", 200),
+        ("POST", "/v1/readyz", 405),
+        ("GET", "/v1/metrics", 200),
+        ("PUT", "/v1/metrics", 405),
+        ("GET", "/v1/proxy/drain", 405),
+        ("GET", "/v1/exam-servers/s0/suspend", 405),
+        ("POST", "/v1/exam-servers/nobody/suspend", 404),
+        ("POST", "/v1/exam-servers/nobody/resume", 404),
+        ("GET", "/", 404),
+        ("GET", "/v1/readyz/x", 404),
         ("POST", "/v1/proxy/stop", 404),
     ],
-)  # fmt: skip
+)
 def test_each_call_has_its_path_and_method(
     proxy: Proxy, method: str, path: str, status: int
 ) -> None:
@@ -57,12 +64,14 @@
 @pytest.mark.parametrize(
     "parts",
     [
-        [b"GARBAGE\r\n\r\n"], [b"GET\r\n\r\n"], [b"\x00" * 500],
+        [b"GARBAGE\r\n\r\n"],
+        [b"GET\r\n\r\n"],
+        [b"\x00" * 500],
         [b"GET / HTTP/1.1\r\nA: " + b"x" * CALL_MOST],
         [b"POST /v1/proxy/drain HTTP/1.1\r\nContent-Length: -5\r\n\r\n"],
         [b"POST /v1/proxy/drain HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n", b"x" * 1_000_000],
     ],
-)  # fmt: skip
+)
 def test_bad_or_huge_call_is_turned_away_and_changes_nothing(
     proxy: Proxy, parts: list[bytes]
 ) -> None:
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -66,8 +66,10 @@
             self.high[purpose] = max(self.high[purpose], self.used(purpose))
             line = self.account.line(purpose)
             assert (line.cap, line.used, line.refused) == (
-                self.caps[purpose], self.used(purpose), self.refused[purpose],
-            )  # fmt: skip
+                self.caps[purpose],
+                self.used(purpose),
+                self.refused[purpose],
+            )
             assert line.high == self.high[purpose]
         assert self.account.resident() == sum(self.used(p) for p in RESIDENT)
         assert self.account.over == 0
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -126,55 +126,93 @@
 
 
 HARD: dict[str, tuple[str, Callable[[Result], bool]]] = {
-    "one death": ('seconds: 20 faults { at_seconds: 8 who { numbers: "4" } kill: true }', agrees_within(6)),
+    "one death": (
+        'seconds: 20 faults { at_seconds: 8 who { numbers: "4" } kill: true }',
+        agrees_within(6),
+    ),
     "half of the tier at once": (
-        'seconds: 40 faults { at_seconds: 8 who { numbers: "0-5" } kill: true }', agrees_within(14)),
+        'seconds: 40 faults { at_seconds: 8 who { numbers: "0-5" } kill: true }',
+        agrees_within(14),
+    ),
     "a cut between zones heals": (
-        "seconds: 70 faults { at_seconds: 8 for_seconds: 30 who { zone: 1 } cut {} }", equal_within(10)),
+        "seconds: 70 faults { at_seconds: 8 for_seconds: 30 who { zone: 1 } cut {} }",
+        equal_within(10),
+    ),
     "one-way cut of one from all": (
         'seconds: 60 faults { at_seconds: 8 for_seconds: 20 who { numbers: "2" } cut { one_way: true } }',
-        equal_within(10)),
+        equal_within(10),
+    ),
     "A hears B but B not A": (
         'seconds: 60 faults { at_seconds: 8 who { numbers: "2" } cut { to { numbers: "3" } one_way: true } }',
-        lambda r: r.false_deaths == 0 and equal_within(4)(r)),
+        lambda r: r.false_deaths == 0 and equal_within(4)(r),
+    ),
     "a cut of two that a third hears both of": (
         'seconds: 60 faults { at_seconds: 8 who { numbers: "2" } cut { to { numbers: "3" } } }',
-        lambda r: r.false_deaths == 0 and equal_within(4)(r)),
+        lambda r: r.false_deaths == 0 and equal_within(4)(r),
+    ),
     "a slow process that accuses all others": (
         'seconds: 90 faults { at_seconds: 8 for_seconds: 40 who { numbers: "2" } slow_ms: 700 }',
-        lambda r: all(dead == 2 for _, dead, _ in r.false_by) and equal_within(10)(r)),
+        lambda r: all(dead == 2 for _, dead, _ in r.false_by) and equal_within(10)(r),
+    ),
     "a pause of two seconds": (
-        ('seconds: 40 faults { at_seconds: 8 for_seconds: 2 who { numbers: "2" } pause: true'
-        " every_seconds: 6 }"),
-        lambda r: r.false_deaths == 0 and r.counts["gaps"] >= 5),
+        (
+            'seconds: 40 faults { at_seconds: 8 for_seconds: 2 who { numbers: "2" } pause: true'
+            " every_seconds: 6 }"
+        ),
+        lambda r: r.false_deaths == 0 and r.counts["gaps"] >= 5,
+    ),
     "a pause of twenty seconds": (
         'seconds: 60 faults { at_seconds: 8 for_seconds: 20 who { numbers: "2" } pause: true }',
         # It is buried, once, and by nobody but itself is anybody else.
-        lambda r: [dead for _, dead, _ in r.false_by] == [2] and equal_within(8)(r)),
+        lambda r: [dead for _, dead, _ in r.false_by] == [2] and equal_within(8)(r),
+    ),
     "flapping each second": (
-        ('seconds: 60 faults { at_seconds: 8 for_seconds: 0.5 who { numbers: "2" } kill: true'
-        " every_seconds: 1 }"),
-        lambda r: r.messages_most < 25 and not [d for _, d, _ in r.false_by if d != 2]),
+        (
+            'seconds: 60 faults { at_seconds: 8 for_seconds: 0.5 who { numbers: "2" } kill: true'
+            " every_seconds: 1 }"
+        ),
+        lambda r: r.messages_most < 25 and not [d for _, d, _ in r.false_by if d != 2],
+    ),
     "the same name back with a lower clock": (
-        ('seconds: 50 faults { at_seconds: 20 for_seconds: 0.6 who { numbers: "2" } kill: true'
-        ' clock_seconds: -5000 }'), equal_within(6)),
+        (
+            'seconds: 50 faults { at_seconds: 20 for_seconds: 0.6 who { numbers: "2" } kill: true'
+            " clock_seconds: -5000 }"
+        ),
+        equal_within(6),
+    ),
     "a planned stop": (
         'seconds: 20 faults { at_seconds: 8 who { numbers: "2" } leave: true }',
-        lambda r: agrees_within(1)(r) and r.accusations == 0),
+        lambda r: agrees_within(1)(r) and r.accusations == 0,
+    ),
     "a left that was lost": (
-        ('seconds: 40 faults { at_seconds: 7.9 for_seconds: 5 who { numbers: "2" } cut {} }'
-        ' faults { at_seconds: 8 who { numbers: "2" } leave: true }'), agrees_within(12)),
+        (
+            'seconds: 40 faults { at_seconds: 7.9 for_seconds: 5 who { numbers: "2" } cut {} }'
+            ' faults { at_seconds: 8 who { numbers: "2" } leave: true }'
+        ),
+        agrees_within(12),
+    ),
     "30% loss in bursts": (
-        ('seconds: 60 links { loss_percent: 30 burst_ms: 200 }'
-        ' faults { at_seconds: 20 who { numbers: "2" } kill: true }'), agrees_within(15)),
+        (
+            "seconds: 60 links { loss_percent: 30 burst_ms: 200 }"
+            ' faults { at_seconds: 20 who { numbers: "2" } kill: true }'
+        ),
+        agrees_within(15),
+    ),
     "every message twice and late": (
-        ('seconds: 40 links { doubled_percent: 100 doubled_late_ms: 3000 }'
-        ' faults { at_seconds: 8 who { numbers: "2" } kill: true }'),
-        lambda r: agrees_within(6)(r) and r.false_deaths == 0),
+        (
+            "seconds: 40 links { doubled_percent: 100 doubled_late_ms: 3000 }"
+            ' faults { at_seconds: 8 who { numbers: "2" } kill: true }'
+        ),
+        lambda r: agrees_within(6)(r) and r.false_deaths == 0,
+    ),
     "clocks a day apart": (
-        ('seconds: 30 clocks_apart_seconds: 86400 faults { at_seconds: 8 for_seconds: 5 who { numbers: "2" }'
-        " kill: true }"), equal_within(6)),
-}  # fmt: skip
+        (
+            'seconds: 30 clocks_apart_seconds: 86400 faults { at_seconds: 8 for_seconds: 5 who { numbers: "2" }'
+            " kill: true }"
+        ),
+        equal_within(6),
+    ),
+}
 
 
 @pytest.mark.parametrize("name", HARD)
@@ -395,7 +433,10 @@
 
 
 Tier.TestCase.settings = settings(
-    max_examples=30, stateful_step_count=30, deadline=None, derandomize=True,
+    max_examples=30,
+    stateful_step_count=30,
+    deadline=None,
+    derandomize=True,
     suppress_health_check=list(HealthCheck),
-)  # fmt: skip
+)
 TestTier = Tier.TestCase
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -17,10 +17,16 @@
 
 import pytest
 
-from larchhaven.gossip.shared_health_checks import REPORTS
+from larchhaven.gossip.codec import LOAD_REPORTS
+from larchhaven.gossip.codec import decode as decode_message
 from larchhaven.net.configuration import decode
 from larchhaven.net.control.dispatcher import after_sleep
-from larchhaven.routing import interface as api
+from larchhaven.routing.events import (
+    EndpointListKind,
+    EndpointListUpdate,
+    GossipReceived,
+    ProxyDraining,
+)
 from tests.rig import (
     PATIENCE,
     ROOT,
@@ -148,13 +154,24 @@
 @pytest.mark.parametrize(
     "first",
     [
-        b"HELLO\r\n", b"\r\n", b"OPEN 1 2\r\n", b"OPEN 1 2 c=none,d=1\r\n", b"OPEN 1 zz c=chat,d=1\r\n",
-        b"OPEN 1 2 c=chat,d=-5\r\n", b"OPEN 1 2 c=chat,d=x\r\n", b"OPEN 1 2 c\r\n", b"\x00\xff\xfe\r\n",
-        b"OPEN 1 2 c=chat,d=99999999999999999999999999999999999\r\n", b"x" * 4096, b"x" * 20000,
+        b"HELLO\r\n",
+        b"\r\n",
+        b"OPEN 1 2\r\n",
+        b"OPEN 1 2 c=none,d=1\r\n",
+        b"OPEN 1 zz c=chat,d=1\r\n",
+        b"OPEN 1 2 c=chat,d=-5\r\n",
+        b"OPEN 1 2 c=chat,d=x\r\n",
+        b"OPEN 1 2 c\r\n",
+        b"\x00\xff\xfe\r\n",
+        b"OPEN 1 2 c=chat,d=99999999999999999999999999999999999\r\n",
+        b"x" * 4096,
+        b"x" * 20000,
         b"OPEN 1 22222222222222222 c=chat,d=5\r\n",
-        b"OPEN 1 2 c=chat,h=nan\r\n", "OPEN 1 2 c=çay,d=5\r\n".encode(), b"STATS\r\n",
+        b"OPEN 1 2 c=chat,h=nan\r\n",
+        "OPEN 1 2 c=çay,d=5\r\n".encode(),
+        b"STATS\r\n",
     ],
-)  # fmt: skip
+)
 def test_bad_first_line_gets_one_failed_answer_and_the_end(proxy: Proxy, first: bytes) -> None:
     client = proxy.client()
     client.sock.sendall(first)
@@ -356,10 +373,14 @@
 @pytest.mark.parametrize(
     ("body", "status"),
     [
-        ("", "503 Service Unavailable"), ("{", "200 OK"), ('{"seq":"x","hosts":[]}', "200 OK"),
-        ('{"seq":8,"hosts":[{"host":1}]}', "200 OK"), ("\xff\x00", "200 OK"), ("", "what is this"),
+        ("", "503 Service Unavailable"),
+        ("{", "200 OK"),
+        ('{"seq":"x","hosts":[]}', "200 OK"),
+        ('{"seq":8,"hosts":[{"host":1}]}', "200 OK"),
+        ("\xff\x00", "200 OK"),
+        ("", "what is this"),
     ],
-)  # fmt: skip
+)
 @pytest.mark.parametrize("proxy", [{"discovery": "subscribe"}], indirect=True)
 def test_bad_answer_of_discovery_is_asked_again_and_the_old_list_stays(
     proxy: Proxy, body: str, status: str
@@ -526,10 +547,13 @@
 @pytest.mark.parametrize(
     ("config", "told"),
     [
-        (None, "EDGE_CONFIG is not set"), ("missing", "cannot be read"), ("{", "not as it should be"),
-        ('{"listen":"127.0.0.1:0"}', "settings"), ('{"settings":{},"seed":"1"}', "settings"),
+        (None, "EDGE_CONFIG is not set"),
+        ("missing", "cannot be read"),
+        ("{", "not as it should be"),
+        ('{"listen":"127.0.0.1:0"}', "settings"),
+        ('{"settings":{},"seed":"1"}', "settings"),
     ],
-)  # fmt: skip
+)
 def test_bad_configuration_is_one_plain_line(tmp_path: Path, config: str | None, told: str) -> None:
     path = tmp_path / "config.json"
     if config is not None and config != "missing":
@@ -623,6 +647,9 @@
 
 
 def test_what_others_told_of_loads_while_asleep_is_not_believed() -> None:
-    listed, told = api.FleetList(api.ListKind.FAILED), api.PeerMessage(1, REPORTS + b"abc")
-    held = api.PeerMessage(1, b"Habcdef")
-    assert after_sleep([told, api.Leaving(0), held, listed]) == [listed, api.Leaving(0), held]
+    listed, told = (
+        EndpointListUpdate(EndpointListKind.FAILED),
+        GossipReceived(1, decode_message(LOAD_REPORTS + b"abc")),
+    )
+    held = GossipReceived(1, decode_message(b"Habcdef"))
+    assert after_sleep([told, ProxyDraining(0), held, listed]) == [listed, ProxyDraining(0), held]
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -4,11 +4,17 @@
 
 import socket
 
-from larchhaven.gossip.codec import is_readable
+from larchhaven.gossip.codec import (
+    LEARNED_STATE,
+    PROXY_STARTED,
+    STICKY_ENTRIES,
+    STICKY_ENTRY_QUERY,
+    decode,
+)
 from larchhaven.net.control.peer_socket import LONGEST, Peers
 from larchhaven.net.core.event_loop import Loop
 from larchhaven.net.core.rate_limited_log import Notices
-from larchhaven.routing.balancer import ASKED, HELD, LEARNT, STARTED
+from larchhaven.routing.gossip_messages import is_peer_message
 
 
 def test_datagrams_from_unknown_addresses_and_long_ones_are_counted_and_not_heard() -> None:
@@ -33,31 +39,40 @@
         lambda: strange.append(None),
     )
     for _ in range(3):
-        stranger.sendto(STARTED, address)
+        stranger.sendto(PROXY_STARTED, address)
     known.sendto(bytes(LONGEST + 1), address)
-    known.sendto(STARTED, address)  # on loopback nothing overtakes what one socket sent before
+    known.sendto(
+        PROXY_STARTED, address
+    )  # on loopback nothing overtakes what one socket sent before
     for _ in range(200):
         loop.after(10_000, lambda: None)
         loop.turn()
         if heard and len(strange) == 4:
             break
-    assert heard == [(1, STARTED)]
+    assert heard == [(1, PROXY_STARTED)]
     assert len(strange) == 4
     for sock in (known, stranger):
         sock.close()
 
 
 def test_messages_of_each_kind_are_judged_by_their_size() -> None:
-    good = (STARTED, ASKED + b"abcd", HELD + b"abcdef", HELD + bytes(252), b"R", b"R123")
+    good = (
+        PROXY_STARTED,
+        STICKY_ENTRY_QUERY + b"abcd",
+        STICKY_ENTRIES + b"abcdef",
+        STICKY_ENTRIES + bytes(252),
+        b"R",
+        b"R123",
+    )
     bad = (
         b"",
-        STARTED + b"x",
-        ASKED,
-        ASKED + b"abcde",
-        HELD,
-        HELD + b"abcde",
-        LEARNT + bytes(56),
+        PROXY_STARTED + b"x",
+        STICKY_ENTRY_QUERY,
+        STICKY_ENTRY_QUERY + b"abcde",
+        STICKY_ENTRIES,
+        STICKY_ENTRIES + b"abcde",
+        LEARNED_STATE + bytes(56),
         b"x",
     )
-    assert all(is_readable(data) for data in good)
-    assert not any(is_readable(data) for data in bad)
+    assert all(is_peer_message(decode(data)) for data in good)
+    assert not any(is_peer_message(decode(data)) for data in bad)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -57,9 +57,13 @@
 def sample(at: float, resident: int, high: int = 5) -> dict[str, Any]:
     purposes = {"buffers": {"cap": 10, "used": 1, "high": high, "refused": 3}}
     memory = {
-        "grant": 32 * MB, "start": 20 * MB, "accounted": resident - 20 * MB, "unaccounted": 0, "errors": 0,
+        "grant": 32 * MB,
+        "start": 20 * MB,
+        "accounted": resident - 20 * MB,
+        "unaccounted": 0,
+        "errors": 0,
         "purposes": purposes,
-    }  # fmt: skip
+    }
     return {"at": at, "resident": resident, "memory": memory}
 
 
@@ -69,8 +73,9 @@
     assert judge(flat, 60).as_dict()["holds"]
     growing = [sample(2.0 * i, 25 * MB + i * 10_000) for i in range(400)]
     assert [text.split(" is ")[0] for text in judge(growing, 60).complaints] == [
-        "the resident size", "the accounted size",
-    ]  # fmt: skip
+        "the resident size",
+        "the accounted size",
+    ]
     assert judge(growing, 60, judges_slope=False).complaints == []
     passed = judge([*flat, sample(900, 33 * MB, high=11)], 60, judges_slope=False)
     assert passed.complaints == [
