--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -9,7 +9,38 @@
 
 import pytest
 
-from larchhaven.routing import interface as api
+from larchhaven.routing.actions import (
+    Action,
+    CancelAttempt,
+    CheckHealth,
+    CloseIdleConnections,
+    FailRequest,
+    LogMessage,
+    MigrateConnection,
+    PollEndpoints,
+    RejectRequest,
+    SendGossip,
+    StartAttempt,
+    StartTimer,
+    WatchEndpoints,
+)
+from larchhaven.routing.events import (
+    AttemptEnded,
+    AttemptResult,
+    ClientDisconnected,
+    ConnectionEstablished,
+    ConnectionLoadChanged,
+    ConnectionRestored,
+    Event,
+    GossipReceived,
+    HealthCheckCompleted,
+    LoadReport,
+    MessageDelayObserved,
+    RequestArrived,
+    TimerFired,
+)
+from larchhaven.routing.gossip_messages import UnrecognizedMessage
+from larchhaven.routing.settings import DeduplicationScope, Idempotency
 from larchhaven.simulator import codec as wire
 from larchhaven.simulator.host import Host
 
@@ -40,12 +71,12 @@
 
 def test_settings_are_read_and_unknown_keys_ignored() -> None:
     settings = wire.decode_settings(OPTIONS)
-    assert settings.classes[1].effect is api.Effect.KEYED
-    assert settings.classes[1].scope is api.Scope.CELL
-    assert [c.message_aim_us for c in settings.classes] == [150_000, 0]
-    assert [t.quota_connections for t in settings.tenants] == [math.inf, 12.0]
-    assert settings.prices.probe == 0.004
-    assert settings.report_fields == ("ratio", "unheard_of")
+    assert settings.classes[1].idempotency is Idempotency.WITH_KEY
+    assert settings.classes[1].deduplication_scope is DeduplicationScope.CELL
+    assert [c.message_latency_objective_us for c in settings.classes] == [150_000, 0]
+    assert [t.connection_quota for t in settings.tenants] == [math.inf, 12.0]
+    assert settings.costs.health_check == 0.004
+    assert settings.report_fields == ("load_ratio", "unheard_of")
 
 
 @pytest.mark.parametrize(
@@ -69,15 +100,18 @@
     """No share is 0 and decides nothing; a quota not told is never reached. Sums are not looked at."""
     tenants = wire.decode_settings(OPTIONS.replace(left, "")).tenants
     assert len(tenants) == 2
-    assert tenants[0].quota_connections == math.inf
-    assert wire.decode_settings(OPTIONS.replace("share=0.4", "share=0.9")).tenants[0].share == 0.9
+    assert tenants[0].connection_quota == math.inf
+    assert (
+        wire.decode_settings(OPTIONS.replace("share=0.4", "share=0.9")).tenants[0].capacity_fraction
+        == 0.9
+    )
 
 
 @pytest.mark.parametrize("price", ["probe", "cross_zone", "moves"])
 def test_prices_are_stated_or_nothing_but_never_negative(price: str) -> None:
     """Guards choices and paces that follow prices: a negative one would draw clients to the other zone."""
-    stated = wire.decode_settings(OPTIONS).prices
-    assert (stated.probe, stated.cross_zone, stated.moves) == (0.004, 0.0, 0.0)
+    stated = wire.decode_settings(OPTIONS).costs
+    assert (stated.health_check, stated.cross_zone, stated.migration) == (0.004, 0.0, 0.0)
     with pytest.raises(wire.WireError, match="prices must not be negative"):
         wire.decode_settings(f"{OPTIONS} prices.{price}=-1")
 
@@ -85,48 +119,72 @@
 @pytest.mark.parametrize(
     ("line", "event"),
     [
-        ("submit 9 1 - - 240000 - - 0 1 0", api.Arrival(9, 1, 240_000, midflow=True)),
+        ("submit 9 1 - - 240000 - - 0 1 0", RequestArrived(9, 1, 240_000, is_mid_flow=True)),
         (
             "submit 9 0 2 55 240000 12000 8 1 0 1",
-            api.Arrival(9, 0, 240_000, 2, 55, 0.012, 8, True, False, True),
+            RequestArrived(9, 0, 240_000, 2, 55, 0.012, 8, True, False, True),
         ),
         (
             "resumed 9 240000 0 1 12000 0 7 2 h:1 0 8",
-            api.Resumed(api.Arrival(9, 1, 240_000, 2, 7, 0.012, 8), "h:1"),
+            ConnectionRestored(RequestArrived(9, 1, 240_000, 2, 7, 0.012, 8), "h:1"),
         ),
-        ("wakeup 77", api.TimerFired(77)),
+        ("wakeup 77", TimerFired(77)),
         (
             "echo GOOD h:1 1400 x0:0.4,utilization:0.62,new:3",
-            api.ProbeResult("h:1", api.Result.OK, 1400, api.Report(ratio=0.4, utilization=0.62)),
+            HealthCheckCompleted(
+                "h:1", AttemptResult.OK, 1400, LoadReport(load_ratio=0.4, utilization=0.62)
+            ),
         ),
-        ("echo LATE h:1 1400 -", api.ProbeResult("h:1", api.Result.TIMEOUT, 1400)),
-        ("from_peer 2 aGkgNw==", api.PeerMessage(2, b"hi 7")),
-        ("from_peer 2 -", api.PeerMessage(2, b"")),
-        ("hint_update 9 0 5000 1 h:1", api.LoadNote(9, 0, "h:1", 0.005)),
-        ("hint_update 9 0 55.5 2 h:1", api.DelayNote(9, 0, "h:1", 55_500.0)),
-        ("aborted 9", api.ClientGone(9)),
+        ("echo LATE h:1 1400 -", HealthCheckCompleted("h:1", AttemptResult.TIMEOUT, 1400)),
+        ("from_peer 2 aGkgNw==", GossipReceived(2, UnrecognizedMessage(b"hi 7"))),
+        ("from_peer 2 -", GossipReceived(2, UnrecognizedMessage(b""))),
+        ("hint_update 9 0 5000 1 h:1", ConnectionLoadChanged(9, 0, "h:1", 0.005)),
+        ("hint_update 9 0 55.5 2 h:1", MessageDelayObserved(9, 0, "h:1", 55_500.0)),
+        ("aborted 9", ClientDisconnected(9)),
         (
             "ended 9 0 h:1 RST 18500 1 -",
-            api.AttemptEnded(9, 0, "h:1", api.Result.RESET, 18_500, True),
+            AttemptEnded(9, 0, "h:1", AttemptResult.RESET, 18_500, True),
         ),
-        ("streaming 9 0 h:1 9250", api.Established(9, 0, "h:1", 9250)),
+        ("streaming 9 0 h:1 9250", ConnectionEstablished(9, 0, "h:1", 9250)),
     ],
 )
-def test_events_are_read(line: str, event: api.Event) -> None:
+def test_events_are_read(line: str, event: Event) -> None:
     assert wire.decode_event(line.split(" ")) == event
 
 
 def test_actions_are_written() -> None:
-    actions: list[api.Action] = [
-        api.Send(1, "h:1", 80_000), api.Refuse(1, 5), api.Fail(1), api.Cancel(1, 0), api.Move(1),
-        api.Probe("h:1"), api.Tell(None, b"hi 7"), api.Tell(2, b""), api.SetTimer(7, 9), api.Watch(),
-        api.Watch(False), api.FetchList(), api.CloseIdle("h:1"), api.Log("two\nlines"),
-    ]  # fmt: skip
+    actions: list[Action] = [
+        StartAttempt(1, "h:1", 80_000),
+        RejectRequest(1, 5),
+        FailRequest(1),
+        CancelAttempt(1, 0),
+        MigrateConnection(1),
+        CheckHealth("h:1"),
+        SendGossip(None, UnrecognizedMessage(b"hi 7")),
+        SendGossip(2, UnrecognizedMessage(b"")),
+        StartTimer(7, 9),
+        WatchEndpoints(),
+        WatchEndpoints(False),
+        PollEndpoints(),
+        CloseIdleConnections("h:1"),
+        LogMessage("two\nlines"),
+    ]
     assert wire.encode_actions(actions) == [
-        "place 1 80000 h:1", "push_back 1 5", "report_failure 1", "stop_attempt 1 0", "move 1", "inspect h:1",
-        "signal * aGkgNw==", "signal 2 -", "after 7 9", "stream_changes 1", "stream_changes 0",
-        "query_all", "close h:1", "trace two lines",
-    ]  # fmt: skip
+        "place 1 80000 h:1",
+        "push_back 1 5",
+        "report_failure 1",
+        "stop_attempt 1 0",
+        "move 1",
+        "inspect h:1",
+        "signal * aGkgNw==",
+        "signal 2 -",
+        "after 7 9",
+        "stream_changes 1",
+        "stream_changes 0",
+        "query_all",
+        "close h:1",
+        "trace two lines",
+    ]
 
 
 def test_a_day_opens_and_a_restart_in_one_batch_starts_afresh() -> None:
