--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -18,14 +18,14 @@
 import time
 from typing import Any
 
-from larchhaven.memory.account import Account
-from larchhaven.memory.purposes import Purpose
-from larchhaven.net.admin.metrics import Figures
-from larchhaven.net.control.connection_limits import Rooms
+from larchhaven.memory.account import MemoryAccount
+from larchhaven.memory.purposes import MemoryPurpose
+from larchhaven.net.admin.metrics import Metrics
+from larchhaven.net.control.connection_limits import ConnectionLimits
 from larchhaven.net.control.dispatcher import Broker, Execution, Outside
-from larchhaven.net.core.buffer_pool import Pool
-from larchhaven.net.core.event_loop import Loop
-from larchhaven.net.core.rate_limited_log import Notices
+from larchhaven.net.core.buffer_pool import BufferPool
+from larchhaven.net.core.event_loop import EventLoop
+from larchhaven.net.core.rate_limited_log import RateLimitedLog
 from larchhaven.net.text_protocol.listener import Listener
 from larchhaven.net.text_protocol.upstream_attempt import TextExecution
 from larchhaven.routing import interface as api
@@ -34,33 +34,35 @@
 SETUPS = 250
 
 
-class NoAccount(Account):
+class NoAccount(MemoryAccount):
     """Grants all and counts nothing."""
 
-    def take(self, purpose: Purpose, size: int) -> bool:
+    def try_charge(self, purpose: MemoryPurpose, size: int) -> bool:
         """Grant."""
         return True
 
-    def must(self, purpose: Purpose, size: int) -> None:
+    def charge(self, purpose: MemoryPurpose, size: int) -> None:
         """Count nothing."""
 
-    def give(self, purpose: Purpose, size: int) -> None:
+    def release(self, purpose: MemoryPurpose, size: int) -> None:
         """Count nothing."""
 
 
 class Way:
     """One proxy's parts, with an exam server and clients in the same process."""
 
-    def __init__(self, account: Account) -> None:
-        self.loop = loop = Loop()
-        self.pool = pool = Pool(account)
+    def __init__(self, account: MemoryAccount) -> None:
+        self.loop = loop = EventLoop()
+        self.pool = pool = BufferPool(account)
         settings = api.Settings(
             classes=(api.RequestClass(aim_us=300_000, deadline_us=2_000_000),), instances=1, index=0,
             drain_grace_us=3_000_000, cold_us=7_000_000, cold_from=0.33, tip_multiple=2.5,
             tip_after_us=1_500_000, max_attempts=3, tells_load=True,
         )  # fmt: skip
-        notices = Notices(loop)
-        self.broker = broker = Broker(loop, notices, settings, 1, Figures.of(["chat"]), account)
+        notices = RateLimitedLog(loop)
+        self.broker = broker = Broker(
+            loop, notices, settings, 1, Metrics.for_classes(["chat"]), account
+        )
         self.server = socket.create_server(("127.0.0.1", 0), backlog=64)
         broker.outside = Outside(
             instances=self,
@@ -73,13 +75,13 @@
             identity=lambda identity, on: None,
             is_open_elsewhere=lambda identity: False,
         )
-        rooms = Rooms(loop, account, [1.0], 1_000)
+        rooms = ConnectionLimits(loop, account, [1.0], 1_000)
         self.listener = Listener(
-            loop, pool, broker, notices, ("127.0.0.1", 0), {"chat": 0}, 1_000, rooms
+            loop, pool, broker, notices, ("127.0.0.1", 0), {"chat": 0}, {}, 1_000, rooms
         )
         self.listener.open()
         broker.queue(api.FleetList(api.ListKind.COMPLETE, 1, (api.ServerEntry("s0"),)))
-        loop.turn_end = broker.turn
+        loop.on_iteration_end = broker.turn
         self.number = 0
         self.client, self.instance = self.open()
 
@@ -103,8 +105,8 @@
     def turns(self, count: int) -> None:
         """Turn without waiting."""
         for _ in range(count):
-            self.loop.again()
-            self.loop.turn()
+            self.loop.skip_next_wait()
+            self.loop.run_once()
 
     def open(self) -> tuple[socket.socket, socket.socket]:
         """Bring up one connection."""
@@ -150,8 +152,8 @@
     options.add_argument("--rounds", type=int, default=15)
     options.add_argument("--json", action="store_true")
     given = options.parse_args()
-    caps = dict.fromkeys(Purpose, 64 << 20)
-    ways = {"with": Way(Account(caps)), "without": Way(NoAccount(caps))}
+    caps = dict.fromkeys(MemoryPurpose, 64 << 20)
+    ways = {"with": Way(MemoryAccount(caps)), "without": Way(NoAccount(caps))}
     gc.freeze()
     figures: dict[str, dict[str, list[float]]] = {
         what: {w: [] for w in ways} for what in ("lines", "setups")
--- a/larchhaven/__main__.py
+++ b/larchhaven/__main__.py
@@ -16,9 +16,9 @@
     reading = None
     path = os.environ.get("EDGE_OPERATOR", "")
     if path:
-        from larchhaven.net.admin.operator_file import read_now
+        from larchhaven.net.admin.operator_file import read_blocking
 
-        reading = read_now(path)
+        reading = read_blocking(path)
         if reading.complaints:
             for complaint in reading.complaints:
                 print(complaint.at(path), file=sys.stderr)
@@ -30,7 +30,7 @@
 
     try:
         config = load(os.environ)
-        logs.set_up(reading is not None and reading.settings.log_json)
+        logs.configure_logging(reading is not None and reading.settings.log_json)
         node = Node(config, path, reading)
     except ConfigError as error:
         print(f"larchhaven: {error}", file=sys.stderr)
--- a/larchhaven/cli/check.py
+++ b/larchhaven/cli/check.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from larchhaven.memory import plan
-from larchhaven.memory.purposes import Purpose
+from larchhaven.memory.purposes import MemoryPurpose
 from larchhaven.operator.read import read_file
 from larchhaven.operator.settings import Complaint, Reading
 
@@ -56,7 +56,7 @@
         found.append(Complaint(0, 0, f"limits.memory_mb is {limits.memory_mb:g}: write 32 or more"))
     if limits.sockets < 64:
         found.append(Complaint(0, 0, f"limits.sockets is {limits.sockets}: write 256 or more"))
-    return found, (int(limits.memory_mb * plan.MB), limits.sockets)
+    return found, (int(limits.memory_mb * plan.BYTES_PER_MB), limits.sockets)
 
 
 def _place(config: Path, error: str) -> tuple[int, int]:
@@ -88,9 +88,11 @@
 def _sums(reading: Reading, grant: int, sockets: int) -> list[Complaint]:
     from larchhaven.cli.memory import measured_start
 
-    wanted = {p: reading.settings.caps[p.key] for p in Purpose if p.key in reading.settings.caps}
+    wanted = {
+        p: reading.settings.caps[p.key] for p in MemoryPurpose if p.key in reading.settings.caps
+    }
     try:
-        plan.make(grant, measured_start(), sockets, wanted)
-    except plan.PlanError as error:
+        plan.make_plan(grant, measured_start(), sockets, wanted)
+    except plan.MemoryPlanError as error:
         return [Complaint(*reading.memory_at, str(error))]
     return []
--- a/larchhaven/cli/memory.py
+++ b/larchhaven/cli/memory.py
@@ -10,7 +10,8 @@
 
 from larchhaven.cli.calls import CallError, get
 from larchhaven.memory import plan
-from larchhaven.memory.purposes import ABOUT, COMMAND, STREAM, Purpose
+from larchhaven.memory.item_costs import REQUEST_BYTES, STREAM_BYTES
+from larchhaven.memory.purposes import PURPOSE_DESCRIPTIONS, MemoryPurpose
 from larchhaven.net.admin.memory_accounting import MemoryState
 
 _MEASURE = """
@@ -32,7 +33,7 @@
     grant: float, sockets: int, start: float | None, operator: Path | None, as_json: bool
 ) -> int:
     """Print the plan; return the exit code."""
-    wanted: dict[Purpose, int] = {}
+    wanted: dict[MemoryPurpose, int] = {}
     if operator is not None:
         from larchhaven.operator.read import read_file
 
@@ -42,44 +43,51 @@
         if reading.complaints:
             return 2
         wanted = {
-            p: reading.settings.caps[p.key] for p in Purpose if p.key in reading.settings.caps
+            p: reading.settings.caps[p.key] for p in MemoryPurpose if p.key in reading.settings.caps
         }
-    own = int(start * plan.MB) if start is not None else measured_start()
+    own = int(start * plan.BYTES_PER_MB) if start is not None else measured_start()
     try:
-        made = plan.make(int(grant * plan.MB), own, sockets, wanted)
-    except plan.PlanError as error:
+        made = plan.make_plan(int(grant * plan.BYTES_PER_MB), own, sockets, wanted)
+    except plan.MemoryPlanError as error:
         print(f"larchhaven memory: {error}", file=sys.stderr)
         return 2
-    connection = 2 * STREAM + COMMAND
+    connection = 2 * STREAM_BYTES + REQUEST_BYTES
     stand = min(
-        made.caps[Purpose.CONNECTIONS] // (2 * STREAM),
-        made.caps[Purpose.TABLES] // COMMAND,
+        made.caps[MemoryPurpose.CONNECTIONS] // (2 * STREAM_BYTES),
+        made.caps[MemoryPurpose.TABLES] // REQUEST_BYTES,
         sockets // 2,
     )
     if as_json:
         print(
             msgspec.json.encode(
                 {
-                    "grant": made.grant, "start": made.start, "margin": made.margin, "planned": made.planned,
-                    "short": made.short, "socket_bound": made.socket_bound, "connections_fit": stand,
+                    "grant": made.grant_bytes,
+                    "start": made.program_bytes,
+                    "margin": made.unplanned_bytes,
+                    "planned": made.planned_bytes,
+                    "short": made.is_below_minimum,
+                    "socket_bound": made.socket_buffer_bytes,
+                    "connections_fit": stand,
                     "caps": {purpose.key: cap for purpose, cap in made.caps.items()},
                 }
             ).decode()
-        )  # fmt: skip
-        return 1 if made.short else 0
-    print(f"{'granted':<14}{_kb(made.grant)}")
-    print(f"{'program':<14}{_kb(made.start)}  {'given' if start is not None else 'measured here'}")
-    print(f"{'unplanned':<14}{_kb(made.margin)}  what the allocator wastes")
+        )
+        return 1 if made.is_below_minimum else 0
+    print(f"{'granted':<14}{_kb(made.grant_bytes)}")
+    print(
+        f"{'program':<14}{_kb(made.program_bytes)}  {'given' if start is not None else 'measured here'}"
+    )
+    print(f"{'unplanned':<14}{_kb(made.unplanned_bytes)}  what the allocator wastes")
     for purpose, cap in made.caps.items():
-        print(f"{purpose.key:<14}{_kb(cap)}  {ABOUT[purpose].covers}")
-        print(f"{'':<28}at the cap: {ABOUT[purpose].at_cap}")
+        print(f"{purpose.key:<14}{_kb(cap)}  {PURPOSE_DESCRIPTIONS[purpose].covers}")
+        print(f"{'':<28}at the cap: {PURPOSE_DESCRIPTIONS[purpose].at_cap}")
     print(
         f"room for some {stand} standing connections, at {connection:,} bytes each; a socket holds at most"
     )
-    print(f"{made.socket_bound:,} bytes each way in the system")
-    if made.short:
+    print(f"{made.socket_buffer_bytes:,} bytes each way in the system")
+    if made.is_below_minimum:
         print("the grant is too small: the least that each purpose needs passes it")
-    return 1 if made.short else 0
+    return 1 if made.is_below_minimum else 0
 
 
 def show_live(address: str, as_json: bool) -> int:
--- a/larchhaven/memory/admission.py
+++ b/larchhaven/memory/admission.py
@@ -22,7 +22,7 @@
 KERNEL_UNREAD_US = 1_000_000
 
 
-class Giver(Enum):
+class ShedCandidate(Enum):
     """Who gives way, in this order."""
 
     SILENT = auto()  # connected and brought no first line
@@ -31,36 +31,36 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Room:
+class Capacity:
     """One kind of room: how much there is, what is used, what one more needs. Bytes, or descriptors."""
 
-    whole: int
+    total: int
     used: int
-    each: int
+    needed: int
 
     def fits(self, reserve_share: float) -> bool:
         """Tell whether one more fits beside a reserve of this part of the whole."""
-        return self.used + self.each <= self.whole - int(self.whole * reserve_share)
+        return self.used + self.needed <= self.total - int(self.total * reserve_share)
 
 
 class Admission:
     """Whether a newcomer of a class is let in."""
 
     def __init__(self, worths: Sequence[float]) -> None:
-        self.reserve_share = RESERVE_SHARE
+        self.reserve_ratio = RESERVE_SHARE
         self._best = max(worths, default=0.0)
         self._worths = list(worths)
 
-    def may_take(self, cls: int, rooms: Sequence[Room]) -> int | None:
+    def find_exhausted(self, cls: int, rooms: Sequence[Capacity]) -> int | None:
         """Return None if a command of this class is let in, else the number of the room that is short."""
         worthy = 0 <= cls < len(self._worths) and self._worths[cls] >= self._best
         for number, room in enumerate(rooms):
-            if not room.fits(0.0 if worthy else self.reserve_share):
+            if not room.fits(0.0 if worthy else self.reserve_ratio):
                 return number
         return None
 
 
-def gives_way(
+def choose_shed_candidate(
     silent: int,
     silent_since: int,
     silent_most: int,
@@ -69,7 +69,7 @@
     now: int,
     short: bool,
     unread_us: int = UNREAD_US,
-) -> Giver | None:
+) -> ShedCandidate | None:
     """Tell who is to give way now, if anybody.
 
     ``silent`` and ``parting`` count such clients; ``silent_since`` and ``unread_since`` are since when the
@@ -79,11 +79,11 @@
     """
     speechless = silent > 0 and now >= silent_since + SPEAK_US
     if silent > silent_most:
-        return Giver.SILENT if speechless else None
+        return ShedCandidate.SILENT if speechless else None
     if not short:
         return None
     if parting:
-        return Giver.PARTING
+        return ShedCandidate.PARTING
     if unread_since is not None and now >= unread_since + unread_us:
-        return Giver.UNREAD
-    return Giver.SILENT if speechless else None
+        return ShedCandidate.UNREAD
+    return ShedCandidate.SILENT if speechless else None
--- a/larchhaven/memory/purposes.py
+++ b/larchhaven/memory/purposes.py
@@ -6,7 +6,7 @@
 from enum import IntEnum
 
 
-class Purpose(IntEnum):
+class MemoryPurpose(IntEnum):
     """What memory is used for; each has a cap of its own, and none takes from another."""
 
     CONNECTIONS = 0
@@ -26,64 +26,52 @@
 
 
 # Those that are part of the process's resident size; files and kernel buffers are charged beside it.
-RESIDENT = tuple(p for p in Purpose if p not in (Purpose.FILES, Purpose.KERNEL))
+RESIDENT_PURPOSES = tuple(
+    p for p in MemoryPurpose if p not in (MemoryPurpose.FILES, MemoryPurpose.KERNEL)
+)
 
 
 @dataclass(frozen=True, slots=True)
-class About:
+class PurposeDescription:
     """One purpose for people: what it covers and what happens at its cap."""
 
     covers: str
     at_cap: str
 
 
-ABOUT: dict[Purpose, About] = {
-    Purpose.CONNECTIONS: About(
+PURPOSE_DESCRIPTIONS: dict[MemoryPurpose, PurposeDescription] = {
+    MemoryPurpose.CONNECTIONS: PurposeDescription(
         "clients, exam servers' ends, and what each connection keeps beside its buffers",
         "silent, parting and unread clients give way; then newcomers get BUSY, the class worth most last",
     ),
-    Purpose.TABLES: About(
+    MemoryPurpose.TABLES: PurposeDescription(
         "commands, the decision module, identities, holders, deadlines, the list of exam servers",
         "the oldest holders are forgotten; then new commands get BUSY; a live command is never forgotten",
     ),
-    Purpose.BUFFERS: About(
+    MemoryPurpose.BUFFERS: PurposeDescription(
         "bytes on their way between clients and exam servers",
         "nothing more is read until a buffer comes back: the other side has to wait",
     ),
-    Purpose.PROBES: About(
+    MemoryPurpose.PROBES: PurposeDescription(
         "kept connections to exam servers for load reports, and their buffers",
         "a probe is left out, and the decision module hears so",
     ),
-    Purpose.PEERS: About(
+    MemoryPurpose.PEERS: PurposeDescription(
         "what other proxies and the other process of an upgrade tell",
         "further ids of the other process are not kept",
     ),
-    Purpose.MANAGEMENT: About(
+    MemoryPurpose.MANAGEMENT: PurposeDescription(
         "operators' calls and calls to discovery",
         "the oldest incomplete call is closed; a list of exam servers that is too long is a failed call",
     ),
-    Purpose.LOG: About("kinds of notices remembered", "the kind told longest ago is forgotten"),
-    Purpose.FILES: About(
+    MemoryPurpose.LOG: PurposeDescription(
+        "kinds of notices remembered", "the kind told longest ago is forgotten"
+    ),
+    MemoryPurpose.FILES: PurposeDescription(
         "files of ours in $TMPDIR", "a suspension is not saved and the caller is told so"
     ),
-    Purpose.KERNEL: About(
+    MemoryPurpose.KERNEL: PurposeDescription(
         "bytes that the system holds for our sockets, both ways",
         "clients that do not read give way, the longest unread first",
     ),
 }
-
-# What one item costs, in bytes. Measured by benchmarks/memory_costs.py as growth of the resident size over
-# hundreds of items, on CPython 3.11; the benchmark says how far a figure is off on another.
-STREAM = 1_900  # a connection's end with its owner: client, execution, half a relay, or a caller
-DEADLINE = 210
-COMMAND_DEADLINES = 3  # that a command has at a time
-# A command in the broker and in the decision module, its id and payload not counted.
-COMMAND = 1_350 + COMMAND_DEADLINES * DEADLINE
-BUFFER_EXTRA = 290  # beside a buffer's bytes
-FIRST_USE = 220_000  # what the first commands make the program load and build, once
-SERVER = 2_600  # an exam server in the directory, the ranking and the tables beside it
-HOLDER = 230
-HOST_ONCE = 170  # an exam server that was listed once
-IDENTITY = 110
-NOTICE = 260
-"""Each is an average; `Reality` watches that together they stay near the truth."""
--- a/larchhaven/memory/reality.py
+++ b/larchhaven/memory/resident_monitor.py
@@ -7,66 +7,66 @@
 MB = 1 << 20
 # The unaccounted part is told when it passes this part of the grant, and again each time it has grown so
 # much more: allocators waste some, and a leak passes any such line.
-TELL_SHARE = 0.05
+WARN_STEP_RATIO = 0.05
 # An allocator that keeps what was freed is asked to return it when the unaccounted part passes this part of
 # the room between the start size and the grant, not more often than so.
-TRIM_SHARE = 0.10
-TRIM_US = 30_000_000
+TRIM_RATIO = 0.10
+TRIM_INTERVAL_US = 30_000_000
 
 
 @dataclass(frozen=True, slots=True)
-class Sample:
+class ResidentSample:
     """One look, in bytes: resident size, its growth since the start, what of that no purpose explains."""
 
-    at: int
-    resident: int
-    growth: int
-    unaccounted: int
+    at_us: int
+    resident_bytes: int
+    growth_bytes: int
+    unaccounted_bytes: int
 
 
 @dataclass(frozen=True, slots=True)
-class Advice:
+class SampleAdvice:
     """What a look calls for."""
 
-    tell: bool  # the unaccounted part has grown past another line
-    trim: bool  # have the allocator return what it keeps
+    should_warn: bool  # the unaccounted part has grown past another line
+    should_trim: bool  # have the allocator return what it keeps
 
 
-class Reality:
+class ResidentMemoryMonitor:
     """Compares samples with the account."""
 
     def __init__(self, grant: int) -> None:
         self._grant = grant
         self._start = 0
         self._accounted_at_start = 0
-        self._told_at = TELL_SHARE * grant  # the next line
+        self._told_at = WARN_STEP_RATIO * grant  # the next line
         self._trimmed_at: int | None = None
-        self.last = Sample(0, 0, 0, 0)
-        self.peak = 0
-        self.trims = 0
+        self.last_sample = ResidentSample(0, 0, 0, 0)
+        self.peak_bytes = 0
+        self.trim_count = 0
 
     @property
-    def start(self) -> int:
+    def start_bytes(self) -> int:
         """The resident size when the proxy began to serve, in bytes."""
         return self._start
 
-    def begin(self, resident: int, accounted: int) -> None:
+    def start(self, resident: int, accounted: int) -> None:
         """Take the start size, and what the account had by then: that is part of it."""
         self._start, self._accounted_at_start = resident, accounted
-        self.last = Sample(0, resident, 0, 0)
+        self.last_sample = ResidentSample(0, resident, 0, 0)
 
-    def look(self, now: int, resident: int, accounted: int) -> Advice:
+    def sample(self, now: int, resident: int, accounted: int) -> SampleAdvice:
         """Take a sample: the resident size and what the account says of it."""
         growth = resident - self._start
         unaccounted = growth - (accounted - self._accounted_at_start)
-        self.last = Sample(now, resident, growth, unaccounted)
-        self.peak = max(self.peak, resident)
+        self.last_sample = ResidentSample(now, resident, growth, unaccounted)
+        self.peak_bytes = max(self.peak_bytes, resident)
         tell = unaccounted > self._told_at
         if tell:
-            self._told_at = unaccounted + TELL_SHARE * self._grant
-        rested = self._trimmed_at is None or now >= self._trimmed_at + TRIM_US
-        trim = rested and unaccounted > TRIM_SHARE * max(self._grant - self._start, MB)
+            self._told_at = unaccounted + WARN_STEP_RATIO * self._grant
+        rested = self._trimmed_at is None or now >= self._trimmed_at + TRIM_INTERVAL_US
+        trim = rested and unaccounted > TRIM_RATIO * max(self._grant - self._start, MB)
         if trim:
             self._trimmed_at = now
-            self.trims += 1
-        return Advice(tell, trim)
+            self.trim_count += 1
+        return SampleAdvice(tell, trim)
--- a/larchhaven/net/admin/http_api.py
+++ b/larchhaven/net/admin/http_api.py
@@ -9,9 +9,10 @@
 
 import httptools
 
-from larchhaven.memory.purposes import Purpose
-from larchhaven.net.core.buffer_pool import SHORT_OF, Pool, Stream
-from larchhaven.net.core.event_loop import READ, Deadline, Loop
+from larchhaven.memory.purposes import MemoryPurpose
+from larchhaven.net.core.buffer_pool import BufferPool
+from larchhaven.net.core.event_loop import READ, EventLoop, TimerHandle
+from larchhaven.net.core.stream import RESOURCE_EXHAUSTION_ERRNOS, Stream
 
 # Callers held at a time; with one more, one that has its answer gives way, or the oldest incomplete one.
 CALLERS_MOST = 24
@@ -61,7 +62,7 @@
         self._size = 0
         self.answered = False
         self.stream = Stream(management.loop, management.pool, sock, self)
-        self._limit: Deadline | None = self._loop.after(CALL_US, self._on_late)
+        self._limit: TimerHandle | None = self._loop.call_later(CALL_US, self._on_late)
 
     # The parser's callbacks
 
@@ -77,18 +78,18 @@
 
     # The stream's owner
 
-    def on_open(self) -> None:
+    def connection_made(self) -> None:
         """Nothing: an accepted connection stands already."""
 
-    def on_room(self) -> None:
+    def write_buffer_drained(self) -> None:
         """Nothing: answers fit."""
 
-    def on_input(self) -> None:
+    def data_received(self) -> None:
         """Feed the parser."""
         inbox = self.stream.inbox
         if inbox is None:
             return
-        data = bytes(inbox.held())
+        data = bytes(inbox.readable())
         self.stream.consume(len(data))
         self._size += len(data)
         try:
@@ -100,12 +101,12 @@
         if self._size > CALL_MOST:
             self._answer(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, b"")
 
-    def on_end(self) -> None:
+    def eof_received(self) -> None:
         """Let a caller go that ends without a whole call; one that has its answer is read to its end."""
         if not self.answered:
             self.close()
 
-    def on_broken(self, code: int) -> None:
+    def connection_lost(self, code: int) -> None:
         """Forget a caller whose connection broke."""
         self.close()
 
@@ -121,7 +122,7 @@
         head += [f"Allow: {allow}"] if allow else []
         head += [f"Content-Length: {len(body)}", "Connection: close", "", ""]
         self.stream.write("\r\n".join(head).encode() + body)
-        self.stream.finish()
+        self.stream.start_lingering_close()
 
     def _on_late(self) -> None:
         self._answer(HTTPStatus.REQUEST_TIMEOUT, b"")
@@ -138,15 +139,17 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         address: tuple[str, int],
         office: Office,
         shared: bool,
-        pool: Pool | None = None,
+        pool: BufferPool | None = None,
     ) -> None:
         self.loop = loop
         # Its own: clients that fill theirs keep no operator waiting.
-        self.pool = pool or Pool(streams=Purpose.MANAGEMENT, buffers=Purpose.MANAGEMENT)
+        self.pool = pool or BufferPool(
+            stream_purpose=MemoryPurpose.MANAGEMENT, buffer_purpose=MemoryPurpose.MANAGEMENT
+        )
         self._office = office
         self._callers: dict[_Caller, None] = {}  # the oldest first
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
@@ -155,7 +158,7 @@
             self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         self._sock.bind(address)
         self._sock.listen(BACKLOG)
-        self._channel = loop.add(self._sock, READ, self._on_ready)
+        self._channel = loop.register(self._sock, READ, self._on_ready)
 
     @property
     def address(self) -> tuple[str, int]:
@@ -211,9 +214,9 @@
             except BlockingIOError:
                 return
             except OSError as error:
-                if error.errno in SHORT_OF:
+                if error.errno in RESOURCE_EXHAUSTION_ERRNOS:
                     self.loop.set_events(self._channel, 0)
-                    self.loop.after(
+                    self.loop.call_later(
                         SHORT_REST_US, lambda: self.loop.set_events(self._channel, READ)
                     )
                     return
@@ -221,7 +224,7 @@
             for gone in [c for c in self._callers if c.stream.closed]:
                 self.forget(gone)
             if len(self._callers) >= CALLERS_MOST:
-                self.pool.account.refuse(Purpose.MANAGEMENT)
+                self.pool.account.count_rejection(MemoryPurpose.MANAGEMENT)
                 answered = (c for c in self._callers if c.answered)
                 next(answered, next(iter(self._callers))).close()
             self._callers[_Caller(self, sock)] = None
--- a/larchhaven/net/admin/metrics.py
+++ b/larchhaven/net/admin/metrics.py
@@ -6,8 +6,16 @@
 
 import msgspec
 
+# Keys of the JSON that operators read, where they differ from the fields.
+_JSON_KEYS = {
+    "active_requests": "pending",
+    "listed_servers": "members",
+    "unavailable_servers": "members_unavailable",
+    "invalid_peer_messages": "strange_messages",
+}
 
-class Outcomes(msgspec.Struct):
+
+class RequestOutcomes(msgspec.Struct):
     """What became of the commands of one class; a command has one outcome, or none if its client left."""
 
     completed: int = 0
@@ -15,24 +23,24 @@
     failed: int = 0
 
 
-class Figures(msgspec.Struct):
+class Metrics(msgspec.Struct, rename=_JSON_KEYS):
     """What operators read, in the form in which they read it."""
 
-    downstream_requests: dict[str, Outcomes]
+    downstream_requests: dict[str, RequestOutcomes]
     upstream_requests: int = 0  # executions whose first line was written to its last byte
-    pending: int = 0  # commands taken whose connection has not ended
-    members: int = 0
-    members_unavailable: int = 0
+    active_requests: int = 0  # commands taken whose connection has not ended
+    listed_servers: int = 0
+    unavailable_servers: int = 0
     config_reloads: int = 0
     config_reload_errors: int = 0
-    strange_messages: int = 0  # of other proxies, or entries in them, that could not be used
+    invalid_peer_messages: int = 0  # of other proxies, or entries in them, that could not be used
 
     @classmethod
-    def of(cls, classes: Sequence[str]) -> Figures:
+    def for_classes(cls, classes: Sequence[str]) -> Metrics:
         """Begin at nothing, with every class there is."""
-        return cls({name: Outcomes() for name in classes})
+        return cls({name: RequestOutcomes() for name in classes})
 
-    def outcomes(self) -> list[Outcomes]:
+    def outcomes_by_class(self) -> list[RequestOutcomes]:
         """Return the outcomes by the classes' numbers."""
         return list(self.downstream_requests.values())
 
--- a/larchhaven/net/admin/operator_file.py
+++ b/larchhaven/net/admin/operator_file.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from larchhaven.net.core.event_loop import READ, Deadline, Loop
+from larchhaven.net.core.event_loop import READ, EventLoop, TimerHandle
 from larchhaven.operator.settings import Complaint, Reading, Settings
 
 # The reading process needs so much beside ours at its peak, pages that both share not counted. Measured.
@@ -55,7 +55,7 @@
     return _decode(data) if len(data) <= FILE_MOST else _failed("is too long")
 
 
-def read_now(path: str) -> Reading:
+def read_blocking(path: str) -> Reading:
     """Read the file and wait for it; for the start, before the proxy itself is loaded."""
     if path.endswith(".json"):
         return read_compiled(path)
@@ -75,10 +75,10 @@
     return _decode(data)
 
 
-class OperatorFile:
+class OperatorFileReader:
     """Reads the file while the loop goes on, one reading at a time."""
 
-    def __init__(self, loop: Loop, path: str, done: Callable[[Reading], None]) -> None:
+    def __init__(self, loop: EventLoop, path: str, done: Callable[[Reading], None]) -> None:
         self._loop = loop
         self._path = path
         self._done = done
@@ -86,7 +86,7 @@
         self._pid = 0
         self._channel = 0
         self._data = b""
-        self._limit: Deadline | None = None
+        self._limit: TimerHandle | None = None
 
     def read(self, room: int) -> None:
         """Begin to read; ``room`` is what the grant leaves, in bytes. A reading under way is enough."""
@@ -110,8 +110,8 @@
             return
         self._data = b""
         self._sock.setblocking(False)
-        self._channel = self._loop.add(self._sock, READ, self._on_ready)
-        self._limit = self._loop.after(READ_US, self._end)
+        self._channel = self._loop.register(self._sock, READ, self._on_ready)
+        self._limit = self._loop.call_later(READ_US, self._end)
 
     def _on_ready(self, _: int) -> None:
         assert self._sock is not None
@@ -130,7 +130,7 @@
         if self._sock is None:
             return
         self._loop.cancel(self._limit)
-        self._loop.remove(self._channel)
+        self._loop.unregister(self._channel)
         self._sock.close()
         self._sock = None
         os.kill(self._pid, signal.SIGKILL)
--- a/larchhaven/net/control/dispatcher.py
+++ b/larchhaven/net/control/dispatcher.py
@@ -14,12 +14,13 @@
 from typing import Any, Protocol
 
 from larchhaven.gossip.shared_health_checks import REPORTS, Lookout, is_shared
-from larchhaven.memory.account import Account
-from larchhaven.memory.purposes import COMMAND, Purpose
-from larchhaven.net.admin.metrics import Figures, Outcomes
-from larchhaven.net.core.event_loop import Deadline, Loop
-from larchhaven.net.core.rate_limited_log import Notices
-from larchhaven.net.core.slot_table import Slots
+from larchhaven.memory.account import MemoryAccount
+from larchhaven.memory.item_costs import REQUEST_BYTES
+from larchhaven.memory.purposes import MemoryPurpose
+from larchhaven.net.admin.metrics import Metrics, RequestOutcomes
+from larchhaven.net.core.event_loop import EventLoop, TimerHandle
+from larchhaven.net.core.rate_limited_log import RateLimitedLog
+from larchhaven.net.core.slot_table import SlotTable
 from larchhaven.routing import interface as api
 from larchhaven.routing.balancer import Balancer
 
@@ -138,13 +139,13 @@
         self.wants = wants
         self.load = wants.load
         self.until = until
-        self.limit: Deadline | None = None
+        self.limit: TimerHandle | None = None
         self.attempt = -1
         self.host = ""
         self.begun_at = 0
         self.execution: Execution | None = None
         self.session: Session | None = None
-        self.charged = COMMAND + len(wants.payload) + len(wants.identity)
+        self.charged = REQUEST_BYTES + len(wants.payload) + len(wants.identity)
 
 
 class Broker:
@@ -152,19 +153,19 @@
 
     def __init__(
         self,
-        loop: Loop,
-        notices: Notices,
+        loop: EventLoop,
+        notices: RateLimitedLog,
         settings: api.Settings,
         seed: int,
-        figures: Figures,
-        account: Account | None = None,
+        figures: Metrics,
+        account: MemoryAccount | None = None,
     ) -> None:
         self._loop = loop
         self._notices = notices
         self._settings = settings
         # In a large tier the lookout decides which proxy probes which instance.
         self._lookout = Lookout(settings) if is_shared(settings) else None
-        self._look: Deadline | None = None
+        self._look: TimerHandle | None = None
         self._balancer = Balancer(
             replace(settings, can_probe=False) if self._lookout else settings, seed
         )
@@ -177,10 +178,10 @@
             None  # who waits for the first list; None: nobody has to
         )
         self._figures = figures
-        self._outcomes = figures.outcomes()
-        self._account = account or Account.unbounded()
+        self._outcomes = figures.outcomes_by_class()
+        self._account = account or MemoryAccount.unbounded()
         self.arrived_at = 0  # when the last command came
-        self._commands: Slots[Command] = Slots()
+        self._commands: SlotTable[Command] = SlotTable()
         self._identities: dict[bytes, int] = {}  # of the open commands
         self._suspended: dict[str, int] = {}  # the instances taken out, and since when
         self._notes: dict[str, tuple[int, bool]] = {}  # when the last was sent, and if it was slow
@@ -199,7 +200,7 @@
             api.Watch: lambda a: self.outside.watch(a.on),
             api.FetchList: lambda a: self.outside.fetch(),
             api.CloseIdle: lambda a: self.outside.close_idle(a.server),
-            api.Log: lambda a: self._notices.tell("decisions", a.text),
+            api.Log: lambda a: self._notices.warning("decisions", a.text),
         }
 
     def held(self) -> int:
@@ -208,12 +209,12 @@
 
     def avoided(self) -> int:
         """Count the listed instances that get nothing new at present."""
-        return self._balancer.avoided(self._loop.now)
+        return self._balancer.avoided(self._loop.now_us)
 
     def suspend(self, host: str, on: bool) -> None:
         """Have an instance taken out, or let it serve again."""
         if on:
-            self._suspended.setdefault(host, self._loop.now)
+            self._suspended.setdefault(host, self._loop.now_us)
         else:
             self._suspended.pop(host, None)
         self.queue(api.Suspended(host, on))
@@ -221,7 +222,7 @@
     def present(self, proxies: frozenset[int]) -> None:
         """Go by these proxies of the tier: the others are known to be gone."""
         if self._lookout is not None:
-            self._lookout.on_present(self._loop.now, proxies)
+            self._lookout.on_present(self._loop.now_us, proxies)
         self.queue(api.Present(proxies))
 
     def forget(self, host: str) -> None:
@@ -246,8 +247,8 @@
 
     def woke(self) -> None:
         """Take that this process was asleep: nothing is decided until what stands in its sockets is read."""
-        self._awake_at = self._loop.now + AWAKE_US
-        self._loop.after(AWAKE_US, lambda: None)  # the turn in which all is decided
+        self._awake_at = self._loop.now_us + AWAKE_US
+        self._loop.call_later(AWAKE_US, lambda: None)  # the turn in which all is decided
 
     def hear_first(self) -> None:
         """Have newcomers wait until the list is heard, or calling has failed, as far as they can wait.
@@ -256,11 +257,11 @@
         the list that it was started with may be old: a server on it may have drained meanwhile.
         """
         self._newcomers = []
-        self._loop.after(0, self._limit_wait)  # from the first turn on
+        self._loop.call_later(0, self._limit_wait)  # from the first turn on
 
     def _limit_wait(self) -> None:
         wait = int(FIRST_LIST_SHARE * min(c.aim_us for c in self._settings.classes))
-        self._loop.after(wait, self._let_in)
+        self._loop.call_later(wait, self._let_in)
 
     def heard(self, news: api.FleetList) -> None:
         """Take news of the list, or that a call for it has failed."""
@@ -272,31 +273,31 @@
         for arrival in newcomers:
             command = self._commands.get(arrival.request)
             if command is not None and command.client is not None:  # neither gone nor answered
-                self.queue(replace(arrival, budget_us=max(command.until - self._loop.now, 0)))
+                self.queue(replace(arrival, budget_us=max(command.until - self._loop.now_us, 0)))
 
     def turn(self) -> None:
         """Hand over what has happened, and do what the decision module says."""
-        if not self._events or self._loop.now < self._awake_at:
+        if not self._events or self._loop.now_us < self._awake_at:
             return
         events, self._events = self._events, []
         if self._awake_at:
             events, self._awake_at = after_sleep(events), 0
         if self._lookout is not None:
             events = self._share(self._lookout, events)
-        for action in self._balancer.handle(self._loop.now, events):
+        for action in self._balancer.handle(self._loop.now_us, events):
             self._handlers[type(action)](action)
         if self._events:
-            self._loop.again()  # some actions end at once; their events must not wait for a socket
+            self._loop.skip_next_wait()  # some actions end at once; their events must not wait for a socket
 
     def _share(self, lookout: Lookout, events: list[api.Event]) -> list[api.Event]:
         """Have the lookout see what concerns it, and add what other proxies have found."""
         kept: list[api.Event] = []
-        now = self._loop.now
+        now = self._loop.now_us
         for event in events:
             if isinstance(event, api.PeerMessage) and event.data[:1] == REPORTS:
                 before = lookout.strange
                 kept += lookout.on_told(now, event.data)
-                self._figures.strange_messages += lookout.strange - before
+                self._figures.invalid_peer_messages += lookout.strange - before
                 continue
             kept.append(event)
             if isinstance(event, api.PeerMessage):
@@ -308,20 +309,22 @@
                 lookout.on_list(now, event)
             elif isinstance(event, api.ProbeResult):
                 lookout.on_look(now, event)
-        if lookout.due is not None and (self._look is None or self._look.at != lookout.due):
+        if lookout.due is not None and (self._look is None or self._look.due_us != lookout.due):
             self._loop.cancel(self._look)
-            self._look = self._loop.after(lookout.due - now, self._begin_looks)
+            self._look = self._loop.call_later(lookout.due - now, self._begin_looks)
         return kept
 
     def _begin_looks(self) -> None:
         if self._lookout is not None:
-            for action in self._lookout.turn(self._loop.now):
+            for action in self._lookout.turn(self._loop.now_us):
                 if isinstance(action, api.Probe):
                     self._ask(action.server)
                 else:
                     self._handlers[type(action)](action)
             if self._lookout.due is not None:
-                self._look = self._loop.after(self._lookout.due - self._loop.now, self._begin_looks)
+                self._look = self._loop.call_later(
+                    self._lookout.due - self._loop.now_us, self._begin_looks
+                )
 
     # Service clients
 
@@ -338,16 +341,16 @@
 
     def take_command(self, client: Client, wants: Wants) -> int:
         """Take over a command, which is owed one final answer."""
-        self.arrived_at = self._loop.now
+        self.arrived_at = self._loop.now_us
         wait = wants.wait_us
         if wait is None:
             wait = self._settings.classes[wants.cls].deadline_us
         if self._answer_by is not None:
-            wait = max(min(wait, self._answer_by - self._loop.now), 0)
-        command = Command(client, wants, self._loop.now + wait)
+            wait = max(min(wait, self._answer_by - self._loop.now_us), 0)
+        command = Command(client, wants, self._loop.now_us + wait)
         token = self._add(command)
         # Should the decision module ever miss the deadline, the client gets its answer all the same.
-        command.limit = self._loop.after(
+        command.limit = self._loop.call_later(
             wait + self._settings.answer_slack_us, partial(self._overdue, token)
         )
         arrival = api.Arrival(
@@ -376,7 +379,9 @@
             if command.client is not None and command.until > at:
                 command.until = at
                 self._loop.cancel(command.limit)
-                command.limit = self._loop.after(at - self._loop.now, partial(self._overdue, token))
+                command.limit = self._loop.call_later(
+                    at - self._loop.now_us, partial(self._overdue, token)
+                )
 
     def move_all(self) -> None:
         """Move every connection that stands, at once."""
@@ -391,8 +396,8 @@
 
     def _add(self, command: Command) -> int:
         token = self._commands.add(command)
-        self._account.must(Purpose.TABLES, command.charged)
-        self._figures.pending += 1
+        self._account.charge(MemoryPurpose.TABLES, command.charged)
+        self._figures.active_requests += 1
         self._identify(token, command)
         return token
 
@@ -411,7 +416,7 @@
 
     def _overdue(self, token: int) -> None:
         if self._fail(token):
-            self._notices.tell("overdue answer", f"command {token} was failed at its deadline")
+            self._notices.warning("overdue answer", f"command {token} was failed at its deadline")
 
     def _fail(self, token: int) -> bool:
         """Fail a command over the head of the decision module; False if it had its answer."""
@@ -433,8 +438,8 @@
     def _remove(self, token: int) -> Command | None:
         command = self._commands.remove(token)
         if command is not None:
-            self._figures.pending -= 1
-            self._account.give(Purpose.TABLES, command.charged)
+            self._figures.active_requests -= 1
+            self._account.release(MemoryPurpose.TABLES, command.charged)
         if command is not None and self._identities.get(command.wants.identity) == token:
             del self._identities[command.wants.identity]
             self.outside.identity(command.wants.identity, False)
@@ -448,13 +453,13 @@
             command.client.look()
         if command is None or self._commands.get(token) is not command:
             return False  # the client has just left
-        return self._open(command.host) and self._balancer.may_begin(self._loop.now, token)
+        return self._open(command.host) and self._balancer.may_begin(self._loop.now_us, token)
 
     def _open(self, host: str) -> bool:
         """Guard the drain rule once more: the list may have changed while a connect took its time."""
         told = (self.outside.instances.told_at(host), self._suspended.get(host))
         until = self._settings.drain_grace_us - GRACE_MARGIN_US
-        return all(at is None or self._loop.now < at + until for at in told)
+        return all(at is None or self._loop.now_us < at + until for at in told)
 
     def execution_written(self, token: int) -> None:
         """Count an execution: from here on the instance may have run it."""
@@ -465,14 +470,14 @@
         command = self._commands.get(token)
         if command is None or command.client is None or command.execution is None:
             return
-        latency = self._loop.now - command.begun_at
+        latency = self._loop.now_us - command.begun_at
         self.queue(api.Established(token, command.attempt, command.host, latency))
         client, command.client = command.client, None
         execution, command.execution = command.execution, None
         self._loop.cancel(command.limit)
         self._outcomes[command.wants.cls].completed += 1
         # A first line may be 4 KiB long, and a connection may stand for hours.
-        self._account.give(Purpose.TABLES, len(command.wants.payload))
+        self._account.release(MemoryPurpose.TABLES, len(command.wants.payload))
         command.charged -= len(command.wants.payload)
         command.wants = replace(command.wants, payload=b"")
         command.session = client.serve(execution, token)
@@ -492,7 +497,7 @@
         report: api.Report | None,
         finished: bool,
     ) -> None:
-        latency = self._loop.now - command.begun_at
+        latency = self._loop.now_us - command.begun_at
         self.queue(
             api.AttemptEnded(
                 token, command.attempt, command.host, result, latency, finished, report
@@ -515,8 +520,8 @@
             return
         at, high = self._notes.get(command.host, (0, False))
         slow = delay_us > self._slow_us
-        if (slow and (not high or self._loop.now >= at + NOTE_US)) or (high and not slow):
-            self._notes[command.host] = (self._loop.now, slow)
+        if (slow and (not high or self._loop.now_us >= at + NOTE_US)) or (high and not slow):
+            self._notes[command.host] = (self._loop.now_us, slow)
             self.queue(api.DelayNote(token, command.attempt, command.host, float(delay_us)))
 
     def session_waits(self, token: int, age_us: int) -> None:
@@ -558,8 +563,8 @@
 
     def adopt(self, wants: Wants, host: str, join: Callable[[int], Session]) -> None:
         """Go on with a connection that another process held."""
-        command = Command(None, wants, self._loop.now)
-        command.attempt, command.host, command.begun_at = 0, host, self._loop.now
+        command = Command(None, wants, self._loop.now_us)
+        command.attempt, command.host, command.begun_at = 0, host, self._loop.now_us
         token = self._add(command)
         arrival = api.Arrival(token, wants.cls, 0, wants.tenant, wants.key, wants.load, wants.group)
         self.queue(api.Resumed(arrival, host))
@@ -578,16 +583,16 @@
             return
         command.attempt += 1
         command.host = action.server
-        command.begun_at = self._loop.now
+        command.begun_at = self._loop.now_us
         address = self.outside.instances.address(action.server)
-        left = command.until - self._loop.now
+        left = command.until - self._loop.now_us
         wait = min(action.timeout_us or left, left)
         if address is None or wait <= 0 or not self._open(action.server):
             self._ended(action.request, command, api.Result.NOT_SENT, None, finished=False)
             return
         command.execution = self.outside.begin(action.request, command.wants.payload, address, wait)
 
-    def _answered(self, token: int) -> tuple[Client, Outcomes] | None:
+    def _answered(self, token: int) -> tuple[Client, RequestOutcomes] | None:
         """Close a command that is about to get its final answer; None if it has had one."""
         command = self._commands.get(token)
         if command is None or command.client is None:
@@ -639,4 +644,4 @@
 
     def _do_timer(self, action: api.SetTimer) -> None:
         event = api.TimerFired(action.token)
-        self._loop.after(action.delay_us, lambda: self.queue(event))
+        self._loop.call_later(action.delay_us, lambda: self.queue(event))
--- a/larchhaven/net/control/endpoint_watch.py
+++ b/larchhaven/net/control/endpoint_watch.py
@@ -7,10 +7,11 @@
 import httptools
 import msgspec
 
-from larchhaven.memory.purposes import Purpose
-from larchhaven.net.core.buffer_pool import Pool, Stream
-from larchhaven.net.core.event_loop import Deadline, Loop, unix_offset_us
-from larchhaven.net.core.rate_limited_log import Notices
+from larchhaven.memory.purposes import MemoryPurpose
+from larchhaven.net.core.buffer_pool import BufferPool
+from larchhaven.net.core.event_loop import EventLoop, TimerHandle, unix_offset_us
+from larchhaven.net.core.rate_limited_log import RateLimitedLog
+from larchhaven.net.core.stream import Stream
 from larchhaven.routing import interface as api
 
 # How long discovery may hold a watch, and how long an answer may take. So long after the hold, what a silent
@@ -153,9 +154,9 @@
 
     def __init__(
         self,
-        loop: Loop,
-        pool: Pool,
-        notices: Notices,
+        loop: EventLoop,
+        pool: BufferPool,
+        notices: RateLimitedLog,
         address: tuple[str, int],
         seq: int,
         told: Callable[[HostList | None], None],
@@ -183,8 +184,8 @@
         self._done = False
         self._keep = False
         self._called_at = -CALL_GAP_US
-        self._limit: Deadline | None = None
-        self._next: Deadline | None = None
+        self._limit: TimerHandle | None = None
+        self._next: TimerHandle | None = None
 
     def watch(self, on: bool) -> None:
         """Begin, or go on, to ask for changes; or stop."""
@@ -220,15 +221,15 @@
     def _call(self) -> None:
         self._loop.cancel(self._next)
         self._calling = True
-        self._called_at = self._loop.now
+        self._called_at = self._loop.now_us
         limit = DOUBT_US if self._doubts else HOLD_MS * 1000 + SILENT_US
-        self._limit = self._loop.after(ANSWER_US if self._whole else limit, self._on_silence)
+        self._limit = self._loop.call_later(ANSWER_US if self._whole else limit, self._on_silence)
         if self._stream is None:
             try:
                 self._stream = Stream.connect(self._loop, self._pool, self._address, self)
             except OSError as error:
                 why = str(error)
-                self._loop.after(0, lambda: self._fail(why))
+                self._loop.call_later(0, lambda: self._fail(why))
         elif self._open:
             self._ask()
 
@@ -254,7 +255,7 @@
 
     def _miss(self) -> None:
         if self._unheard_at is None:
-            self._unheard_at = self._loop.now
+            self._unheard_at = self._loop.now_us
 
     def _on_silence(self) -> None:
         if self._whole or self._doubts >= DOUBTS_MOST or not self._watching:
@@ -271,7 +272,7 @@
             self._miss()
             self._watching = False
             self._whole = self._strange
-            self._notices.tell("discovery failed", why)
+            self._notices.warning("discovery failed", why)
             self._told(None)
 
     def _answer(self) -> None:
@@ -297,15 +298,15 @@
         self._calling = self._whole = self._strange = False
         self._doubts = 0
         self._seq = told.seq
-        self.late_us = 0 if self._unheard_at is None else self._loop.now - self._unheard_at
+        self.late_us = 0 if self._unheard_at is None else self._loop.now_us - self._unheard_at
         self._unheard_at = None
         if not self._keep:
             self._hang_up()
         self._told(told)
         if self._watching:
-            wait = self._called_at + CALL_GAP_US - self._loop.now
+            wait = self._called_at + CALL_GAP_US - self._loop.now_us
             if wait > 0:
-                self._next = self._loop.after(wait, self._call)
+                self._next = self._loop.call_later(wait, self._call)
             else:
                 self._call()
 
@@ -328,16 +329,16 @@
     def on_body(self, body: bytes) -> None:
         """Keep a part of the answer, as far as there is room for it."""
         account = self._pool.account
-        most = min(BODY_MOST, int(BODY_SHARE * account.cap(Purpose.MANAGEMENT)))
+        most = min(BODY_MOST, int(BODY_SHARE * account.cap_bytes(MemoryPurpose.MANAGEMENT)))
         if len(self._body) + len(body) > most:
             self._long = True
-        elif not self._long and account.take(Purpose.MANAGEMENT, len(body)):
+        elif not self._long and account.try_charge(MemoryPurpose.MANAGEMENT, len(body)):
             self._body += body
         else:
             self._long = True
 
     def _drop_body(self) -> None:
-        self._pool.account.give(Purpose.MANAGEMENT, len(self._body))
+        self._pool.account.release(MemoryPurpose.MANAGEMENT, len(self._body))
         self._body = bytearray()  # a new one: an emptied one may keep its size
         self._long = False
 
@@ -349,21 +350,21 @@
 
     # The stream's owner
 
-    def on_open(self) -> None:
+    def connection_made(self) -> None:
         """Ask as soon as the connection stands."""
         self._open = True
         if self._calling:
             self._ask()
 
-    def on_room(self) -> None:
+    def write_buffer_drained(self) -> None:
         """Nothing: calls are short."""
 
-    def on_input(self) -> None:
+    def data_received(self) -> None:
         """Feed the parser."""
         stream = self._stream
         if stream is None or stream.inbox is None:
             return
-        data = bytes(stream.inbox.held())
+        data = bytes(stream.inbox.readable())
         stream.consume(len(data))
         if not self._calling or self._parser is None:
             self._hang_up()  # it speaks without being asked
@@ -378,14 +379,14 @@
         elif self._done:
             self._answer()
 
-    def on_end(self) -> None:
+    def eof_received(self) -> None:
         """Take the end of the connection, which is a failure only while a call is out."""
         if self._calling:
             self._fail("the connection ended")
         else:
             self._hang_up()
 
-    def on_broken(self, code: int) -> None:
+    def connection_lost(self, code: int) -> None:
         """Take the loss of the connection."""
         self._stream = None
         self._open = False
--- a/larchhaven/net/control/membership_switch.py
+++ b/larchhaven/net/control/membership_switch.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from larchhaven.net.configuration import Config
-from larchhaven.net.core.event_loop import Loop
+from larchhaven.net.core.event_loop import EventLoop
 from larchhaven.operator.settings import Settings
 
 if TYPE_CHECKING:
@@ -41,7 +41,7 @@
     """
 
     def __init__(
-        self, loop: Loop, config: Config, tell: Callable[[int, bytes], None], shares: bool
+        self, loop: EventLoop, config: Config, tell: Callable[[int, bytes], None], shares: bool
     ) -> None:
         self._loop = loop
         self._config = config
--- a/larchhaven/net/control/membership_transport.py
+++ b/larchhaven/net/control/membership_transport.py
@@ -20,7 +20,7 @@
 from larchhaven.membership.messages import Entry
 from larchhaven.membership.parts import Parts, Standing, present_in
 from larchhaven.membership.suspicion import Tuning
-from larchhaven.net.core.event_loop import Deadline, Loop, unix_offset_us
+from larchhaven.net.core.event_loop import EventLoop, TimerHandle, unix_offset_us
 
 # The version of what a proxy tells of itself.
 TALK = 1
@@ -90,7 +90,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         me: int,
         size: int,
         about: About,
@@ -100,20 +100,20 @@
     ) -> None:
         self._loop = loop
         self._tell = tell
-        unix_us = loop.now + unix_offset_us()
+        unix_us = loop.now_us + unix_offset_us()
         seconds = max(unix_us // 1_000_000, EPOCH_S + 1)
         about = About(about.name, about.zone, TALK, seconds & 0xFFFFFFFF, about.can)
         rng = Random(seed ^ unix_us)
         self._gate = Gate(me, size, rng.getrandbits(32), keys)
-        self._core = Membership(loop.now, me, size, about, seconds - EPOCH_S, rng, Tuning())
+        self._core = Membership(loop.now_us, me, size, about, seconds - EPOCH_S, rng, Tuning())
         self._parts = Parts()
-        self._standing: Standing = self._parts.look(loop.now, self._core.view)
+        self._standing: Standing = self._parts.look(loop.now_us, self._core.view)
         self._waiting: deque[tuple[int, bytes]] = deque()
         self._changes: dict[int, State] = {}  # since the last line, by numbers
         self._before: dict[int, State | None] = {}
         self._died: set[int] = set()
         self._overflowed = 0
-        self._deadline: Deadline | None = None
+        self._deadline: TimerHandle | None = None
         self._due = 0
         self._stopped = False
         self._present = frozenset(range(size))
@@ -142,21 +142,21 @@
             return
         self._waiting.append((sender, data))
         if len(self._waiting) == 1:
-            self._loop.after(0, self._take)
+            self._loop.call_later(0, self._take)
 
     def _take(self) -> None:
         for _ in range(min(A_TURN, len(self._waiting))):
             sender, data = self._waiting.popleft()
             message = self._gate.read(data, sender)
             if message is not None and not self._stopped:
-                self._carry_out(self._core.receive(self._loop.now, message))
+                self._carry_out(self._core.receive(self._loop.now_us, message))
         if self._waiting:
-            self._loop.after(1, self._take)  # in the next turn: clients come between
+            self._loop.call_later(1, self._take)  # in the next turn: clients come between
 
     def _turn(self) -> None:
         self._deadline = None
         if not self._stopped:
-            self._carry_out(self._core.turn(self._loop.now))
+            self._carry_out(self._core.turn(self._loop.now_us))
 
     def _carry_out(self, actions: Sequence[Action]) -> None:
         for action in actions:
@@ -176,15 +176,15 @@
                 return
             self._loop.cancel(self._deadline)
         self._due = self._core.due
-        self._deadline = self._loop.after(max(self._due - self._loop.now, 0), self._turn)
+        self._deadline = self._loop.call_later(max(self._due - self._loop.now_us, 0), self._turn)
 
     def _look(self) -> None:
         if not self._stopped:
             self._judge()
-            self._loop.after(LOOK_US, self._look)
+            self._loop.call_later(LOOK_US, self._look)
 
     def _judge(self) -> None:
-        self._standing = self._parts.look(self._loop.now, self._core.view)
+        self._standing = self._parts.look(self._loop.now_us, self._core.view)
         present = present_in(self._core.view, self._standing)
         if present != self._present:
             self._present = present
@@ -195,7 +195,7 @@
     def _note(self, change: Changed) -> None:
         """Gather changes: a tier that falls apart is one line a second, not one a change."""
         if not self._changes:
-            self._loop.after(GATHER_US, self._tell_changes)
+            self._loop.call_later(GATHER_US, self._tell_changes)
         number, state = change.now.number, change.now.state
         self._before.setdefault(number, change.was)
         self._changes[number] = state
@@ -242,7 +242,7 @@
     def leave(self) -> None:
         """Say that this proxy stops as planned; it goes on telling so until the process ends."""
         if not self._stopped:
-            self._carry_out(self._core.leave(self._loop.now))
+            self._carry_out(self._core.leave(self._loop.now_us))
 
     def hand_on(self) -> int:
         """Fall silent, as the next process speaks for this proxy; return the incarnation that it is above."""
@@ -253,7 +253,7 @@
         """Speak for a proxy whose earlier process had this incarnation."""
         if incarnation > 0 and not self._stopped:
             entry = Entry(self._core.me, stamp(incarnation, State.ALIVE))
-            self._carry_out(self._core.hear_of_me(self._loop.now, entry))
+            self._carry_out(self._core.hear_of_me(self._loop.now_us, entry))
 
     def stop(self) -> None:
         """Neither speak nor listen any more."""
@@ -295,7 +295,7 @@
             number=member.number,
             name=about.name if about is not None else "",
             state=member.state.name.lower(),
-            since_s=round((self._loop.now - member.since) / 1e6, 3),
+            since_s=round((self._loop.now_us - member.since) / 1e6, 3),
             incarnation=member.incarnation,
             by=list(member.by),
         )
--- a/larchhaven/net/control/peer_socket.py
+++ b/larchhaven/net/control/peer_socket.py
@@ -5,8 +5,8 @@
 import socket
 from collections.abc import Callable, Sequence
 
-from larchhaven.net.core.event_loop import READ, Loop
-from larchhaven.net.core.rate_limited_log import Notices
+from larchhaven.net.core.event_loop import READ, EventLoop
+from larchhaven.net.core.rate_limited_log import RateLimitedLog
 
 LONGEST = 256
 READS_A_TURN = 64
@@ -19,8 +19,8 @@
 
     def __init__(
         self,
-        loop: Loop,
-        notices: Notices,
+        loop: EventLoop,
+        notices: RateLimitedLog,
         listen: Address,
         peers: Sequence[Address],
         everyone: Address | None,
@@ -39,12 +39,12 @@
         if shared:  # with the other process of an upgrade; the younger one gets what comes
             self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self._sock.bind(listen)
-        loop.add(self._sock, READ, self._on_ready)
+        loop.register(self._sock, READ, self._on_ready)
 
     def tell(self, peer: int | None, data: bytes) -> None:
         """Send a message to one proxy, or to every other one."""
         if len(data) > LONGEST:
-            self._notices.tell("message to peers left out", f"{len(data)} bytes")
+            self._notices.warning("message to peers left out", f"{len(data)} bytes")
             return
         if peer is not None:
             targets = self._peers[peer : peer + 1] if peer >= 0 else []
@@ -56,7 +56,7 @@
             try:
                 self._sock.sendto(data, address)
             except OSError as error:
-                self._notices.tell("message to peers lost", str(error))
+                self._notices.warning("message to peers lost", str(error))
 
     def _on_ready(self, _: int) -> None:
         for _turn in range(READS_A_TURN):
@@ -69,6 +69,6 @@
             number = self._numbers.get(sender)
             if number is None or len(data) > LONGEST:
                 self._strange()
-                self._notices.tell("strange datagram", f"{len(data)} bytes from {sender[0]}")
+                self._notices.warning("strange datagram", f"{len(data)} bytes from {sender[0]}")
             else:
                 self._heard(number, data)
--- a/larchhaven/net/core/event_loop.py
+++ b/larchhaven/net/core/event_loop.py
@@ -11,7 +11,7 @@
 import time
 from collections.abc import Callable
 
-from larchhaven.net.core.slot_table import Slots
+from larchhaven.net.core.slot_table import SlotTable
 
 _log = logging.getLogger("larchhaven")
 
@@ -23,19 +23,19 @@
 _SO_MEMINFO = 55
 _MEMINFO = struct.Struct("9I")
 # A turn that begins so late was not this process's doing: it was stopped, or its machine was.
-GAP_US = 1_000_000
+PAUSE_THRESHOLD_US = 1_000_000
 # Unexpected errors are written out at most once in this time.
 _QUIET_US = 1_000_000
 
 
-class Deadline:
+class TimerHandle:
     """Something to be done at a time, unless it is cancelled first."""
 
-    __slots__ = ("at", "then")
+    __slots__ = ("callback", "due_us")
 
-    def __init__(self, at: int, then: Callable[[], None]) -> None:
-        self.at = at
-        self.then: Callable[[], None] | None = then
+    def __init__(self, due_us: int, callback: Callable[[], None]) -> None:
+        self.due_us = due_us
+        self.callback: Callable[[], None] | None = callback
 
 
 class _Channel:
@@ -63,13 +63,13 @@
     return time.time_ns() // 1000 - time.monotonic_ns() // 1000
 
 
-class Loop:
+class EventLoop:
     """Runs callbacks for ready sockets, due deadlines and signals; ``now`` stands still within a turn."""
 
     def __init__(self) -> None:
         self._selector = selectors.DefaultSelector()
-        self._channels: Slots[_Channel] = Slots()
-        self._heap: list[tuple[int, int, Deadline]] = []
+        self._channels: SlotTable[_Channel] = SlotTable()
+        self._heap: list[tuple[int, int, TimerHandle]] = []
         self._dead = 0
         self._order = 0
         self._again = False
@@ -77,20 +77,20 @@
         self._running = False
         self._signals: dict[int, Callable[[], None]] = {}
         self._quiet_until = 0
-        self.now = time.monotonic_ns() // 1000
-        self.turn_end: Callable[[], None] = lambda: None
+        self.now_us = time.monotonic_ns() // 1000
+        self.on_iteration_end: Callable[[], None] = lambda: None
         # Called before anything else with how late a turn is, if that is GAP_US or more.
-        self.woke: Callable[[int], None] = lambda late_us: None
+        self.on_process_resumed: Callable[[int], None] = lambda late_us: None
 
     # Sockets
 
-    def add(self, sock: socket.socket, events: int, then: Callable[[int], None]) -> int:
+    def register(self, sock: socket.socket, events: int, then: Callable[[int], None]) -> int:
         """Call ``then`` with what the socket is ready for, whenever it is; return the channel's token."""
         token = self._channels.add(_Channel(sock, then))
         self.set_events(token, events)
         return token
 
-    def sockets(self) -> int:
+    def socket_count(self) -> int:
         """Count the sockets that are open here, those that rest included."""
         return len(self._channels)
 
@@ -107,7 +107,7 @@
             self._selector.unregister(channel.sock)
         channel.events = events
 
-    def remove(self, token: int) -> None:
+    def unregister(self, token: int) -> None:
         """Stop watching; events of this turn that still wait for the channel are dropped."""
         self.set_events(token, 0)
         self._channels.remove(token)
@@ -119,37 +119,37 @@
             return _held(channel.sock)
         return sum(_held(each.sock) for _, each in self._channels.items()) if token is None else 0
 
-    def deadlines(self) -> int:
+    def timer_count(self) -> int:
         """Count the deadlines kept, cancelled ones that have not been dropped yet included."""
         return len(self._heap)
 
     # Time
 
-    def after(self, delay_us: int, then: Callable[[], None]) -> Deadline:
+    def call_later(self, delay_us: int, then: Callable[[], None]) -> TimerHandle:
         """Call ``then`` once, so many microseconds from now."""
-        deadline = Deadline(self.now + delay_us, then)
+        deadline = TimerHandle(self.now_us + delay_us, then)
         self._order += 1
-        heapq.heappush(self._heap, (deadline.at, self._order, deadline))
+        heapq.heappush(self._heap, (deadline.due_us, self._order, deadline))
         return deadline
 
-    def cancel(self, deadline: Deadline | None) -> None:
+    def cancel(self, deadline: TimerHandle | None) -> None:
         """Forget a deadline; one that is over, or None, does no harm."""
-        if deadline is None or deadline.then is None:
+        if deadline is None or deadline.callback is None:
             return
-        deadline.then = None
+        deadline.callback = None
         self._dead += 1
         if self._dead > _DEAD_MOST and 4 * self._dead > len(self._heap):
-            self._heap = [entry for entry in self._heap if entry[2].then is not None]
+            self._heap = [entry for entry in self._heap if entry[2].callback is not None]
             heapq.heapify(self._heap)
             self._dead = 0
 
-    def again(self) -> None:
+    def skip_next_wait(self) -> None:
         """Do not sleep before the next turn: there is something left to do."""
         self._again = True
 
     # Signals
 
-    def on_signal(self, number: int, then: Callable[[], None]) -> None:
+    def add_signal_handler(self, number: int, then: Callable[[], None]) -> None:
         """Call ``then`` within a turn after the signal came."""
         if not self._signals:
             waker, sleeper = socket.socketpair()
@@ -157,7 +157,7 @@
             sleeper.setblocking(False)
             signal.set_wakeup_fd(waker.fileno(), warn_on_full_buffer=False)
             self._wakeup = waker, sleeper  # kept open as long as the loop
-            self.add(sleeper, READ, lambda _: self._take_signals(sleeper))
+            self.register(sleeper, READ, lambda _: self._take_signals(sleeper))
         self._signals[number] = then
         signal.signal(number, lambda *_: None)
 
@@ -177,21 +177,21 @@
         """Turn until stopped."""
         self._running = True
         while self._running:
-            self.turn()
+            self.run_once()
 
-    def turn(self) -> None:
+    def run_once(self) -> None:
         """Wait for something to happen, and do all that is due."""
-        due, before = self._heap[0][0] if self._heap else None, self.now
+        due, before = self._heap[0][0] if self._heap else None, self.now_us
         ready = self._selector.select(self._patience())
         self._again = False
-        self.now = time.monotonic_ns() // 1000
-        late = 0 if due is None else self.now - max(due, before)
+        self.now_us = time.monotonic_ns() // 1000
+        late = 0 if due is None else self.now_us - max(due, before)
         # What is ready was found before the sleep; the rest is read in the next turn, before anybody is late
         # for it: seen with first lines of which some were read after their deadline.
-        self._asleep = asleep = late >= GAP_US and not self._asleep
+        self._asleep = asleep = late >= PAUSE_THRESHOLD_US and not self._asleep
         if asleep:
             self._again = True
-            self._guard(self.woke, late)
+            self._guard(self.on_process_resumed, late)
         for key, events in ready:
             # A callback before this one may have closed the channel, and its number may be in use again.
             channel = self._channels.get(key.data)
@@ -200,22 +200,22 @@
         while (
             not asleep
             and self._heap
-            and (self._heap[0][0] <= self.now or self._heap[0][2].then is None)
+            and (self._heap[0][0] <= self.now_us or self._heap[0][2].callback is None)
         ):
-            then = heapq.heappop(self._heap)[2].then
+            then = heapq.heappop(self._heap)[2].callback
             if then is None:
                 self._dead = max(self._dead - 1, 0)
             else:
                 self._guard(then)
-        self._guard(self.turn_end)
+        self._guard(self.on_iteration_end)
 
     def _guard(self, then: Callable[..., None], *given: int) -> None:
         """Keep a mistake in the handling of one connection from ending all the others."""
         try:
             then(*given)
         except Exception:
-            if self.now >= self._quiet_until:
-                self._quiet_until = self.now + _QUIET_US
+            if self.now_us >= self._quiet_until:
+                self._quiet_until = self.now_us + _QUIET_US
                 _log.exception("unexpected error")
 
     def _patience(self) -> float | None:
--- a/larchhaven/net/core/log_setup.py
+++ b/larchhaven/net/core/log_setup.py
@@ -5,18 +5,18 @@
 import logging
 import sys
 
-TEXT = "%(asctime)s %(message)s"
+TEXT_FORMAT = "%(asctime)s %(message)s"
 # The keys of a JSON line: notices fill all of them, other lines leave ``held`` at 0.
-KEYS = ("time", "level", "event", "detail", "held")
+JSON_KEYS = ("time", "level", "event", "detail", "held")
 
 
-def set_up(json: bool) -> None:
+def configure_logging(json: bool) -> None:
     """Begin to log, or go on in the other form."""
     root = logging.getLogger()
     if not root.handlers:
         logging.basicConfig(level=logging.INFO, stream=sys.stderr)
     for handler in root.handlers:
-        handler.setFormatter(_json() if json else logging.Formatter(TEXT))
+        handler.setFormatter(_json() if json else logging.Formatter(TEXT_FORMAT))
 
 
 def _json() -> logging.Formatter:
--- a/larchhaven/net/core/slot_table.py
+++ b/larchhaven/net/core/slot_table.py
@@ -11,7 +11,7 @@
 _INDEX_MASK = (1 << INDEX_BITS) - 1
 
 
-class Slots(Generic[T]):
+class SlotTable(Generic[T]):
     """Items under tokens; a token is the slot's number and the generation of its present tenant."""
 
     def __init__(self) -> None:
--- a/larchhaven/net/graceful_shutdown.py
+++ b/larchhaven/net/graceful_shutdown.py
@@ -10,8 +10,9 @@
 from dataclasses import dataclass
 
 from larchhaven.net.control.dispatcher import Broker
-from larchhaven.net.core.buffer_pool import LINGER_US, Pool
-from larchhaven.net.core.event_loop import Loop
+from larchhaven.net.core.buffer_pool import BufferPool
+from larchhaven.net.core.event_loop import EventLoop
+from larchhaven.net.core.stream import LINGER_US
 from larchhaven.net.text_protocol.listener import Listener
 from larchhaven.routing import interface as api
 
@@ -69,10 +70,10 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         broker: Broker,
         listener: Listener,
-        pool: Pool,
+        pool: BufferPool,
         settings: api.Settings,
         shared: bool,
     ) -> None:
@@ -88,16 +89,16 @@
         """Begin; connections that have to move begin to after this time."""
         self.phase = Phase.LAME_DUCK
         loop, until = self._loop, limits(self._settings, self._shared)
-        self._broker.answer_by(loop.now + until.answer_us)
+        self._broker.answer_by(loop.now_us + until.answer_us)
         if self._shared:
             self._listener.stop()  # whoever comes now waits in the socket for the process that holds it next
         if until.end_us is not None:
-            loop.after(until.end_us, loop.stop)
+            loop.call_later(until.end_us, loop.stop)
         if move_after_us:
-            loop.after(move_after_us, lambda: self._move(until.move_us))
+            loop.call_later(move_after_us, lambda: self._move(until.move_us))
         else:
             self._move(until.move_us)
-        loop.after(LAME_DUCK_US, self._close)
+        loop.call_later(LAME_DUCK_US, self._close)
 
     def hurry(self) -> None:
         """End at a second signal: answer and move everybody now, and leave once that has been heard."""
@@ -106,12 +107,12 @@
         self._listener.empty_queue()
         self._listener.stop()
         self._part()
-        self._broker.answer_by(self._loop.now)
+        self._broker.answer_by(self._loop.now_us)
         if not self._settings.pass_through:
             self._broker.move_all()
         self.phase = Phase.OVER
-        self._loop.after(LINGER_US, self._loop.stop)
-        self._loop.after(
+        self._loop.call_later(LINGER_US, self._loop.stop)
+        self._loop.call_later(
             LOOK_US, self._leave_when_heard
         )  # the answers are given at the end of this turn
 
@@ -125,11 +126,11 @@
         if self.phase is not Phase.LAME_DUCK:
             return
         if self._listener.accepting and not self._listener.empty_queue():
-            self._loop.after(LOOK_US, self._close)
+            self._loop.call_later(LOOK_US, self._close)
             return
         self._listener.stop()
         self.phase = Phase.CLOSED
-        self._loop.after(SPEAK_US, self._part)
+        self._loop.call_later(SPEAK_US, self._part)
 
     def _part(self) -> None:
         """Answer and half-close those who rest: a line read before that is served, one after it never is."""
@@ -142,15 +143,15 @@
     def _leave_when_done(self) -> None:
         if self.phase is not Phase.PARTING:
             return
-        if self._broker.held() or self._pool.parting:
-            self._loop.after(LOOK_US, self._leave_when_done)
+        if self._broker.held() or self._pool.lingering:
+            self._loop.call_later(LOOK_US, self._leave_when_done)
         else:
             self.phase = Phase.OVER
             self._loop.stop()
 
     def _leave_when_heard(self) -> None:
         # Where connections end here, one whose instance is in the middle of a line is moved after that line.
-        if self._pool.parting or (self._broker.held() and not self._settings.pass_through):
-            self._loop.after(LOOK_US, self._leave_when_heard)
+        if self._pool.lingering or (self._broker.held() and not self._settings.pass_through):
+            self._loop.call_later(LOOK_US, self._leave_when_heard)
         else:
             self._loop.stop()
--- a/larchhaven/net/hot_restart.py
+++ b/larchhaven/net/hot_restart.py
@@ -17,10 +17,11 @@
 
 import msgspec
 
-from larchhaven.memory.account import Account
-from larchhaven.memory.purposes import IDENTITY, Purpose
-from larchhaven.net.core.event_loop import READ, Deadline, Loop
-from larchhaven.net.core.rate_limited_log import Notices
+from larchhaven.memory.account import MemoryAccount
+from larchhaven.memory.item_costs import REQUEST_ID_BYTES
+from larchhaven.memory.purposes import MemoryPurpose
+from larchhaven.net.core.event_loop import READ, EventLoop, TimerHandle
+from larchhaven.net.core.rate_limited_log import RateLimitedLog
 from larchhaven.net.text_protocol.connection_relay import RelayState
 from larchhaven.routing import interface as api
 
@@ -107,7 +108,7 @@
         sock.setblocking(False)
         self._handover = handover
         self._sock = sock
-        self._channel = handover.loop.add(sock, READ, self._on_ready)
+        self._channel = handover.loop.register(sock, READ, self._on_ready)
         self.closed = False
 
     def send(self, message: Message, descriptors: Sequence[int] = ()) -> bool:
@@ -145,7 +146,7 @@
         """End it; the other process goes on alone."""
         if not self.closed:
             self.closed = True
-            self._handover.loop.remove(self._channel)
+            self._handover.loop.unregister(self._channel)
             self._sock.close()
             self._handover.over(self, why)
 
@@ -155,13 +156,13 @@
 
     def __init__(
         self,
-        loop: Loop,
-        notices: Notices,
+        loop: EventLoop,
+        notices: RateLimitedLog,
         folder: str,
         office: Office,
-        account: Account | None = None,
+        account: MemoryAccount | None = None,
     ) -> None:
-        self._account = account or Account.unbounded()
+        self._account = account or MemoryAccount.unbounded()
         self.loop = loop
         self._notices = notices
         self._folder = folder
@@ -169,7 +170,7 @@
         self._older: _Channel | None = None
         self._younger: _Channel | None = None
         self._ready: Callable[[], None] | None = None
-        self._limit: Deadline | None = None
+        self._limit: TimerHandle | None = None
         self._identities: set[bytes] = set()  # marks of ids that are open at the other process
 
     # The younger process
@@ -179,14 +180,14 @@
         self._ready = ready
         try:
             self._older = _Channel(self, self._connect())
-            self._limit = self.loop.after(WAIT_US, self._start)
+            self._limit = self.loop.call_later(WAIT_US, self._start)
             self._older.send(Hello(VERSION))
         except OSError:
             self._start()
         try:
             self._listen()
         except OSError as error:
-            self._notices.tell("no upgrade without a break", str(error))
+            self._notices.warning("no upgrade without a break", str(error))
 
     def _start(self) -> None:
         self.loop.cancel(self._limit)
@@ -255,20 +256,20 @@
     def _add(self, identity: bytes) -> None:
         """Keep the mark of an id, as far as there is room: without it a doubled id costs a set-up."""
         new = identity not in self._identities and len(self._identities) < IDENTITIES_MOST
-        if new and self._account.take(Purpose.PEERS, IDENTITY):
+        if new and self._account.try_charge(MemoryPurpose.PEERS, REQUEST_ID_BYTES):
             self._identities.add(identity)
 
     def _drop(self, identity: bytes) -> None:
         if identity in self._identities:
             self._identities.remove(identity)
-            self._account.give(Purpose.PEERS, IDENTITY)
+            self._account.release(MemoryPurpose.PEERS, REQUEST_ID_BYTES)
 
     def over(self, channel: _Channel, why: str) -> None:
         """Go on alone."""
         if why:
-            self._notices.tell("the other process of the upgrade", why)
+            self._notices.warning("the other process of the upgrade", why)
         if channel in (self._older, self._younger):
-            self._account.give(Purpose.PEERS, IDENTITY * len(self._identities))
+            self._account.release(MemoryPurpose.PEERS, REQUEST_ID_BYTES * len(self._identities))
             self._identities.clear()
         if channel is self._older:
             self._older = None
@@ -301,7 +302,7 @@
             sock.close()
             raise
         sock.setblocking(False)
-        self.loop.add(sock, READ, lambda _: self._accept(sock))
+        self.loop.register(sock, READ, lambda _: self._accept(sock))
 
     def _accept(self, sock: socket.socket) -> None:
         try:
--- a/larchhaven/net/proxy.py
+++ b/larchhaven/net/proxy.py
@@ -15,24 +15,29 @@
 
 from larchhaven.gossip.codec import is_readable
 from larchhaven.gossip.shared_health_checks import is_shared
-from larchhaven.memory import plan, purposes
-from larchhaven.memory.account import Account
-from larchhaven.memory.purposes import Purpose
+from larchhaven.memory import item_costs, plan
+from larchhaven.memory.account import MemoryAccount
+from larchhaven.memory.purposes import MemoryPurpose
 from larchhaven.net.admin.administrative_ejection import Suspensions
 from larchhaven.net.admin.http_api import DESCRIPTORS, Management
-from larchhaven.net.admin.memory_accounting import Accounting, Descriptors, resident
-from larchhaven.net.admin.metrics import Figures
-from larchhaven.net.admin.operator_file import OperatorFile
+from larchhaven.net.admin.memory_accounting import (
+    DescriptorState,
+    MemoryAccounting,
+    read_resident_bytes,
+)
+from larchhaven.net.admin.metrics import Metrics
+from larchhaven.net.admin.operator_file import OperatorFileReader
 from larchhaven.net.configuration import Config, ConfigError, load
-from larchhaven.net.control.connection_limits import Rooms
+from larchhaven.net.control.connection_limits import ConnectionLimits
 from larchhaven.net.control.dispatcher import Broker, Outside, Wants
 from larchhaven.net.control.endpoint_watch import LISTED_MOST, Directory, Discovery, HostList
 from larchhaven.net.control.membership_switch import MembersSwitch
 from larchhaven.net.control.peer_socket import Peers
 from larchhaven.net.core import log_setup as logs
-from larchhaven.net.core.buffer_pool import Pool, Stream
-from larchhaven.net.core.event_loop import Loop
-from larchhaven.net.core.rate_limited_log import KINDS_MOST, Notices
+from larchhaven.net.core.buffer_pool import BufferPool
+from larchhaven.net.core.event_loop import EventLoop
+from larchhaven.net.core.rate_limited_log import MAX_REMEMBERED_EVENTS, RateLimitedLog
+from larchhaven.net.core.stream import Stream
 from larchhaven.net.graceful_shutdown import PASS_MOST_US, Phase, Stopping
 from larchhaven.net.hot_restart import VERSION, Handover, Known, Standing, mark
 from larchhaven.net.text_protocol.connection_relay import Relay
@@ -59,8 +64,8 @@
 _log = logging.getLogger("larchhaven")
 
 
-def _wanted(own: Settings) -> dict[Purpose, int]:
-    return {purpose: own.caps[purpose.key] for purpose in Purpose if purpose.key in own.caps}
+def _wanted(own: Settings) -> dict[MemoryPurpose, int]:
+    return {purpose: own.caps[purpose.key] for purpose in MemoryPurpose if purpose.key in own.caps}
 
 
 class Node:
@@ -71,48 +76,54 @@
         self._logs_json = reading is not None and reading.settings.log_json
         own = reading.settings if reading is not None else Settings()
         settings = config.settings
-        self._loop = loop = Loop()
+        self._loop = loop = EventLoop()
         # Before the listener is made, which takes clients from then on: a signal that comes during the start
         # is heeded in the first turn. One that comes earlier finds nothing taken, and ends the process.
         for number in (signal.SIGTERM, signal.SIGINT):
-            loop.on_signal(number, self._on_stop)
-        loop.on_signal(signal.SIGHUP, self._on_reload)
-        grant = int(config.limits.memory_mb * plan.MB)
+            loop.add_signal_handler(number, self._on_stop)
+        loop.add_signal_handler(signal.SIGHUP, self._on_reload)
+        grant = int(config.limits.memory_mb * plan.BYTES_PER_MB)
         if own.membership:
             # Before the program's own size is taken: what is loaded for it is not for clients to use.
             import larchhaven.net.control.membership_transport  # noqa: F401
-        self._start = resident()
+        self._start = read_resident_bytes()
         try:
-            caps = plan.make(grant, self._start, config.limits.sockets, _wanted(own))
-        except plan.PlanError as error:
+            caps = plan.make_plan(grant, self._start, config.limits.sockets, _wanted(own))
+        except plan.MemoryPlanError as error:
             line = reading.memory_at[0] if reading is not None else 0
             raise ConfigError(f"{operator}:{line}: {error}") from None
-        self._account = account = Account(caps.caps)
-        self._notices = notices = Notices(
-            loop, min(KINDS_MOST, account.cap(Purpose.LOG) // purposes.NOTICE)
+        self._account = account = MemoryAccount(caps.caps)
+        self._notices = notices = RateLimitedLog(
+            loop,
+            min(
+                MAX_REMEMBERED_EVENTS,
+                account.cap_bytes(MemoryPurpose.LOG) // item_costs.LOG_EVENT_BYTES,
+            ),
         )
-        self._pool = pool = Pool(account, bound=caps.socket_bound)
-        aside = Pool(account, Purpose.MANAGEMENT, Purpose.MANAGEMENT)
+        self._pool = pool = BufferPool(account, socket_buffer_bytes=caps.socket_buffer_bytes)
+        aside = BufferPool(account, MemoryPurpose.MANAGEMENT, MemoryPurpose.MANAGEMENT)
         folder = os.environ.get("TMPDIR", "")
-        self._accounting = Accounting(loop, notices, account, caps, pool, folder)
-        tables = account.cap(Purpose.TABLES)
+        self._accounting = MemoryAccounting(loop, notices, account, caps, pool, folder)
+        tables = account.cap_bytes(MemoryPurpose.TABLES)
         settings = replace(
             settings,
-            holders_most=min(settings.holders_most, int(HOLDERS_SHARE * tables) // purposes.HOLDER),
+            holders_most=min(
+                settings.holders_most, int(HOLDERS_SHARE * tables) // item_costs.STICKY_ENTRY_BYTES
+            ),
         )
-        self._figures = Figures.of(list(config.classes))
+        self._figures = Metrics.for_classes(list(config.classes))
         self._broker = broker = Broker(loop, notices, settings, config.seed, self._figures, account)
         self._directory = Directory(
             config.zones,
             config.kinds,
-            min(LISTED_MOST, int(LISTED_SHARE * tables) // purposes.HOST_ONCE),
+            min(LISTED_MOST, int(LISTED_SHARE * tables) // item_costs.REMEMBERED_SERVER_BYTES),
         )
         shared = config.socket_fd is not None  # with another process, during an upgrade
-        self._suspensions = Suspensions(folder, self._on_suspended, self._accounting.files_fit)
+        self._suspensions = Suspensions(folder, self._on_suspended, self._accounting.can_write_file)
         self._reports: dict[str, tuple[int, api.Report]] = {}  # the latest, and when it came
         self._probes = Probes(
             loop,
-            Pool(account, Purpose.PROBES, Purpose.PROBES),
+            BufferPool(account, MemoryPurpose.PROBES, MemoryPurpose.PROBES),
             settings.connect_timeout_us,
             self._on_probe,
         )
@@ -156,8 +167,8 @@
         )
         descriptors = self._descriptors() - (DESCRIPTORS if config.mgmt is not None else 0)
         most = max(descriptors - SPARE_DESCRIPTORS, descriptors // 2)
-        self._rooms = Rooms(loop, account, [c.worth for c in settings.classes], most)
-        self._rooms.spare_tables = self._spare_tables
+        self._rooms = ConnectionLimits(loop, account, [c.worth for c in settings.classes], most)
+        self._rooms.evict_table_bytes = self._spare_tables
         self._listener = Listener(
             loop,
             pool,
@@ -175,15 +186,15 @@
             self._management = Management(loop, config.mgmt, self, shared, aside)
         self._count_parts()
         self._operator_path = operator
-        self._operator = OperatorFile(loop, operator, self._on_operator)
+        self._operator = OperatorFileReader(loop, operator, self._on_operator)
         self._apply(own)
-        loop.turn_end = self._end_turn
-        loop.woke = self._on_woke
+        loop.on_iteration_end = self._end_turn
+        loop.on_process_resumed = self._on_woke
         self._stopping = Stopping(loop, broker, self._listener, pool, settings, shared)
 
     def run(self) -> None:
         """Serve until told to stop."""
-        known = self._directory.take(api.ListKind.REMEMBERED, self._config.known, self._loop.now)
+        known = self._directory.take(api.ListKind.REMEMBERED, self._config.known, self._loop.now_us)
         self._broker.queue(known)
         self._look_at_suspensions()
         if not self._config.settings.subscribe:
@@ -201,24 +212,34 @@
     def _count_parts(self) -> None:
         """Say how what has no owner to charge it is counted."""
         broker, directory, loop = self._broker, self._directory, self._loop
-        self._accounting.parts = {
-            (Purpose.TABLES, "first use"): lambda: purposes.FIRST_USE if broker.arrived_at else 0,
+        self._accounting.sampled_sources = {
+            (MemoryPurpose.TABLES, "first use"): lambda: (
+                item_costs.FIRST_REQUEST_BYTES if broker.arrived_at else 0
+            ),
             # Beside those that commands are charged with.
-            (Purpose.TABLES, "deadlines"): lambda: (
-                purposes.DEADLINE
-                * max(loop.deadlines() - purposes.COMMAND_DEADLINES * broker.held(), 0)
+            (MemoryPurpose.TABLES, "deadlines"): lambda: (
+                item_costs.TIMER_BYTES
+                * max(loop.timer_count() - item_costs.TIMERS_PER_REQUEST * broker.held(), 0)
+            ),
+            (MemoryPurpose.TABLES, "servers"): lambda: (
+                directory.members() * item_costs.SERVER_BYTES
+            ),
+            (MemoryPurpose.TABLES, "hosts listed"): lambda: (
+                directory.listed() * item_costs.REMEMBERED_SERVER_BYTES
+            ),
+            (MemoryPurpose.TABLES, "holders"): lambda: (
+                broker.holders() * item_costs.STICKY_ENTRY_BYTES
+            ),
+            (MemoryPurpose.PEERS, "members"): self._members.used,
+            (MemoryPurpose.LOG, "notices"): lambda: (
+                self._notices.event_count() * item_costs.LOG_EVENT_BYTES
             ),
-            (Purpose.TABLES, "servers"): lambda: directory.members() * purposes.SERVER,
-            (Purpose.TABLES, "hosts listed"): lambda: directory.listed() * purposes.HOST_ONCE,
-            (Purpose.TABLES, "holders"): lambda: broker.holders() * purposes.HOLDER,
-            (Purpose.PEERS, "members"): self._members.used,
-            (Purpose.LOG, "notices"): lambda: self._notices.kinds() * purposes.NOTICE,
         }
 
     def _spare_tables(self, size: int) -> None:
-        self._broker.forget_holders(size // purposes.HOLDER + 1)
-        held = self._broker.holders() * purposes.HOLDER
-        self._account.set_part(Purpose.TABLES, "holders", held)
+        self._broker.forget_holders(size // item_costs.STICKY_ENTRY_BYTES + 1)
+        held = self._broker.holders() * item_costs.STICKY_ENTRY_BYTES
+        self._account.set_sampled_bytes(MemoryPurpose.TABLES, "holders", held)
 
     def _forget(self, host: str) -> None:
         """Forget all but the decisions about an instance that is gone; the decision module does by itself."""
@@ -227,7 +248,7 @@
         self._reports.pop(host, None)
 
     def _open(self) -> None:
-        self._accounting.begin()
+        self._accounting.start()
         self._listener.open()
         self._members.begin()
         host, port = self._listener.address
@@ -244,7 +265,7 @@
 
     def _on_woke(self, late_us: int) -> None:
         """Be careful after a sleep: the list is heard first, and the membership doubts what it knew."""
-        self._notices.tell(
+        self._notices.warning(
             "asleep", f"for {late_us / 1e6:.1f} s; what came meanwhile is read before anything else"
         )
         self._broker.woke()
@@ -268,14 +289,14 @@
         kind = api.ListKind.COMPLETE if told.whole else api.ListKind.CHANGES
         # What comes late has counted as told before: the drain rule's time runs from then.
         self._broker.heard(
-            self._directory.take(kind, told, self._loop.now - self._discovery.late_us)
+            self._directory.take(kind, told, self._loop.now_us - self._discovery.late_us)
         )
 
     def _on_probe(
         self, host: str, result: api.Result, latency_us: int, report: api.Report | None
     ) -> None:
         if report is not None:
-            self._reports[host] = (self._loop.now, report)
+            self._reports[host] = (self._loop.now_us, report)
         self._broker.queue(api.ProbeResult(host, result, latency_us, report))
 
     def _on_peer(self, sender: int, data: bytes) -> None:
@@ -287,7 +308,7 @@
             self._count_strange()
 
     def _count_strange(self) -> None:
-        self._figures.strange_messages += 1
+        self._figures.invalid_peer_messages += 1
 
     def _tell(self, peer: int | None, data: bytes) -> None:
         """Pass on a message to other proxies, and to the other process of an upgrade: it has our number."""
@@ -312,7 +333,7 @@
         """Take what the older process knows: its reports are as old as they are."""
         self._members.take_over(known.incarnation)
         for host, at, report in known.reports:
-            age = max(self._loop.now - at, 0)
+            age = max(self._loop.now_us - at, 0)
             self._broker.queue(api.ProbeResult(host, api.Result.OK, age, report))
 
     def on_heard(self, data: bytes) -> None:
@@ -359,7 +380,7 @@
                 tenant=wants.tenant,
             )
             if not self._handover.pass_on(standing, relay.descriptors()):
-                self._loop.after(PASS_AGAIN_US, lambda: None)  # the next turn tries again
+                self._loop.call_later(PASS_AGAIN_US, lambda: None)  # the next turn tries again
                 return
             self._broker.release(token)
 
@@ -371,15 +392,15 @@
 
     def figures(self) -> bytes:
         """Return the figures as JSON."""
-        self._figures.members = self._directory.members()
-        self._figures.members_unavailable = self._broker.avoided()
+        self._figures.listed_servers = self._directory.members()
+        self._figures.unavailable_servers = self._broker.avoided()
         return self._figures.encode()
 
     def memory(self) -> bytes:
         """Return the memory account as JSON."""
         rooms = self._rooms
-        descriptors = Descriptors(
-            rooms.descriptors, self._loop.sockets(), rooms.refused_descriptors
+        descriptors = DescriptorState(
+            rooms.max_descriptors, self._loop.socket_count(), rooms.descriptor_rejections
         )
         return msgspec.json.encode(self._accounting.state(descriptors))
 
@@ -394,7 +415,7 @@
         try:
             self._suspensions.change(host, on)
         except OSError as error:
-            self._notices.tell("suspension not saved", str(error))
+            self._notices.warning("suspension not saved", str(error))
             return HTTPStatus.INTERNAL_SERVER_ERROR
         return HTTPStatus.OK
 
@@ -406,7 +427,7 @@
         """Heed what the other process of an upgrade was told."""
         self._suspensions.refresh()
         if self._config.socket_fd is not None:
-            self._loop.after(SUSPENSIONS_US, self._look_at_suspensions)
+            self._loop.call_later(SUSPENSIONS_US, self._look_at_suspensions)
 
     def drain(self, on: bool) -> None:
         """Send clients away, or take them again; where packets pass through, what stands stays."""
@@ -426,7 +447,9 @@
         file counts from the next start on. A file that cannot be used changes nothing.
         """
         if self._operator_path:
-            self._operator.read(int(self._config.limits.memory_mb * plan.MB) - resident())
+            self._operator.read(
+                int(self._config.limits.memory_mb * plan.BYTES_PER_MB) - read_resident_bytes()
+            )
         try:
             config = load(os.environ)
         except ConfigError as error:
@@ -448,12 +471,12 @@
         complaints = [complaint.at(path) for complaint in reading.complaints]
         if not complaints:
             grant, sockets = (
-                int(self._config.limits.memory_mb * plan.MB),
+                int(self._config.limits.memory_mb * plan.BYTES_PER_MB),
                 self._config.limits.sockets,
             )
             try:
-                caps = plan.make(grant, self._start, sockets, _wanted(reading.settings))
-            except plan.PlanError as error:
+                caps = plan.make_plan(grant, self._start, sockets, _wanted(reading.settings))
+            except plan.MemoryPlanError as error:
                 complaints = [Complaint(*reading.memory_at, str(error)).at(path)]
         if complaints:
             self._figures.config_reload_errors += 1
@@ -461,18 +484,18 @@
                 _log.warning("operators' file not reloaded: %s", complaint)
             return
         self._figures.config_reloads += 1
-        self._accounting.set_plan(caps)
+        self._accounting.apply_plan(caps)
         self._apply(reading.settings)
         _log.info("operators' file reloaded: %s", path)
 
     def _apply(self, own: Settings) -> None:
         """Put operators' settings to use, the caps excepted."""
-        self._rooms.admission.reserve_share = own.reserve_share
+        self._rooms.admission.reserve_ratio = own.reserve_share
         self._listener.unread_us = own.unread_us
-        self._notices.quiet_us = own.quiet_us
+        self._notices.repeat_interval_us = own.quiet_us
         self._members.apply(own)
         if own.log_json != self._logs_json:
-            logs.set_up(own.log_json)
+            logs.configure_logging(own.log_json)
             self._logs_json = own.log_json
 
     # The end
--- a/larchhaven/net/text_protocol/connection_relay.py
+++ b/larchhaven/net/text_protocol/connection_relay.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from larchhaven.net.core.buffer_pool import LINGER_US, Stream
-from larchhaven.net.core.event_loop import Deadline, Loop
+from larchhaven.net.core.event_loop import EventLoop, TimerHandle
+from larchhaven.net.core.stream import LINGER_US, Stream
 from larchhaven.net.text_protocol import codec as lines
 from larchhaven.routing import interface as api
 
@@ -75,38 +75,38 @@
         self.relay = relay
         self.stream = stream
         self.count = lines.LineCounter()
-        stream.owner = self
+        stream.protocol = self
 
     def state(self) -> SideState:
         """Return what another process needs to go on with this side."""
         inbox = self.stream.inbox
-        held = bytes(inbox.held()) if inbox is not None else b""
+        held = bytes(inbox.readable()) if inbox is not None else b""
         count = self.count
         return SideState(held, self.stream.outbox(), bytes(count.head), count.cr, count.midline)
 
     def go_on(self, state: SideState) -> None:
         """Go on from where another process was."""
         self.stream.write(state.outbox)
-        self.stream.put_back(state.inbox)
+        self.stream.prefill(state.inbox)
         self.count.head[:] = state.head
         self.count.cr, self.count.midline = state.cr, state.midline
 
-    def on_open(self) -> None:
+    def connection_made(self) -> None:
         """Nothing: the connection stands already."""
 
-    def on_input(self) -> None:
+    def data_received(self) -> None:
         """Pass on what came."""
         self.relay.pass_on(self)
 
-    def on_room(self) -> None:
+    def write_buffer_drained(self) -> None:
         """Go on with what the other side had to keep back."""
         self.relay.pass_on(self.relay.other(self))
 
-    def on_end(self) -> None:
+    def eof_received(self) -> None:
         """Pass on the end."""
         self.relay.on_side_end(self)
 
-    def on_broken(self, code: int) -> None:
+    def connection_lost(self, code: int) -> None:
         """Pass on the break."""
         self.relay.on_side_broken(self)
 
@@ -121,7 +121,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         client: Stream,
         instance: Stream,
         owner: SessionOwner,
@@ -134,15 +134,15 @@
         self._client = _Side(self, client)
         self._instance = _Side(self, instance)
         self._asked: deque[int] = deque()
-        self._look: Deadline | None = None
-        self._closing: Deadline | None = None
+        self._look: TimerHandle | None = None
+        self._closing: TimerHandle | None = None
         self._ending: tuple[api.Result, api.Report | None] | None = None  # the instance's last line
         self._moving = False
         self._over = False
-        self._heard_at = loop.now
-        self._idle = loop.after(IDLE_US, self._on_idle)
-        client.yielding = self.give_way
-        client.gone = instance.gone = self._on_gone
+        self._heard_at = loop.now_us
+        self._idle = loop.call_later(IDLE_US, self._on_idle)
+        client.on_shed = self.give_way
+        client.on_closed = instance.on_closed = self._on_gone
         if isinstance(first, bytes):
             client.write(first + lines.END)
         else:
@@ -150,10 +150,10 @@
             self._instance.go_on(first.instance)
             self._asked.extend(first.asked)
             if self._asked:
-                self._look = loop.after(LOOK_US, self._look_again)
+                self._look = loop.call_later(LOOK_US, self._look_again)
         self.pass_on(self._client)
         self.pass_on(self._instance)
-        if instance.ended:
+        if instance.at_eof:
             self.on_side_end(self._instance)
 
     # To another process
@@ -166,7 +166,7 @@
 
     def descriptors(self) -> tuple[int, int]:
         """Return the descriptors of the client's and the instance's side."""
-        return self._client.stream.descriptor, self._instance.stream.descriptor
+        return self._client.stream.file_descriptor, self._instance.stream.file_descriptor
 
     def release(self) -> None:
         """Let go of a connection that another process holds now; nobody at its ends notices."""
@@ -186,29 +186,29 @@
         """Pass on what has come from one side, as far as the other takes it now."""
         inbox = side.stream.inbox
         if inbox is not None and not (self._over and side is self._instance and self._moving):
-            data = bytes(inbox.held())
+            data = bytes(inbox.readable())
             taken = self.other(side).stream.write(data)
             if taken < len(data):
-                side.stream.pause()  # backpressure: read on when the other side has room
+                side.stream.pause_reading()  # backpressure: read on when the other side has room
             if taken:
                 if taken == len(data):
                     side.stream.consume(taken)
                 else:
                     inbox.start += taken
                 self._note(side, side.count.feed(data[:taken]))
-        if side.stream.ended and side.stream.inbox is None:
+        if side.stream.at_eof and side.stream.inbox is None:
             self._after_end(side)
 
     def _note(self, side: _Side, done: list[bytes]) -> None:
         if self._over:
             return
-        self._heard_at = self._loop.now
+        self._heard_at = self._loop.now_us
         if side is self._client:
             if done:
                 room = ASKED_MOST - len(self._asked)  # the oldest must stay: they tell of silence
-                self._asked.extend([self._loop.now] * min(len(done), room))
+                self._asked.extend([self._loop.now_us] * min(len(done), room))
                 if self._look is None:
-                    self._look = self._loop.after(LOOK_US, self._look_again)
+                    self._look = self._loop.call_later(LOOK_US, self._look_again)
             return
         for line in done:
             load = lines.read_load(line)
@@ -218,11 +218,13 @@
             ending = lines.read_last(line)
             if ending is not None:
                 self._ending = ending
-                self._closing = self._closing or self._loop.after(LAST_LINE_US, self._finish_both)
+                self._closing = self._closing or self._loop.call_later(
+                    LAST_LINE_US, self._finish_both
+                )
             elif self._asked:
-                self._owner.session_delay(self._token, self._loop.now - self._asked.popleft())
+                self._owner.session_delay(self._token, self._loop.now_us - self._asked.popleft())
                 # A hung instance may never answer what it swallowed; each later answer would look late.
-                while self._asked and self._loop.now - self._asked[0] >= STALLED_US:
+                while self._asked and self._loop.now_us - self._asked[0] >= STALLED_US:
                     self._asked.popleft()
         if self._moving and not side.count.midline:
             self._send_move()
@@ -234,7 +236,7 @@
         self._look = None
         if self._over or not self._asked:
             return
-        age = self._loop.now - self._asked[0]
+        age = self._loop.now_us - self._asked[0]
         if age >= SILENT_MOST_US:
             self._end_now(api.Result.TIMEOUT)
             return
@@ -242,7 +244,7 @@
             self._owner.session_stalled(self._token, age)
         elif age >= LOOK_US:
             self._owner.session_waits(self._token, age)
-        self._look = self._loop.after(max(LOOK_US - age, LOOK_US // 2), self._look_again)
+        self._look = self._loop.call_later(max(LOOK_US - age, LOOK_US // 2), self._look_again)
 
     def _end_now(self, result: api.Result) -> None:
         self._instance.stream.close(reset=True)
@@ -250,13 +252,13 @@
             self._tell_over(result, None)
             return
         self._write_move()
-        self._client.stream.finish()
+        self._client.stream.start_lingering_close()
         self._tell_over(result, None)
 
     def _on_idle(self) -> None:
-        left = self._heard_at + IDLE_US - self._loop.now
+        left = self._heard_at + IDLE_US - self._loop.now_us
         if left > 0:
-            self._idle = self._loop.after(left, self._on_idle)
+            self._idle = self._loop.call_later(left, self._on_idle)
         else:
             self._end_now(api.Result.CANCELLED)
 
@@ -273,7 +275,7 @@
             return
         self._moving = True
         if self._instance.count.midline:
-            self._closing = self._closing or self._loop.after(MOVE_WAIT_US, self._finish_both)
+            self._closing = self._closing or self._loop.call_later(MOVE_WAIT_US, self._finish_both)
         else:
             self._send_move()
 
@@ -286,7 +288,7 @@
 
     def _write_move(self) -> None:
         """Write it whole and between two lines, or not at all."""
-        if not self._instance.count.midline and self._client.stream.fits(len(lines.MOVE)):
+        if not self._instance.count.midline and self._client.stream.can_buffer(len(lines.MOVE)):
             self._client.stream.write(lines.MOVE)
 
     # Ends
@@ -297,14 +299,14 @@
             self._tell_over(*(self._ending or (api.Result.RESET, None)))
         else:
             self._tell_over(api.Result.CANCELLED, None)
-        self._closing = self._closing or self._loop.after(LINGER_US, self._finish_both)
+        self._closing = self._closing or self._loop.call_later(LINGER_US, self._finish_both)
         self.pass_on(side)
 
     def _after_end(self, side: _Side) -> None:
         if side is self._instance:
             self._finish_both()
         else:
-            self._instance.stream.end()
+            self._instance.stream.write_eof()
 
     def on_side_broken(self, side: _Side) -> None:
         """Pass on a break as a break; after the instance's last line it is only an end."""
@@ -324,8 +326,8 @@
     def _finish_both(self) -> None:
         self._tell_over(*(self._ending or (api.Result.CANCELLED, None)))
         self._loop.cancel(self._closing)
-        self._client.stream.finish()
-        self._instance.stream.finish()
+        self._client.stream.start_lingering_close()
+        self._instance.stream.start_lingering_close()
 
     def _tell_over(self, result: api.Result, report: api.Report | None) -> None:
         if not self._over:
--- a/larchhaven/net/text_protocol/health_check_connection.py
+++ b/larchhaven/net/text_protocol/health_check_connection.py
@@ -4,9 +4,11 @@
 
 from collections.abc import Callable
 
-from larchhaven.memory.purposes import STREAM, Purpose
-from larchhaven.net.core.buffer_pool import SHORT_OF, Pool, Stream
-from larchhaven.net.core.event_loop import Deadline, Loop
+from larchhaven.memory.item_costs import STREAM_BYTES
+from larchhaven.memory.purposes import MemoryPurpose
+from larchhaven.net.core.buffer_pool import BufferPool
+from larchhaven.net.core.event_loop import EventLoop, TimerHandle
+from larchhaven.net.core.stream import RESOURCE_EXHAUSTION_ERRNOS, Stream
 from larchhaven.net.text_protocol import codec as lines
 from larchhaven.routing import interface as api
 
@@ -25,8 +27,8 @@
         self._host = host
         self.address = address
         self._stream: Stream | None = None
-        self._connect_limit: Deadline | None = None
-        self._limit: Deadline | None = None
+        self._connect_limit: TimerHandle | None = None
+        self._limit: TimerHandle | None = None
         self._asked_at = 0
         self.asking = False
         self._used = False  # the connection has answered before
@@ -37,8 +39,8 @@
         if self.asking:
             return
         self.asking = True
-        self._asked_at = self._loop.now
-        self._limit = self._loop.after(PROBE_US, lambda: self._end(api.Result.TIMEOUT))
+        self._asked_at = self._loop.now_us
+        self._limit = self._loop.call_later(PROBE_US, lambda: self._end(api.Result.TIMEOUT))
         if self._stream is None:
             self._connect()
         else:
@@ -49,25 +51,25 @@
         try:
             self._stream = Stream.connect(self._loop, self._probes.pool, self.address, self)
         except OSError as error:
-            short = error.errno in SHORT_OF
+            short = error.errno in RESOURCE_EXHAUSTION_ERRNOS
             result = api.Result.NOT_SENT if short else api.Result.UNREACHABLE
-            self._loop.after(0, lambda: self._end(result))
+            self._loop.call_later(0, lambda: self._end(result))
             return
-        self._connect_limit = self._loop.after(
+        self._connect_limit = self._loop.call_later(
             self._probes.connect_us, lambda: self._end(api.Result.UNREACHABLE)
         )
 
-    def on_open(self) -> None:
+    def connection_made(self) -> None:
         """Ask as soon as the connection stands."""
         self._loop.cancel(self._connect_limit)
         self._standing = True
         if self._stream is not None:
             self._stream.write(lines.STATS)
 
-    def on_room(self) -> None:
+    def write_buffer_drained(self) -> None:
         """Nothing: probes are short."""
 
-    def on_input(self) -> None:
+    def data_received(self) -> None:
         """Read the answer."""
         stream = self._stream
         if stream is None or stream.inbox is None:
@@ -87,13 +89,13 @@
         self._used = True
         self._end(result, report, keep=True)
 
-    def on_end(self) -> None:
+    def eof_received(self) -> None:
         """Take the end of the connection."""
         self._lost()
 
-    def on_broken(self, code: int) -> None:
+    def connection_lost(self, code: int) -> None:
         """Take the loss of the connection."""
-        if code in SHORT_OF:
+        if code in RESOURCE_EXHAUSTION_ERRNOS:
             self._end(api.Result.NOT_SENT)
         else:
             self._lost()
@@ -114,7 +116,7 @@
         if self.asking:
             self.asking = False
             self._loop.cancel(self._limit)
-            self._probes.done(self._host, result, self._loop.now - self._asked_at, report)
+            self._probes.done(self._host, result, self._loop.now_us - self._asked_at, report)
 
     def _close(self) -> None:
         self._loop.cancel(self._connect_limit)
@@ -130,7 +132,7 @@
 class Probes:
     """The probe connections by host."""
 
-    def __init__(self, loop: Loop, pool: Pool, connect_us: int, done: Done) -> None:
+    def __init__(self, loop: EventLoop, pool: BufferPool, connect_us: int, done: Done) -> None:
         self.loop = loop
         self.pool = pool
         self.connect_us = connect_us
@@ -140,13 +142,15 @@
     def probe(self, host: str, address: tuple[str, int]) -> None:
         """Ask an instance for its report; a probe under way serves."""
         asker = self._askers.get(host)
-        if asker is None and not self.pool.account.take(Purpose.PROBES, STREAM):
+        if asker is None and not self.pool.account.try_charge(MemoryPurpose.PROBES, STREAM_BYTES):
             self.done(
                 host, api.Result.NOT_SENT, 0, None
             )  # the decision module does without this report
             return
         if asker is None:
-            self.pool.account.give(Purpose.PROBES, STREAM)  # the stream charges itself
+            self.pool.account.release(
+                MemoryPurpose.PROBES, STREAM_BYTES
+            )  # the stream charges itself
         if asker is not None and asker.address != address:
             self.drop(host)
             asker = None
--- a/larchhaven/net/text_protocol/listener.py
+++ b/larchhaven/net/text_protocol/listener.py
@@ -6,12 +6,13 @@
 import socket
 from collections.abc import Mapping
 
-from larchhaven.memory.admission import UNREAD_US, Giver, gives_way
-from larchhaven.net.control.connection_limits import Rooms
+from larchhaven.memory.admission import UNREAD_US, ShedCandidate, choose_shed_candidate
+from larchhaven.net.control.connection_limits import ConnectionLimits
 from larchhaven.net.control.dispatcher import Broker, Execution, Wants
-from larchhaven.net.core.buffer_pool import SHORT_OF, Pool, Stream
-from larchhaven.net.core.event_loop import READ, Deadline, Loop
-from larchhaven.net.core.rate_limited_log import Notices
+from larchhaven.net.core.buffer_pool import BufferPool
+from larchhaven.net.core.event_loop import READ, EventLoop, TimerHandle
+from larchhaven.net.core.rate_limited_log import RateLimitedLog
+from larchhaven.net.core.stream import RESOURCE_EXHAUSTION_ERRNOS, Stream
 from larchhaven.net.text_protocol import codec as lines
 from larchhaven.net.text_protocol.connection_relay import Relay
 from larchhaven.net.text_protocol.upstream_attempt import TextExecution
@@ -37,20 +38,20 @@
     def __init__(self, listener: Listener, sock: socket.socket) -> None:
         self._listener = listener
         self._loop = listener.loop
-        self.since = listener.loop.now
+        self.since = listener.loop.now_us
         self._token: int | None = None  # of its command, while the broker has it
         self.stream = Stream(listener.loop, listener.pool, sock, self)
-        self._limit: Deadline | None = self._loop.after(FIRST_LINE_US, self._on_late)
+        self._limit: TimerHandle | None = self._loop.call_later(FIRST_LINE_US, self._on_late)
 
     # The stream's owner
 
-    def on_open(self) -> None:
+    def connection_made(self) -> None:
         """Nothing: an accepted connection stands already."""
 
-    def on_room(self) -> None:
+    def write_buffer_drained(self) -> None:
         """Nothing: answers are short."""
 
-    def on_input(self) -> None:
+    def data_received(self) -> None:
         """Read the first line; what comes behind it waits for the instance."""
         while self._token is None and self.stream.inbox is not None:
             try:
@@ -66,23 +67,23 @@
                 if self._listener.broker.refuses_identity(wants):
                     raise lines.BadLineError("the id is that of an open command")
             except lines.BadLineError as error:
-                self._listener.notices.tell("bad first line", str(error))
+                self._listener.notices.warning("bad first line", str(error))
                 self.fail()
                 return
             self._stop_clock()
             self._listener.count_out(self)
             if self._listener.admits(wants):
-                self.stream.overflow = self._stuffed
+                self.stream.on_inbox_full = self._stuffed
                 self._token = self._listener.broker.take_command(self, wants)
             else:
                 self._listener.broker.turn_away(self, wants)
 
-    def on_end(self) -> None:
+    def eof_received(self) -> None:
         """Take it that the client has left: it would hold its side open while it waits."""
         self._leave()
-        self.stream.finish()
+        self.stream.start_lingering_close()
 
-    def on_broken(self, code: int) -> None:
+    def connection_lost(self, code: int) -> None:
         """Take it that the client has left."""
         self._leave()
 
@@ -98,18 +99,18 @@
 
     def _rest(self, limit_us: int) -> None:
         self._loop.cancel(self._limit)
-        self._limit = self._loop.after(limit_us, self._on_late)
+        self._limit = self._loop.call_later(limit_us, self._on_late)
 
     def _on_late(self) -> None:
         """Fail one that said nothing in its time; a line that has just come still counts."""
         limit = self._limit
-        self.stream.look()
+        self.stream.read_available()
         if self._limit is limit:
             self.fail()
 
     def look(self) -> None:
         """Read what has come since the turn began: above all the end of a client that has left."""
-        self.stream.look()
+        self.stream.read_available()
 
     def _stuffed(self) -> None:
         """Fail a client that does not wait: no room is left to see behind what it sends whether it leaves.
@@ -118,7 +119,7 @@
         more, or with no buffer free, its end would stay unseen, and its command be sent on for nobody.
         """
         if self._token is not None:
-            self._listener.notices.tell(
+            self._listener.notices.warning(
                 "a client does not wait", "it sent more than a buffer holds"
             )
             self._listener.broker.client_fails(self._token)
@@ -128,7 +129,7 @@
 
         What comes after that is read and never sent on. The stream parts: it is the next to be closed.
         """
-        self.stream.look()
+        self.stream.read_available()
         if self._token is None and not self.stream.closed:
             self.refuse(0)
 
@@ -146,13 +147,13 @@
         self._stop_clock()
         self._listener.count_out(self)
         self.stream.write(line)
-        self.stream.finish()
+        self.stream.start_lingering_close()
 
     def serve(self, execution: Execution, token: int) -> Relay:
         """Join the client to the instance that took its command."""
         assert isinstance(execution, TextExecution)
         assert execution.stream is not None
-        self.stream.overflow = None
+        self.stream.on_inbox_full = None
         return Relay(
             self._loop,
             self.stream,
@@ -168,15 +169,15 @@
 
     def __init__(
         self,
-        loop: Loop,
-        pool: Pool,
+        loop: EventLoop,
+        pool: BufferPool,
         broker: Broker,
-        notices: Notices,
+        notices: RateLimitedLog,
         address: tuple[str, int],
         classes: Mapping[str, int],
         tenants: Mapping[str, int],
         descriptors: int,
-        rooms: Rooms,
+        rooms: ConnectionLimits,
         inherited: int | None = None,
     ) -> None:
         self.loop = loop
@@ -188,7 +189,7 @@
         self.away = False  # clients are sent away; those that come all the same are served
         self._rooms = rooms
         self.unread_us = UNREAD_US
-        pool.relieve = self._relieve
+        pool.on_exhausted = self._relieve
         self._silent_most = max(int(SILENT_SHARE * descriptors), 1)
         # Those that have not brought a first line yet, the oldest first.
         self._silent: dict[ServiceClient, None] = {}
@@ -201,7 +202,7 @@
             self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             self._sock.bind(address)
             self._sock.listen(BACKLOG)
-        self._channel = loop.add(self._sock, 0, self._on_ready)
+        self._channel = loop.register(self._sock, 0, self._on_ready)
 
     @property
     def address(self) -> tuple[str, int]:
@@ -218,7 +219,7 @@
         """Take no more clients; whoever holds the socket too goes on."""
         if self.accepting:
             self.accepting = False
-            self.loop.remove(self._channel)
+            self.loop.unregister(self._channel)
             self._sock.close()
 
     def silent(self) -> int:
@@ -255,7 +256,7 @@
             except BlockingIOError:
                 return True
             except OSError as error:
-                if error.errno in SHORT_OF:
+                if error.errno in RESOURCE_EXHAUSTION_ERRNOS:
                     self._pause(errno.errorcode.get(error.errno, "out of resources"))
                     return False
                 continue  # that client has gone again
@@ -279,7 +280,7 @@
 
     def _short(self) -> bool:
         """Tell whether no room is left but that for the execution of each client yet to speak."""
-        return self._rooms.short(len(self._silent), len(self.pool.parting))
+        return self._rooms.is_exhausted(len(self._silent), len(self.pool.lingering))
 
     def _crowded(self) -> bool:
         """Tell whether somebody has to give way before the next comes in."""
@@ -289,19 +290,19 @@
         """Tell whether there is room for this command."""
         standing = wants.midflow or wants.at is not None
         size = len(wants.payload) + len(wants.identity)
-        sparable = len(self._silent) + len(self.pool.parting)
-        return self._rooms.admits(wants.cls, size, sparable, standing)
+        sparable = len(self._silent) + len(self.pool.lingering)
+        return self._rooms.try_admit(wants.cls, size, sparable, standing)
 
-    def _giver(self) -> Giver | None:
-        unread = next(iter(self.pool.unread.values()), None)
+    def _giver(self) -> ShedCandidate | None:
+        unread = next(iter(self.pool.unread_since_us.values()), None)
         oldest = next(iter(self._silent), None)
-        return gives_way(
+        return choose_shed_candidate(
             len(self._silent),
             0 if oldest is None else oldest.since,
             self._silent_most,
-            len(self.pool.parting),
+            len(self.pool.lingering),
             unread,
-            self.loop.now,
+            self.loop.now_us,
             self._short(),
             self.unread_us,
         )
@@ -314,19 +315,21 @@
         """
         while (giver := self._giver()) is not None:
             match giver:
-                case Giver.PARTING:
-                    next(iter(self.pool.parting)).let_go()
-                case Giver.UNREAD:
-                    self._rooms.count_refusal()
-                    next(iter(self.pool.unread)).close_unread()
-                case Giver.SILENT:
-                    self._rooms.count_refusal()
+                case ShedCandidate.PARTING:
+                    next(iter(self.pool.lingering)).close_without_reset()
+                case ShedCandidate.UNREAD:
+                    self._rooms.count_shed_client()
+                    next(iter(self.pool.unread_since_us)).shed()
+                case ShedCandidate.SILENT:
+                    self._rooms.count_shed_client()
                     next(iter(self._silent)).give_way()
 
     def _pause(self, why: str) -> None:
-        self.notices.tell("accepting rests", why)
+        self.notices.warning("accepting rests", why)
         self._rest(SHORT_REST_US)
 
     def _rest(self, us: int) -> None:
         self.loop.set_events(self._channel, 0)
-        self.loop.after(us, lambda: self.loop.set_events(self._channel, READ))  # none once closed
+        self.loop.call_later(
+            us, lambda: self.loop.set_events(self._channel, READ)
+        )  # none once closed
--- a/larchhaven/net/text_protocol/upstream_attempt.py
+++ b/larchhaven/net/text_protocol/upstream_attempt.py
@@ -5,8 +5,9 @@
 import errno
 from typing import Protocol
 
-from larchhaven.net.core.buffer_pool import SHORT_OF, Pool, Stream
-from larchhaven.net.core.event_loop import Loop
+from larchhaven.net.core.buffer_pool import BufferPool
+from larchhaven.net.core.event_loop import EventLoop
+from larchhaven.net.core.stream import RESOURCE_EXHAUSTION_ERRNOS, Stream
 from larchhaven.net.text_protocol import codec as lines
 from larchhaven.routing import interface as api
 
@@ -32,8 +33,8 @@
 
     def __init__(
         self,
-        loop: Loop,
-        pool: Pool,
+        loop: EventLoop,
+        pool: BufferPool,
         owner: ExecutionOwner,
         token: int,
         first_line: bytes,
@@ -45,24 +46,24 @@
         self._owner = owner
         self._token = token
         self._first_line = first_line
-        self._until = loop.now + wait_us
+        self._until = loop.now_us + wait_us
         self._written = False
         self._over = False
         self.up_line = b""
-        self._connect_limit = loop.after(min(connect_us, wait_us), self._on_late_connect)
-        self._limit = loop.after(wait_us, self._on_late)
+        self._connect_limit = loop.call_later(min(connect_us, wait_us), self._on_late_connect)
+        self._limit = loop.call_later(wait_us, self._on_late)
         self.stream: Stream | None = None
         try:
             self.stream = Stream.connect(loop, pool, address, self)
         except OSError as error:
-            short = error.errno in SHORT_OF
+            short = error.errno in RESOURCE_EXHAUSTION_ERRNOS
             result = api.Result.NOT_SENT if short else api.Result.UNREACHABLE
             # Told in a turn of its own: the owner is still at work on the action that began this.
-            loop.after(0, lambda: self._end(result))
+            loop.call_later(0, lambda: self._end(result))
 
     # The stream's owner
 
-    def on_open(self) -> None:
+    def connection_made(self) -> None:
         """Send the first line, unless the instance was told to drain while the connect took its time."""
         self._loop.cancel(self._connect_limit)
         stream = self.stream
@@ -71,20 +72,20 @@
         if not self._owner.may_begin(self._token):
             self._end(api.Result.NOT_SENT)
             return
-        line = lines.with_wait(self._first_line, self._until - self._loop.now)
+        line = lines.with_wait(self._first_line, self._until - self._loop.now_us)
         if stream.write(line) < len(line):
             self._end(api.Result.NOT_SENT)  # no buffer left for the rest
             return
-        if not stream.pending:
-            self.on_room()
+        if not stream.pending_bytes:
+            self.write_buffer_drained()
 
-    def on_room(self) -> None:
+    def write_buffer_drained(self) -> None:
         """Note that the last byte of the line is written: from here on it may have run."""
         if not self._written:
             self._written = True
             self._owner.execution_written(self._token)
 
-    def on_input(self) -> None:
+    def data_received(self) -> None:
         """Read the instance's answer."""
         inbox = self.stream.inbox if self.stream is not None else None
         if self._over or inbox is None or self.stream is None:
@@ -106,13 +107,13 @@
         result, report = lines.read_ending(line) or (api.Result.ERROR, None)
         self._end(result, report)
 
-    def on_end(self) -> None:
+    def eof_received(self) -> None:
         """Take an end without an answer."""
         self._end(api.Result.RESET if self._written else api.Result.UNREACHABLE)
 
-    def on_broken(self, code: int) -> None:
+    def connection_lost(self, code: int) -> None:
         """Take a break, which proves that nothing ran only before the line's last byte was written."""
-        if code in SHORT_OF and code != errno.ENOBUFS:
+        if code in RESOURCE_EXHAUSTION_ERRNOS and code != errno.ENOBUFS:
             self._end(api.Result.NOT_SENT)
         else:
             self._end(api.Result.RESET if self._written else api.Result.UNREACHABLE)
@@ -125,7 +126,7 @@
     def _on_late(self) -> None:
         """Give up; an answer that has just come still counts."""
         if self.stream is not None and self._written:
-            self.stream.look()
+            self.stream.read_available()
         self._end(api.Result.TIMEOUT if self._written else api.Result.UNREACHABLE)
 
     # Ending
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from larchhaven.net.admin.metrics import Figures
+from larchhaven.net.admin.metrics import Metrics
 from larchhaven.net.control.dispatcher import (
     GRACE_MARGIN_US,
     Broker,
@@ -16,8 +16,8 @@
     Session,
     Wants,
 )
-from larchhaven.net.core.event_loop import Loop
-from larchhaven.net.core.rate_limited_log import Notices
+from larchhaven.net.core.event_loop import EventLoop
+from larchhaven.net.core.rate_limited_log import RateLimitedLog
 from larchhaven.routing import interface as api
 from tests.world import PLAIN
 
@@ -72,12 +72,12 @@
 
 @pytest.fixture
 def broker(world: World) -> Broker:
-    loop = Loop()
-    made = Broker(loop, Notices(loop), PLAIN, 1, Figures.of(["chat"]))
+    loop = EventLoop()
+    made = Broker(loop, RateLimitedLog(loop), PLAIN, 1, Metrics.for_classes(["chat"]))
     nothing: Any = lambda *_: None  # noqa: E731
     made.outside = Outside(world, world.begin, *[nothing] * 7)
     made.queue(api.FleetList(api.ListKind.COMPLETE, 1, (api.ServerEntry("s0"),)))
-    loop.turn_end = made.turn
+    loop.on_iteration_end = made.turn
     return made
 
 
@@ -89,9 +89,9 @@
     broker.turn()
     assert world.begun == [(token, "x")]
     assert broker.may_begin(token)
-    world.told = broker._loop.now
+    world.told = broker._loop.now_us
     assert broker.may_begin(token)
-    world.told = broker._loop.now - PLAIN.drain_grace_us + GRACE_MARGIN_US
+    world.told = broker._loop.now_us - PLAIN.drain_grace_us + GRACE_MARGIN_US
     assert not broker.may_begin(token)
     assert not broker.may_begin(token + 1)
 
--- a/tests/test_caps.py
+++ b/tests/test_caps.py
@@ -14,15 +14,16 @@
 
 from larchhaven.lab.site import Outcome, load, play
 from larchhaven.memory import plan
-from larchhaven.memory.account import Account
-from larchhaven.memory.purposes import IDENTITY, Purpose
+from larchhaven.memory.account import MemoryAccount
+from larchhaven.memory.item_costs import REQUEST_ID_BYTES
+from larchhaven.memory.purposes import MemoryPurpose
 from larchhaven.net.admin import memory_accounting as accounting
 from larchhaven.net.admin.administrative_ejection import Suspensions
-from larchhaven.net.admin.operator_file import READER_BYTES, OperatorFile
+from larchhaven.net.admin.operator_file import READER_BYTES, OperatorFileReader
 from larchhaven.net.core import log_setup as logs
-from larchhaven.net.core.buffer_pool import Pool
-from larchhaven.net.core.event_loop import Loop
-from larchhaven.net.core.rate_limited_log import Notices
+from larchhaven.net.core.buffer_pool import BufferPool
+from larchhaven.net.core.event_loop import EventLoop
+from larchhaven.net.core.rate_limited_log import RateLimitedLog
 from larchhaven.net.hot_restart import Handover
 from larchhaven.operator.read import read_text
 from larchhaven.operator.settings import Reading
@@ -173,7 +174,7 @@
         assert line, "the log ended"
     assert made.call("GET", "/v1/metrics")[1]["config_reload_errors"] == 1
     assert "Traceback" not in made.close()
-    assert all(tuple(line) == logs.KEYS for line in lines)
+    assert all(tuple(line) == logs.JSON_KEYS for line in lines)
     assert lines[0]["event"] == "bad first line"
     assert "\x1b" not in lines[0]["detail"]
 
@@ -185,11 +186,11 @@
     done: list[Reading] = []
     path = tmp_path / "operator.textproto"
     path.write_text("memory { }")
-    OperatorFile(Loop(), str(path), done.append).read(READER_BYTES - 1)
+    OperatorFileReader(EventLoop(), str(path), done.append).read(READER_BYTES - 1)
     assert "write it as .json with 'larchhaven check --write'" in done[0].complaints[0].text
     compiled = tmp_path / "operator.json"
     compiled.write_bytes(msgspec.json.encode(read_text("memory { log: 1 }")))
-    OperatorFile(Loop(), str(compiled), done.append).read(0)
+    OperatorFileReader(EventLoop(), str(compiled), done.append).read(0)
     assert done[1].settings.caps == {"log": 1 << 20}
     assert not done[1].complaints
 
@@ -234,25 +235,25 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Guards a notice and a trim that a call to /v1/memory used up and nobody carried out."""
-    loop, account, trims = Loop(), Account.unbounded(), []
-    made = plan.make(32 << 20, 20 << 20, 1024)
+    loop, account, trims = EventLoop(), MemoryAccount.unbounded(), []
+    made = plan.make_plan(32 << 20, 20 << 20, 1024)
     sizes = iter([20 << 20, 28 << 20])
-    monkeypatch.setattr(accounting, "resident", lambda: next(sizes))
-    monkeypatch.setattr(accounting, "return_freed", lambda: trims.append(1))
-    notices = Notices(loop)
-    watched = accounting.Accounting(loop, notices, account, made, Pool(account), "")
-    watched.begin()
-    state = watched.state(accounting.Descriptors(1, 0, 0))
+    monkeypatch.setattr(accounting, "read_resident_bytes", lambda: next(sizes))
+    monkeypatch.setattr(accounting, "trim_allocator", lambda: trims.append(1))
+    notices = RateLimitedLog(loop)
+    watched = accounting.MemoryAccounting(loop, notices, account, made, BufferPool(account), "")
+    watched.start()
+    state = watched.state(accounting.DescriptorState(1, 0, 0))
     assert state.trims == len(trims) == 1
-    assert notices.kinds() == 1
+    assert notices.event_count() == 1
     assert state.unaccounted == 8 << 20
 
 
 def test_notices_remember_no_more_kinds_than_their_cap(capsys: pytest.CaptureFixture[str]) -> None:
-    notices = Notices(Loop(), 3)
+    notices = RateLimitedLog(EventLoop(), 3)
     for number in range(50):
-        notices.tell(f"kind {number}", "x")
-    assert notices.kinds() == 3
+        notices.warning(f"kind {number}", "x")
+    assert notices.event_count() == 3
 
 
 def test_suspension_that_does_not_fit_is_not_saved_but_one_may_always_end(tmp_path: Path) -> None:
@@ -269,14 +270,16 @@
 
 
 def test_ids_of_the_other_process_are_kept_as_far_as_there_is_room() -> None:
-    account = Account({**dict.fromkeys(Purpose, 0), Purpose.PEERS: 3 * IDENTITY})
-    loop = Loop()
-    handover = Handover(loop, Notices(loop), "", None, account)  # type: ignore[arg-type]
+    account = MemoryAccount(
+        {**dict.fromkeys(MemoryPurpose, 0), MemoryPurpose.PEERS: 3 * REQUEST_ID_BYTES}
+    )
+    loop = EventLoop()
+    handover = Handover(loop, RateLimitedLog(loop), "", None, account)  # type: ignore[arg-type]
     for number in range(5):
         handover._add(bytes([number]))
         handover._add(bytes([number]))
-    assert account.line(Purpose.PEERS).refused == 4
-    assert account.used(Purpose.PEERS) == 3 * IDENTITY
+    assert account.usage(MemoryPurpose.PEERS).rejected == 4
+    assert account.used_bytes(MemoryPurpose.PEERS) == 3 * REQUEST_ID_BYTES
     for number in range(5):
         handover._drop(bytes([number]))
-    assert account.used(Purpose.PEERS) == 0 == account.over
+    assert account.used_bytes(MemoryPurpose.PEERS) == 0 == account.excess_releases
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from larchhaven.net.core.buffer_pool import SIZE, Buffer
+from larchhaven.net.core.buffer_pool import BUFFER_BYTES, Buffer
 from larchhaven.net.graceful_shutdown import LOOK_US, Stopping
 from larchhaven.routing import interface as api
 from larchhaven.routing.interface import Effect, Scope
@@ -42,7 +42,7 @@
     with contextlib.suppress(BlockingIOError):
         while True:
             try:
-                data = sock.recv(SIZE)
+                data = sock.recv(BUFFER_BYTES)
             except ConnectionResetError:
                 return got + b"!"
             if not data:
@@ -93,7 +93,7 @@
 
 
 def empty_pool(bench: Bench) -> list[Buffer]:
-    return list(iter(bench.pool.take, None))
+    return list(iter(bench.pool.acquire, None))
 
 
 @pytest.mark.parametrize("buffers", ["free", "none left"])
@@ -111,7 +111,7 @@
         leave(sock, bench, how)
     bench.spin(4)
     for buffer in taken:
-        bench.pool.give(buffer)
+        bench.pool.release(buffer)
     bench.list_servers(PAIR)
     for _ in range(6):
         bench.spin(4, 30_000)
@@ -207,7 +207,7 @@
     sock.send(LINE % 1)
     bench.clock.ns += 1_999_000_000
     bench.unseen()
-    bench.loop.turn()  # a sleep: nothing is late yet
+    bench.loop.run_once()  # a sleep: nothing is late yet
     bench.unseen()
     bench.spin(1, 2_000)
     bench.spin()
@@ -253,11 +253,11 @@
     """Guards an answer on the small-descriptor days: what was unread at the close reset it away."""
     sock = bench.client(b"HELLO\r\n")
     bench.spin(3)
-    assert list(bench.pool.parting)
+    assert list(bench.pool.lingering)
     sock.send(b"more\r\n" * 200)
-    vars(bench.listener)["_rooms"].descriptors = 1
+    vars(bench.listener)["_rooms"].max_descriptors = 1
     vars(type(bench.listener))["_make_room"](bench.listener)
-    assert not bench.pool.parting
+    assert not bench.pool.lingering
     assert read(sock) == b"ERR\r\n."
 
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -8,12 +8,12 @@
 
 import pytest
 
-from larchhaven.memory.account import Account
+from larchhaven.memory.account import MemoryAccount
 from larchhaven.net.control import endpoint_watch as discovery_module
 from larchhaven.net.control.endpoint_watch import Directory, Discovery, HostEntry, HostList
-from larchhaven.net.core.buffer_pool import Pool
-from larchhaven.net.core.event_loop import Loop
-from larchhaven.net.core.rate_limited_log import Notices
+from larchhaven.net.core.buffer_pool import BufferPool
+from larchhaven.net.core.event_loop import EventLoop
+from larchhaven.net.core.rate_limited_log import RateLimitedLog
 from larchhaven.routing.interface import ListKind
 
 PATIENCE_S = 10.0
@@ -24,13 +24,18 @@
     """A discovery that answers when the test says so."""
 
     def __init__(self) -> None:
-        self.loop = Loop()
+        self.loop = EventLoop()
         self.told: list[HostList | None] = []
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.listener.setblocking(False)
-        pool = Pool(Account.unbounded())
+        pool = BufferPool(MemoryAccount.unbounded())
         self.calls = Discovery(
-            self.loop, pool, Notices(self.loop), self.listener.getsockname(), 7, self.told.append
+            self.loop,
+            pool,
+            RateLimitedLog(self.loop),
+            self.listener.getsockname(),
+            7,
+            self.told.append,
         )
 
     def take(self) -> tuple[socket.socket, str]:
@@ -74,8 +79,8 @@
             self.turn()
 
     def turn(self) -> None:
-        self.loop.after(5_000, lambda: None)  # so that it does not sleep for long
-        self.loop.turn()
+        self.loop.call_later(5_000, lambda: None)  # so that it does not sleep for long
+        self.loop.run_once()
 
 
 @pytest.fixture
@@ -109,8 +114,8 @@
     assert service.calls.late_us > 0
     told = HostList(9, [HostEntry("s0", "127.0.0.1:1", health="draining")])
     directory = Directory(["a"], ["x"])
-    directory.take(ListKind.CHANGES, told, service.loop.now - service.calls.late_us)
-    assert (directory.told_at("s0") or 0) < service.loop.now
+    directory.take(ListKind.CHANGES, told, service.loop.now_us - service.calls.late_us)
+    assert (directory.told_at("s0") or 0) < service.loop.now_us
 
 
 def test_silent_watch_is_followed_before_what_it_missed_counts_as_told(service: _Service) -> None:
--- a/tests/test_leaks.py
+++ b/tests/test_leaks.py
@@ -20,15 +20,16 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from larchhaven.memory.account import Account
-from larchhaven.memory.purposes import Purpose
-from larchhaven.net.admin.metrics import Figures
-from larchhaven.net.control.connection_limits import Rooms
+from larchhaven.memory.account import MemoryAccount
+from larchhaven.memory.purposes import MemoryPurpose
+from larchhaven.net.admin.metrics import Metrics
+from larchhaven.net.control.connection_limits import ConnectionLimits
 from larchhaven.net.control.dispatcher import Broker, Execution, Outside, Wants
 from larchhaven.net.core import event_loop as loop_module
-from larchhaven.net.core.buffer_pool import SIZE, Pool, Stream
-from larchhaven.net.core.event_loop import Loop
-from larchhaven.net.core.rate_limited_log import Notices
+from larchhaven.net.core.buffer_pool import BUFFER_BYTES, BufferPool
+from larchhaven.net.core.event_loop import EventLoop
+from larchhaven.net.core.rate_limited_log import RateLimitedLog
+from larchhaven.net.core.stream import Stream
 from larchhaven.net.text_protocol.connection_relay import Relay
 from larchhaven.net.text_protocol.listener import Listener
 from larchhaven.net.text_protocol.upstream_attempt import TextExecution
@@ -50,12 +51,17 @@
         vars(loop_module)["time"] = SimpleNamespace(
             monotonic_ns=lambda: self.clock.ns, time_ns=lambda: self.clock.ns
         )
-        self.loop = Loop()
-        caps = {**dict.fromkeys(Purpose, 1 << 20), Purpose.BUFFERS: BUFFERS * (SIZE + 300)}
-        self.account = Account(caps)
-        self.pool = Pool(self.account, bound=4096)
-        notices = Notices(self.loop)
-        self.broker = Broker(self.loop, notices, settings, 1, Figures.of(["chat"]), self.account)
+        self.loop = EventLoop()
+        caps = {
+            **dict.fromkeys(MemoryPurpose, 1 << 20),
+            MemoryPurpose.BUFFERS: BUFFERS * (BUFFER_BYTES + 300),
+        }
+        self.account = MemoryAccount(caps)
+        self.pool = BufferPool(self.account, socket_buffer_bytes=4096)
+        notices = RateLimitedLog(self.loop)
+        self.broker = Broker(
+            self.loop, notices, settings, 1, Metrics.for_classes(["chat"]), self.account
+        )
         self.server = socket.create_server(("127.0.0.1", 0))
         self.server.setblocking(False)
         self.broker.outside = Outside(
@@ -69,13 +75,13 @@
             identity=lambda identity, on: None,
             is_open_elsewhere=lambda identity: False,
         )
-        rooms = Rooms(self.loop, self.account, [1.0], 60)
+        rooms = ConnectionLimits(self.loop, self.account, [1.0], 60)
         self.listener = Listener(
             self.loop, self.pool, self.broker, notices, ("127.0.0.1", 0), {"chat": 0}, {}, 60, rooms
         )
         self.listener.open()
         self.list_servers(servers)
-        self.loop.turn_end = self.broker.turn
+        self.loop.on_iteration_end = self.broker.turn
         self.number = 0
         self.clients: list[socket.socket] = []
         self.instances: list[socket.socket] = []
@@ -124,8 +130,8 @@
     def spin(self, turns: int = 6, us: int = 100) -> None:
         for _ in range(turns):
             self.clock.ns += us * 1000
-            self.loop.again()
-            self.loop.turn()
+            self.loop.skip_next_wait()
+            self.loop.run_once()
         with contextlib.suppress(BlockingIOError):
             while True:
                 sock, _ = self.server.accept()
@@ -136,12 +142,12 @@
         """See that nothing is held any more: commands, streams, buffers, what was charged."""
         self.end()
         assert self.broker.held() == 0
-        assert not self.pool.parting
-        assert not self.pool.unread
-        self.pool.shrink()
-        for purpose in (Purpose.CONNECTIONS, Purpose.TABLES, Purpose.BUFFERS):
-            assert self.account.charged(purpose) == 0, purpose
-        assert self.account.over == 0
+        assert not self.pool.lingering
+        assert not self.pool.unread_since_us
+        self.pool.release_spares()
+        for purpose in (MemoryPurpose.CONNECTIONS, MemoryPurpose.TABLES, MemoryPurpose.BUFFERS):
+            assert self.account.charged_bytes(purpose) == 0, purpose
+        assert self.account.excess_releases == 0
         assert self.listener.silent() == 0
 
     def end(self) -> None:
@@ -242,8 +248,8 @@
         if what == "adopt":
             self.adopt()
         elif what == "unread":
-            for stream in list(bench.pool.unread)[:1]:
-                stream.close_unread()
+            for stream in list(bench.pool.unread_since_us)[:1]:
+                stream.shed()
         elif sessions:
             token, command = sessions[pick % len(sessions)]
             if what == "release":
@@ -274,8 +280,8 @@
     @invariant()
     def caps_hold(self) -> None:
         account = self.bench.account
-        assert account.used(Purpose.BUFFERS) <= account.cap(Purpose.BUFFERS)
-        assert account.over == 0
+        assert account.used_bytes(MemoryPurpose.BUFFERS) <= account.cap_bytes(MemoryPurpose.BUFFERS)
+        assert account.excess_releases == 0
         for _token, channel in self.bench.loop._channels.items():
             stream = getattr(channel.then, "__self__", None)
             if isinstance(stream, Stream):
@@ -334,8 +340,8 @@
     sock.sendall(LINE.replace(b"\r\n", b"," + b"x" * 3_900 + b"=1\r\n") % 1)
     bench.clients.append(sock)
     bench.spin()
-    before = bench.account.charged(Purpose.TABLES)
+    before = bench.account.charged_bytes(MemoryPurpose.TABLES)
     bench.instances[0].send(b"UP 1\r\n")
     bench.spin()
-    assert before - bench.account.charged(Purpose.TABLES) > 3_900
+    assert before - bench.account.charged_bytes(MemoryPurpose.TABLES) > 3_900
     assert bench.broker.sessions()[0][1].wants.payload == b""
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -6,11 +6,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from larchhaven.memory.account import Account
-from larchhaven.memory.purposes import BUFFER_EXTRA, Purpose
+from larchhaven.memory.account import MemoryAccount
+from larchhaven.memory.item_costs import BUFFER_OVERHEAD_BYTES
+from larchhaven.memory.purposes import MemoryPurpose
 from larchhaven.net.control.endpoint_watch import Directory, HostEntry, HostList, read_address
-from larchhaven.net.core.buffer_pool import SIZE, Buffer, Pool
-from larchhaven.net.core.slot_table import Slots
+from larchhaven.net.core.buffer_pool import BUFFER_BYTES, Buffer, BufferPool
+from larchhaven.net.core.slot_table import SlotTable
 from larchhaven.net.text_protocol import codec as lines
 from larchhaven.routing import interface as api
 
@@ -87,7 +88,7 @@
 
 
 def test_stale_token_reaches_nobody() -> None:
-    table: Slots[str] = Slots()
+    table: SlotTable[str] = SlotTable()
     first = table.add("first")
     assert table.remove(first) == "first"
     assert table.remove(first) is None
@@ -101,16 +102,23 @@
 
 def test_buffer_that_comes_back_wakes_all_that_wait() -> None:
     """Guards against a stream that waits for ever behind one that was closed while it waited."""
-    pool = Pool(Account({**dict.fromkeys(Purpose, 0), Purpose.BUFFERS: SIZE + BUFFER_EXTRA}))
-    only = pool.take()
+    pool = BufferPool(
+        MemoryAccount(
+            {
+                **dict.fromkeys(MemoryPurpose, 0),
+                MemoryPurpose.BUFFERS: BUFFER_BYTES + BUFFER_OVERHEAD_BYTES,
+            }
+        )
+    )
+    only = pool.acquire()
     assert isinstance(only, Buffer)
-    assert pool.take() is None
+    assert pool.acquire() is None
     woken: list[int] = []
-    pool.wait(lambda: woken.append(1))
-    pool.wait(lambda: woken.append(2))
-    pool.give(only)
+    pool.call_when_available(lambda: woken.append(1))
+    pool.call_when_available(lambda: woken.append(2))
+    pool.release(only)
     assert woken == [1, 2]
-    assert pool.take() is only
+    assert pool.acquire() is only
 
 
 def test_directory_keeps_since_when_an_instance_is_to_be_left_alone() -> None:
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from larchhaven.lab import site
-from larchhaven.net.admin.operator_file import read_compiled, read_now
+from larchhaven.net.admin.operator_file import read_blocking, read_compiled
 from larchhaven.operator.operator_pb2 import Operator
 from larchhaven.operator.read import read_file, read_text
 from larchhaven.operator.settings import Reading, Settings
@@ -115,15 +115,15 @@
 def test_reading_process_tells_what_the_reader_finds(tmp_path: Path) -> None:
     path = tmp_path / "operator.textproto"
     path.write_text("memory { probes: 1 }")
-    assert read_now(str(path)) == read_file(str(path))
+    assert read_blocking(str(path)) == read_file(str(path))
     path.write_text("memory { probes: 0 }")
-    assert read_now(str(path)).complaints == read_file(str(path)).complaints != []
-    assert "cannot be read" in read_now(str(tmp_path / "none")).complaints[0].text
+    assert read_blocking(str(path)).complaints == read_file(str(path)).complaints != []
+    assert "cannot be read" in read_blocking(str(tmp_path / "none")).complaints[0].text
     path.write_bytes(b"\xff\xfe")
     assert "UTF-8" in read_file(str(path)).complaints[0].text
     compiled = tmp_path / "operator.json"
     compiled.write_bytes(msgspec.json.encode(Reading(Settings(quiet_us=7), [])))
-    assert read_now(str(compiled)).settings.quiet_us == 7
+    assert read_blocking(str(compiled)).settings.quiet_us == 7
     compiled.write_text('{"settings": 3}')
     assert read_compiled(str(compiled)).complaints
     assert read_compiled(str(tmp_path / "no.json")).complaints
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -6,13 +6,13 @@
 
 from larchhaven.gossip.codec import is_readable
 from larchhaven.net.control.peer_socket import LONGEST, Peers
-from larchhaven.net.core.event_loop import Loop
-from larchhaven.net.core.rate_limited_log import Notices
+from larchhaven.net.core.event_loop import EventLoop
+from larchhaven.net.core.rate_limited_log import RateLimitedLog
 from larchhaven.routing.balancer import ASKED, HELD, LEARNT, STARTED
 
 
 def test_datagrams_from_unknown_addresses_and_long_ones_are_counted_and_not_heard() -> None:
-    loop = Loop()
+    loop = EventLoop()
     known, stranger = (socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(2))
     known.bind(("127.0.0.1", 0))
     own = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -24,7 +24,7 @@
     tier = [address, known.getsockname()]
     Peers(
         loop,
-        Notices(loop),
+        RateLimitedLog(loop),
         address,
         tier,
         None,
@@ -37,8 +37,8 @@
     known.sendto(bytes(LONGEST + 1), address)
     known.sendto(STARTED, address)  # on loopback nothing overtakes what one socket sent before
     for _ in range(200):
-        loop.after(10_000, lambda: None)
-        loop.turn()
+        loop.call_later(10_000, lambda: None)
+        loop.run_once()
         if heard and len(strange) == 4:
             break
     assert heard == [(1, STARTED)]
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -16,8 +16,8 @@
 from larchhaven.membership.member import State, stamp
 from larchhaven.membership.messages import OURS, Kind, Message, decode
 from larchhaven.net.control.membership_switch import proof
-from larchhaven.net.core.event_loop import Loop
-from larchhaven.net.core.rate_limited_log import Notices
+from larchhaven.net.core.event_loop import EventLoop
+from larchhaven.net.core.rate_limited_log import RateLimitedLog
 from larchhaven.net.hot_restart import VERSION, Handover, Hello, Known, Standing
 from tests.rig import PATIENCE, Proxy, opening
 
@@ -206,10 +206,10 @@
 class Side:
     """One process's end of a handover."""
 
-    def __init__(self, loop: Loop, folder: Path) -> None:
+    def __init__(self, loop: EventLoop, folder: Path) -> None:
         self.heard: list[bytes] = []
         self.ready = False
-        self.handover = Handover(loop, Notices(loop), str(folder), self)
+        self.handover = Handover(loop, RateLimitedLog(loop), str(folder), self)
         self.handover.begin(lambda: setattr(self, "ready", True))
 
     def known(self) -> Known:
@@ -227,24 +227,24 @@
 
 def test_open_ids_and_messages_go_both_ways_until_one_side_ends(tmp_path: Path) -> None:
     """Guards one execution per command while two processes take clients side by side."""
-    loop = Loop()
+    loop = EventLoop()
     older, younger = Side(loop, tmp_path), Side(loop, tmp_path)
     assert older.ready
     assert not younger.ready
-    loop.turn()
-    loop.turn()
-    loop.turn()
+    loop.run_once()
+    loop.run_once()
+    loop.run_once()
     assert younger.ready
     assert younger.heard == [b"known"]
     for one, other in ((older, younger), (younger, older)):
         one.handover.identity(b"id", True)
         one.handover.tell(b"said")
-        loop.turn()
+        loop.run_once()
         assert other.handover.is_open_elsewhere(b"id")
         assert other.heard[-1] == b"said"
         assert not other.handover.is_open_elsewhere(b"another")
         one.handover.identity(b"id", False)
-        loop.turn()
+        loop.run_once()
         assert not other.handover.is_open_elsewhere(b"id")
 
 
