--- a/larchhaven/gossip/shared_health_checks.py
+++ b/larchhaven/gossip/shared_health_checks.py
@@ -1,12 +1,13 @@
-"""One look at each server for the whole tier: who probes it and when, and what the others are told of it.
+"""One health check of each server for the whole fleet of proxies: who checks, and who is notified.
 
-In a tier of forty each proxy sees few arrivals: were each to probe for itself, as few proxies do, it would
-know the loads seconds late. Here the servers are dealt out. The first in a server's order of proxies probes
-it steadily and tells all others what has changed; the next in the order steps in once nothing has been heard
-of the server for a while, so that nobody needs to know who is alive. What a proxy is told is a hint: it is
-taken only for servers that its own list names as ready.
+With forty proxies each sees few requests: were each to check servers for itself, as few proxies do,
+it would learn their loads seconds late. Here the servers are dealt out. The first proxy in the
+order of a server's partition checks it steadily and notifies the others of changes; the next one in
+the order steps in once nothing has been received for a while, so that nobody needs to know who is
+alive. A load report from a peer is a hint: it is accepted only for servers that the own endpoint
+list names as ready.
 
-Times are microseconds. An entry on the wire is a server's mark and its load over capacity in steps.
+Pure: events and a time in, actions out. Times and durations are microseconds.
 """
 
 from __future__ import annotations
@@ -26,245 +27,299 @@
 from larchhaven.routing.gossip_messages import ServerLoad, SharedLoadReports
 from larchhaven.routing.settings import RoutingSettings
 
-ENTRIES_MOST = 85  # in a message of 256 bytes
-# Loads over capacity are told in these steps; the last two values are no loads.
-STEP = 0.02
-MOST, FAILED = 253, 255
-# From so many proxies on looks are shared: below, each meets each server often enough by itself.
-SHARED_FROM = 12
-# The time between two looks of the same proxy at a server, as reports are refreshed about once a second.
-LOOK_US = 1_000_000
-# A change of at least this much is told at once, a smaller one only after the second time.
-CHANGE = 0.1
-QUIET_US = 5_000_000
-# Of each part something is told at least this often.
-BEAT_US = 2_000_000
-# The next proxy in a part's order steps in after so much silence, and each further one so much later.
-SILENT_US = 2_600_000
-RANK_US = 100_000
-# A proxy that hears nobody is more likely cut off than the last one alive. As all of a tier may be, only
-# the first ranks step in as ever, each further one this many times as late, and look more slowly: so what the
-# tier does as a whole stays bounded however many proxies it has.
-DEAF_RANKS, DEAF_GROWTH = 4, 1.5
-# The servers are dealt out in so many parts: whoever looks at several tells of them in one message, as each
-# message costs more than what is in it. What looks begun together find is told after this time.
-PARTS = 4
-GATHER_US = 30_000
+# Load levels on the wire are load ratios in steps; the highest values stand for no load.
+LOAD_RATIO_STEP = 0.02
+MAX_LOAD_LEVEL = 253
+FAILED_LEVEL = 255
+MAX_ENTRIES_PER_MESSAGE = 85  # in a datagram of 256 bytes
+
+# With fewer proxies each meets each server often enough by itself.
+MIN_PROXIES = 12
+
+CHECK_INTERVAL_US = 1_000_000  # servers refresh their reports about once a second
+SIGNIFICANT_CHANGE_RATIO = 0.1  # a smaller change is sent only when a refresh is due
+REFRESH_INTERVAL_US = 5_000_000  # of an unchanged load
+HEARTBEAT_INTERVAL_US = 2_000_000  # at least one report of each partition
+BATCHING_DELAY_US = 30_000  # results of checks that began together share a message
+
+# The next proxy in a partition's order steps in after the timeout, each further one a bit later.
+TAKEOVER_TIMEOUT_US = 2_600_000
+TAKEOVER_STEP_US = 100_000
+
+# A proxy that receives nothing is more likely cut off than the last one alive. As all may be cut
+# off, only the first ranks step in on time, each further one later by a growing factor, and checks
+# less often: what all proxies do together stays bounded, however many there are.
+ISOLATED_RANKS = 4
+ISOLATED_DELAY_GROWTH = 1.5
+MAX_ISOLATED_DELAY_EXPONENT = 30
+
+# Servers are dealt out by partition: who checks several reports them in one message.
+PARTITIONS = 4
+SERVER_HASH_SHIFT_BITS = 16
 
 
 @dataclass(slots=True)
-class _Seen:
+class _CheckedServer:
     """What is known of one server."""
 
-    mark: int
-    rank: int  # this proxy's place in the server's order
-    due: int  # when this proxy looks at it next
-    told: float = -1.0  # load over capacity as last told by anybody
-    told_at: int = 0
-    looking: bool = False
-    failed: bool = False  # as last told
+    server_hash: int
+    partition: int
+    rank: int  # this proxy's place in the order of the partition
+    check_due_us: int
+    reported_ratio: float = -1.0  # as last sent by any proxy; negative before the first
+    reported_at_us: int = 0
+    is_checking: bool = False
+    has_failed: bool = False  # as last sent
+
 
+def uses_shared_checks(settings: RoutingSettings) -> bool:
+    """Return whether proxies share health checks: they may check, may gossip, and are many."""
+    may_share = settings.can_check_health and settings.can_gossip
+    return may_share and settings.proxy_count >= MIN_PROXIES
 
-def is_shared(settings: RoutingSettings) -> bool:
-    """Tell whether looks are shared: where proxies may probe and talk, and are many."""
-    return settings.can_check_health and settings.can_gossip and settings.proxy_count >= SHARED_FROM
 
+class SharedHealthChecks:
+    """One proxy's part in the shared health checks.
 
-class Lookout:
-    """One proxy's part: events and a time in, actions out, and news for the decision module."""
+    Attributes:
+        due_us: When ``run_due`` is to be called next; None while there is nothing to check.
+        invalid_entries: Entries and messages from peers that could not be used.
+    """
 
     def __init__(self, settings: RoutingSettings) -> None:
+        self.due_us: int | None = None
+        self.invalid_entries = 0
         self._settings = settings
-        self._present = frozenset(range(settings.proxy_count))
-        self._ranks = self._rank_parts()
-        self._servers: dict[str, _Seen] = {}
-        self._marks: dict[
-            int, list[str]
-        ] = {}  # two servers of one mark: of these nothing is told or believed
-        self.due: int | None = None  # when ``turn`` is to be called next
-        self._news: dict[int, int] = {}  # to be told, by marks
-        self._heard_at = [-SILENT_US] * PARTS  # when anything was last told of a part, by anybody
-        self._others_at: int | None = (
-            None  # when another proxy was last heard, or the first list came
-        )
-        self._tell_at = 0
-        self.strange = 0  # entries and messages that could not be used
-
-    def wants(self, server: str) -> bool:
-        """Tell whether to begin a look at a server now; one that is under way serves."""
-        seen = self._servers.get(server)
-        if seen is None or seen.looking:
+        self._live_peers = frozenset(range(settings.proxy_count))
+        self._ranks = self._rank_partitions()
+        self._servers: dict[str, _CheckedServer] = {}
+        # Servers that share a hash are neither reported nor accepted.
+        self._servers_by_hash: dict[int, list[str]] = {}
+        self._pending_levels: dict[int, int] = {}  # by server hash
+        self._pending_due_us = 0
+        self._partition_reported_us = [-TAKEOVER_TIMEOUT_US] * PARTITIONS
+        # When a peer was last heard from, or the first endpoint list came.
+        self._last_contact_us: int | None = None
+
+    def try_begin_check(self, server_id: str) -> bool:
+        """Mark a check of a server as begun; False if one is under way or it is not ready."""
+        server = self._servers.get(server_id)
+        if server is None or server.is_checking:
             return False
-        seen.looking = True
+        server.is_checking = True
         return True
 
-    def knows(self, server: str) -> bool:
-        """Tell whether the server is on the own list, and ready."""
-        return server in self._servers
+    def is_ready(self, server_id: str) -> bool:
+        """Return whether the own endpoint list names the server as ready."""
+        return server_id in self._servers
 
-    def on_list(self, now: int, news: EndpointListUpdate) -> None:
-        """Take which servers there are; none is looked at that the own list does not name as ready."""
-        if news.kind is EndpointListKind.FAILED:
+    def update_endpoints(self, now_us: int, update: EndpointListUpdate) -> None:
+        """Take a watch event; only servers that are listed as ready are checked."""
+        if update.kind is EndpointListKind.FAILED:
             return
-        if self._others_at is None:
-            self._others_at = now
-        if news.kind is not EndpointListKind.CHANGES:
-            named = {entry.server_id for entry in news.endpoints}
-            for server in [s for s in self._servers if s not in named]:
-                self._drop(server)
-        for entry in news.endpoints:
-            if entry.state is not ServerState.READY:
-                self._drop(entry.server_id)
-            elif entry.server_id not in self._servers:
-                mark = crc32(entry.server_id.encode()) >> 16
-                rank = self._ranks[mark % PARTS]
-                due = now + (SILENT_US + rank * RANK_US if rank else 0)
-                self._servers[entry.server_id] = _Seen(mark, rank, due)
-                self._marks.setdefault(mark, []).append(entry.server_id)
-        self._plan()
-
-    def _rank_parts(self) -> list[int]:
-        """Return this proxy's place in the order of each part: how many that are present come before it."""
-        count, ranks = self._settings.proxy_count, []
-        for part in range(PARTS):
-            first = part * count // PARTS
-            before = (self._settings.proxy_index - first) % count
-            ranks.append(sum((proxy - first) % count < before for proxy in self._present))
-        return ranks
+        if self._last_contact_us is None:
+            self._last_contact_us = now_us
+        if update.kind is not EndpointListKind.CHANGES:
+            listed = {endpoint.server_id for endpoint in update.endpoints}
+            for server_id in [known for known in self._servers if known not in listed]:
+                self._remove(server_id)
+        for endpoint in update.endpoints:
+            if endpoint.state is not ServerState.READY:
+                self._remove(endpoint.server_id)
+            elif endpoint.server_id not in self._servers:
+                self._add(now_us, endpoint.server_id)
+        self._schedule()
 
-    def on_present(self, now: int, proxies: frozenset[int]) -> None:
-        """Go by these proxies: whoever follows one that is gone moves up, and is due as its place is."""
-        if proxies == self._present:
+    def update_live_peers(self, now_us: int, proxies: frozenset[int]) -> None:
+        """Go by these live proxies: whoever follows one that is gone moves up in the order."""
+        if proxies == self._live_peers:
             return
-        self._present = proxies
-        self._ranks = self._rank_parts()
-        for seen in self._servers.values():
-            rank = self._ranks[seen.mark % PARTS]
-            if rank < seen.rank:
-                due = max(self._heard_at[seen.mark % PARTS] + SILENT_US, now) + rank * RANK_US
-                seen.due = min(seen.due, due)
-            seen.rank = rank
-        self._plan()
-
-    def _drop(self, server: str) -> None:
-        seen = self._servers.pop(server, None)
-        if seen is not None:
-            self._marks[seen.mark].remove(server)
-            if not self._marks[seen.mark]:
-                del self._marks[seen.mark]
-
-    def on_look(self, now: int, result: HealthCheckCompleted) -> None:
-        """Take what an own look has found; ``turn`` tells the others soon if it is news to them."""
-        seen = self._servers.get(result.server_id)
-        if seen is None:
-            return
-        seen.looking = False
-        if len(self._marks[seen.mark]) > 1:
-            return  # the others could not tell which is meant
-        if result.result is AttemptResult.OK:
-            report = result.report or LoadReport()
-            ratio = report.utilization if report.load_ratio is None else report.load_ratio
-            if ratio is None:
-                return
-            news = min(max(round(ratio / STEP), 0), MOST)
-            again = not seen.failed and abs(news * STEP - seen.told) < CHANGE
-        elif result.result in (AttemptResult.NOT_SENT, AttemptResult.CANCELLED):
+        self._live_peers = proxies
+        self._ranks = self._rank_partitions()
+        for server in self._servers.values():
+            rank = self._ranks[server.partition]
+            if rank < server.rank:
+                takeover_us = self._partition_reported_us[server.partition] + TAKEOVER_TIMEOUT_US
+                due_us = max(takeover_us, now_us) + rank * TAKEOVER_STEP_US
+                server.check_due_us = min(server.check_due_us, due_us)
+            server.rank = rank
+        self._schedule()
+
+    def record_result(self, now_us: int, check: HealthCheckCompleted) -> None:
+        """Take the result of an own check; ``run_due`` reports it soon if that is due."""
+        server = self._servers.get(check.server_id)
+        if server is None:
             return
-        else:
-            # The others leave it out for 1 to 3 s, and would all meet it again before they were told again.
-            news, again = FAILED, seen.failed and now < seen.told_at + BEAT_US
-        part = seen.mark % PARTS
-        if again and now < seen.told_at + QUIET_US and now < self._heard_at[part] + BEAT_US:
+        server.is_checking = False
+        if len(self._servers_by_hash[server.server_hash]) > 1:
+            return  # peers could not tell which server is meant
+        level = _load_level(check)
+        if level is None or not self._is_report_due(now_us, server, level):
             return
-        self._heard_at[part] = now
-        seen.failed, seen.told_at = news == FAILED, now
-        if not seen.failed:
-            seen.told = news * STEP
-        if not self._news:
-            self._tell_at = now + GATHER_US
-        self._news[seen.mark] = news
-        self._plan()
-
-    def on_told(self, now: int, message: SharedLoadReports) -> list[HealthCheckCompleted]:
-        """Take what another proxy has found; what cannot be used is counted and passed over."""
+        self._partition_reported_us[server.partition] = now_us
+        server.reported_at_us = now_us
+        server.has_failed = level == FAILED_LEVEL
+        if not server.has_failed:
+            server.reported_ratio = level * LOAD_RATIO_STEP
+        if not self._pending_levels:
+            self._pending_due_us = now_us + BATCHING_DELAY_US
+        self._pending_levels[server.server_hash] = level
+        self._schedule()
+
+    def receive_reports(
+        self, now_us: int, message: SharedLoadReports
+    ) -> list[HealthCheckCompleted]:
+        """Return what a peer's checks have found, as results; invalid entries are counted."""
         if not message.entries:
-            self.strange += 1
+            self.invalid_entries += 1
             return []
-        found = []
-        for mark, news in message.entries:
-            servers = self._marks.get(mark, ())
-            if len(servers) != 1 or MOST < news < FAILED:
-                self.strange += 1  # not on the own list, perhaps not yet
-                continue
-            server = servers[0]
-            seen = self._servers[server]
-            seen.told_at, seen.failed = now, news == FAILED
-            self._heard_at[mark % PARTS] = now
-            if seen.failed:
-                found.append(HealthCheckCompleted(server, AttemptResult.RESET, 0))
+        results = []
+        for entry in message.entries:
+            result = self._receive_entry(now_us, entry)
+            if result is None:
+                self.invalid_entries += 1
             else:
-                seen.told = news * STEP
-                found.append(
-                    HealthCheckCompleted(
-                        server, AttemptResult.OK, 0, LoadReport(load_ratio=seen.told)
-                    )
-                )
-        if found:
-            self._hear(now)
-            self._plan()
+                results.append(result)
+        if results:
+            self._postpone_checks(now_us)
+            self._schedule()
         else:
-            self.on_message(now)
-        return found
-
-    def on_message(self, now: int) -> None:
-        """Take that another proxy was heard, whatever it said."""
-        if self._is_deaf(now):
-            self._hear(now)
-            self._plan()
-        self._others_at = now
-
-    def _hear(self, now: int) -> None:
-        """Put off the looks at what was told of; those put off as nobody was heard are due as ever."""
-        deaf = self._is_deaf(now)
-        self._others_at = now
-        for seen in self._servers.values():
-            heard_at = self._heard_at[seen.mark % PARTS]
-            if heard_at == now:
-                seen.due = max(seen.due, now + SILENT_US + seen.rank * RANK_US)
-            elif deaf:
-                seen.due = min(seen.due, max(heard_at + SILENT_US, now) + seen.rank * RANK_US)
-
-    def _is_deaf(self, now: int) -> bool:
-        return self._others_at is not None and now >= self._others_at + SILENT_US
-
-    def _deaf_due(self, now: int, rank: int) -> int:
-        """When a proxy of this rank steps in if it has heard nobody; 0 while it hears somebody."""
-        if rank <= DEAF_RANKS or self._others_at is None or not self._is_deaf(now):
-            return 0
-        late = DEAF_RANKS * RANK_US * DEAF_GROWTH ** min(rank - DEAF_RANKS, 30)
-        return self._others_at + SILENT_US + int(late)
+            self.record_contact(now_us)
+        return results
+
+    def record_contact(self, now_us: int) -> None:
+        """Take note that a peer was heard from, whatever it sent."""
+        if self._is_isolated(now_us):
+            self._postpone_checks(now_us)
+            self._schedule()
+        self._last_contact_us = now_us
 
-    def turn(self, now: int) -> list[Action]:
-        """Begin the looks that are due, and tell what the last ones have found."""
+    def run_due(self, now_us: int) -> list[Action]:
+        """Return the checks that are due and the reports of what the last ones have found."""
         actions: list[Action] = []
-        if self._news and self._tell_at <= now:
-            entries = [ServerLoad(mark, news) for mark, news in self._news.items()]
-            for first in range(0, len(entries), ENTRIES_MOST):
-                message = SharedLoadReports(tuple(entries[first : first + ENTRIES_MOST]))
-                actions.append(SendGossip(None, message))
-            self._news.clear()
-        for server, seen in self._servers.items():
-            if seen.due <= now:
-                deaf_due, rest = self._deaf_due(now, seen.rank), min(seen.rank, DEAF_RANKS)
-                seen.due = (
-                    deaf_due if deaf_due > now else now + LOOK_US * (1 + rest * self._is_deaf(now))
-                )
-                if deaf_due <= now and self.wants(server):
-                    actions.append(CheckHealth(server))
-        self._plan()
+        if self._pending_levels and self._pending_due_us <= now_us:
+            actions += self._take_pending_reports()
+        for server_id, server in self._servers.items():
+            if server.check_due_us <= now_us and self._begin_due_check(now_us, server_id, server):
+                actions.append(CheckHealth(server_id))
+        self._schedule()
         return actions
 
-    def _plan(self) -> None:
-        self.due = min((seen.due for seen in self._servers.values()), default=None)
-        if self._news and (self.due is None or self._tell_at < self.due):
-            self.due = self._tell_at
+    def _rank_partitions(self) -> list[int]:
+        """Return this proxy's place in the order of each partition, among the live proxies."""
+        count = self._settings.proxy_count
+        ranks = []
+        for partition in range(PARTITIONS):
+            first = partition * count // PARTITIONS
+            own_position = (self._settings.proxy_index - first) % count
+            ranks.append(sum((peer - first) % count < own_position for peer in self._live_peers))
+        return ranks
+
+    def _add(self, now_us: int, server_id: str) -> None:
+        server_hash = crc32(server_id.encode()) >> SERVER_HASH_SHIFT_BITS
+        partition = server_hash % PARTITIONS
+        rank = self._ranks[partition]
+        delay_us = TAKEOVER_TIMEOUT_US + rank * TAKEOVER_STEP_US if rank else 0
+        due_us = now_us + delay_us
+        self._servers[server_id] = _CheckedServer(server_hash, partition, rank, due_us)
+        self._servers_by_hash.setdefault(server_hash, []).append(server_id)
+
+    def _remove(self, server_id: str) -> None:
+        server = self._servers.pop(server_id, None)
+        if server is None:
+            return
+        sharing_hash = self._servers_by_hash[server.server_hash]
+        sharing_hash.remove(server_id)
+        if not sharing_hash:
+            del self._servers_by_hash[server.server_hash]
+
+    def _is_report_due(self, now_us: int, server: _CheckedServer, level: int) -> bool:
+        if level == FAILED_LEVEL:
+            # Peers eject it for 1 to 3 s, and would all try it again before the next report.
+            is_repeat = server.has_failed and now_us < server.reported_at_us + HEARTBEAT_INTERVAL_US
+        else:
+            change = abs(level * LOAD_RATIO_STEP - server.reported_ratio)
+            is_repeat = not server.has_failed and change < SIGNIFICANT_CHANGE_RATIO
+        if not is_repeat or now_us >= server.reported_at_us + REFRESH_INTERVAL_US:
+            return True
+        last_report_us = self._partition_reported_us[server.partition]
+        return now_us >= last_report_us + HEARTBEAT_INTERVAL_US
+
+    def _receive_entry(self, now_us: int, entry: ServerLoad) -> HealthCheckCompleted | None:
+        server_ids = self._servers_by_hash.get(entry.server_hash, ())
+        if len(server_ids) != 1 or MAX_LOAD_LEVEL < entry.level < FAILED_LEVEL:
+            return None  # not on the own list, perhaps not yet
+        server_id = server_ids[0]
+        server = self._servers[server_id]
+        server.reported_at_us = now_us
+        server.has_failed = entry.level == FAILED_LEVEL
+        self._partition_reported_us[server.partition] = now_us
+        if server.has_failed:
+            return HealthCheckCompleted(server_id, AttemptResult.RESET, 0)
+        server.reported_ratio = entry.level * LOAD_RATIO_STEP
+        report = LoadReport(load_ratio=server.reported_ratio)
+        return HealthCheckCompleted(server_id, AttemptResult.OK, 0, report)
+
+    def _postpone_checks(self, now_us: int) -> None:
+        """Postpone checks of what was just reported; those put off in isolation are due again."""
+        was_isolated = self._is_isolated(now_us)
+        self._last_contact_us = now_us
+        for server in self._servers.values():
+            reported_us = self._partition_reported_us[server.partition]
+            rank_delay_us = server.rank * TAKEOVER_STEP_US
+            if reported_us == now_us:
+                takeover_us = now_us + TAKEOVER_TIMEOUT_US + rank_delay_us
+                server.check_due_us = max(server.check_due_us, takeover_us)
+            elif was_isolated:
+                takeover_us = max(reported_us + TAKEOVER_TIMEOUT_US, now_us) + rank_delay_us
+                server.check_due_us = min(server.check_due_us, takeover_us)
+
+    def _is_isolated(self, now_us: int) -> bool:
+        last_contact_us = self._last_contact_us
+        return last_contact_us is not None and now_us >= last_contact_us + TAKEOVER_TIMEOUT_US
+
+    def _isolated_due_us(self, now_us: int, rank: int) -> int:
+        """Return when a proxy of this rank steps in while isolated; 0 if it need not wait."""
+        last_contact_us = self._last_contact_us
+        if rank <= ISOLATED_RANKS or last_contact_us is None or not self._is_isolated(now_us):
+            return 0
+        exponent = min(rank - ISOLATED_RANKS, MAX_ISOLATED_DELAY_EXPONENT)
+        delay_us = ISOLATED_RANKS * TAKEOVER_STEP_US * ISOLATED_DELAY_GROWTH**exponent
+        return last_contact_us + TAKEOVER_TIMEOUT_US + int(delay_us)
+
+    def _begin_due_check(self, now_us: int, server_id: str, server: _CheckedServer) -> bool:
+        isolated_due_us = self._isolated_due_us(now_us, server.rank)
+        if isolated_due_us > now_us:
+            server.check_due_us = isolated_due_us
+            return False
+        slowdown = min(server.rank, ISOLATED_RANKS) if self._is_isolated(now_us) else 0
+        server.check_due_us = now_us + CHECK_INTERVAL_US * (1 + slowdown)
+        return self.try_begin_check(server_id)
+
+    def _take_pending_reports(self) -> list[Action]:
+        entries = [ServerLoad(*item) for item in self._pending_levels.items()]
+        self._pending_levels.clear()
+        return [
+            SendGossip(
+                None, SharedLoadReports(tuple(entries[first : first + MAX_ENTRIES_PER_MESSAGE]))
+            )
+            for first in range(0, len(entries), MAX_ENTRIES_PER_MESSAGE)
+        ]
+
+    def _schedule(self) -> None:
+        self.due_us = min((server.check_due_us for server in self._servers.values()), default=None)
+        if self._pending_levels and (self.due_us is None or self._pending_due_us < self.due_us):
+            self.due_us = self._pending_due_us
+
+
+def _load_level(check: HealthCheckCompleted) -> int | None:
+    """Return the level to report for a check; None if it says nothing of the server."""
+    if check.result in (AttemptResult.NOT_SENT, AttemptResult.CANCELLED):
+        return None
+    if check.result is not AttemptResult.OK:
+        return FAILED_LEVEL
+    report = check.report or LoadReport()
+    ratio = report.utilization if report.load_ratio is None else report.load_ratio
+    if ratio is None:
+        return None
+    return min(max(round(ratio / LOAD_RATIO_STEP), 0), MAX_LOAD_LEVEL)
--- a/larchhaven/net/control/dispatcher.py
+++ b/larchhaven/net/control/dispatcher.py
@@ -13,7 +13,7 @@
 from functools import partial
 from typing import Any, Protocol
 
-from larchhaven.gossip.shared_health_checks import Lookout, is_shared
+from larchhaven.gossip.shared_health_checks import SharedHealthChecks, uses_shared_checks
 from larchhaven.memory.account import MemoryAccount
 from larchhaven.memory.item_costs import REQUEST_BYTES
 from larchhaven.memory.purposes import MemoryPurpose
@@ -207,7 +207,7 @@
         self._notices = notices
         self._settings = settings
         # In a large tier the lookout decides which proxy probes which instance.
-        self._lookout = Lookout(settings) if is_shared(settings) else None
+        self._lookout = SharedHealthChecks(settings) if uses_shared_checks(settings) else None
         self._look: TimerHandle | None = None
         self._balancer = Balancer(
             replace(settings, can_check_health=False) if self._lookout else settings, seed
@@ -265,7 +265,7 @@
     def present(self, proxies: frozenset[int]) -> None:
         """Go by these proxies of the tier: the others are known to be gone."""
         if self._lookout is not None:
-            self._lookout.on_present(self._loop.now_us, proxies)
+            self._lookout.update_live_peers(self._loop.now_us, proxies)
         self.queue(LivePeersChanged(proxies))
 
     def forget(self, host: str) -> None:
@@ -332,41 +332,43 @@
         if self._events:
             self._loop.skip_next_wait()  # some actions end at once; their events must not wait for a socket
 
-    def _share(self, lookout: Lookout, events: list[Event]) -> list[Event]:
+    def _share(self, lookout: SharedHealthChecks, events: list[Event]) -> list[Event]:
         """Have the lookout see what concerns it, and add what other proxies have found."""
         kept: list[Event] = []
         now = self._loop.now_us
         for event in events:
             if isinstance(event, GossipReceived) and isinstance(event.message, SharedLoadReports):
-                before = lookout.strange
-                kept += lookout.on_told(now, event.message)
-                self._figures.invalid_peer_messages += lookout.strange - before
+                before = lookout.invalid_entries
+                kept += lookout.receive_reports(now, event.message)
+                self._figures.invalid_peer_messages += lookout.invalid_entries - before
                 continue
             kept.append(event)
             if isinstance(event, GossipReceived):
                 if (
                     event.sender_index != self._settings.proxy_index
                 ):  # the other process of an upgrade proves nothing
-                    lookout.on_message(now)
+                    lookout.record_contact(now)
             elif isinstance(event, EndpointListUpdate):
-                lookout.on_list(now, event)
+                lookout.update_endpoints(now, event)
             elif isinstance(event, HealthCheckCompleted):
-                lookout.on_look(now, event)
-        if lookout.due is not None and (self._look is None or self._look.due_us != lookout.due):
+                lookout.record_result(now, event)
+        if lookout.due_us is not None and (
+            self._look is None or self._look.due_us != lookout.due_us
+        ):
             self._loop.cancel(self._look)
-            self._look = self._loop.call_later(lookout.due - now, self._begin_looks)
+            self._look = self._loop.call_later(lookout.due_us - now, self._begin_looks)
         return kept
 
     def _begin_looks(self) -> None:
         if self._lookout is not None:
-            for action in self._lookout.turn(self._loop.now_us):
+            for action in self._lookout.run_due(self._loop.now_us):
                 if isinstance(action, CheckHealth):
                     self._ask(action.server_id)
                 else:
                     self._handlers[type(action)](action)
-            if self._lookout.due is not None:
+            if self._lookout.due_us is not None:
                 self._look = self._loop.call_later(
-                    self._lookout.due - self._loop.now_us, self._begin_looks
+                    self._lookout.due_us - self._loop.now_us, self._begin_looks
                 )
 
     # Service clients
@@ -675,9 +677,9 @@
             command.session.move()
 
     def _do_probe(self, action: CheckHealth) -> None:
-        if self._lookout is None or self._lookout.wants(action.server_id):
+        if self._lookout is None or self._lookout.try_begin_check(action.server_id):
             self._ask(action.server_id)
-        elif not self._lookout.knows(action.server_id):
+        elif not self._lookout.is_ready(action.server_id):
             self.queue(HealthCheckCompleted(action.server_id, AttemptResult.NOT_SENT, 0))
 
     def _ask(self, host: str) -> None:
--- a/larchhaven/net/proxy.py
+++ b/larchhaven/net/proxy.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from larchhaven.gossip import codec as gossip_codec
-from larchhaven.gossip.shared_health_checks import is_shared
+from larchhaven.gossip.shared_health_checks import uses_shared_checks
 from larchhaven.memory import item_costs, plan
 from larchhaven.memory.account import MemoryAccount
 from larchhaven.memory.purposes import MemoryPurpose
@@ -153,7 +153,7 @@
                 self._count_strange,
             )
         self._handover = Handover(loop, notices, folder if shared else "", self, account)
-        self._members = MembersSwitch(loop, config, self._tell_member, is_shared(settings))
+        self._members = MembersSwitch(loop, config, self._tell_member, uses_shared_checks(settings))
 
         def begin(
             token: int, first_line: bytes, address: tuple[str, int], wait_us: int
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -15,7 +15,7 @@
 from larchhaven.gossip.codec import LOAD_REPORTS as REPORTS
 from larchhaven.gossip.codec import SERVER_LOAD as ENTRY
 from larchhaven.gossip.codec import decode, encode
-from larchhaven.gossip.shared_health_checks import Lookout, is_shared
+from larchhaven.gossip.shared_health_checks import SharedHealthChecks, uses_shared_checks
 from larchhaven.routing.actions import (
     Action,
     CheckHealth,
@@ -150,7 +150,7 @@
     """Lookouts that hear each other at once, and servers that answer at once."""
 
     def __init__(self, count: int, servers: Sequence[str]) -> None:
-        self.all = [Lookout(replace(_many(count), proxy_index=i)) for i in range(count)]
+        self.all = [SharedHealthChecks(replace(_many(count), proxy_index=i)) for i in range(count)]
         self.ratios = dict.fromkeys(servers, 0.5)
         self.dead: set[int] = set()
         self.deaf = False  # nobody hears anybody
@@ -158,22 +158,22 @@
         self.told = 0
         entries = tuple(Endpoint(s) for s in servers)
         for one in self.all:
-            one.on_list(START, EndpointListUpdate(EndpointListKind.COMPLETE, 1, entries))
+            one.update_endpoints(START, EndpointListUpdate(EndpointListKind.COMPLETE, 1, entries))
         self.heard: dict[int, list[HealthCheckCompleted]] = {i: [] for i in range(count)}
 
     def play(self, since: int, until: int) -> None:
         for now in range(since, until, 50_000):
             for i, one in enumerate(self.all):
                 if not self.deaf and now % 1_000_000 == 0:
-                    one.on_message(now)  # of other kinds, as every placement brings some
-                actions = one.turn(now) if i not in self.dead else []
+                    one.record_contact(now)  # of other kinds, as every placement brings some
+                actions = one.run_due(now) if i not in self.dead else []
                 for tell in of(SendGossip, actions):
                     self._tell(now, i, tell.message)
                 for probe in of(CheckHealth, actions):
                     self.probes[probe.server_id] += 1
                     ratio = self.ratios[probe.server_id]
                     result = AttemptResult.OK if ratio >= 0 else AttemptResult.TIMEOUT
-                    one.on_look(
+                    one.record_result(
                         now,
                         HealthCheckCompleted(
                             probe.server_id, result, 0, LoadReport(load_ratio=ratio)
@@ -186,7 +186,7 @@
         for i, other in enumerate(self.all):
             if i != teller and i not in self.dead and not self.deaf:
                 assert isinstance(message, SharedLoadReports)
-                self.heard[i] += other.on_told(now, message)
+                self.heard[i] += other.receive_reports(now, message)
 
 
 def test_looks_do_not_grow_with_the_tier_and_changes_reach_all() -> None:
@@ -249,32 +249,32 @@
 @given(st.binary(max_size=300))
 def test_strange_messages_are_counted_and_change_nothing(body: bytes) -> None:
     """Guards against malformed, foreign and forged messages: only listed servers are believed in."""
-    one = Lookout(_many())
-    one.on_list(START, fleet(3))
-    before = one.strange
-    found = one.on_told(START + 1, load_reports(body))
+    one = SharedHealthChecks(_many())
+    one.update_endpoints(START, fleet(3))
+    before = one.invalid_entries
+    found = one.receive_reports(START + 1, load_reports(body))
     entries = len(body) // ENTRY.size if len(body) % ENTRY.size == 0 else 0
-    assert len(found) + one.strange - before == max(entries, 1)
+    assert len(found) + one.invalid_entries - before == max(entries, 1)
     assert {news.server_id for news in found} <= {"s0", "s1", "s2"}
 
 
 def test_looks_are_shared_only_by_many_that_may_probe_and_talk() -> None:
     """Guards small tiers, and platforms that forbid talk: nothing may be sent there."""
-    assert is_shared(_many())
-    assert not is_shared(_many(4))
-    assert not is_shared(_many(can_gossip=False))
-    assert not is_shared(_many(can_check_health=False))
+    assert uses_shared_checks(_many())
+    assert not uses_shared_checks(_many(4))
+    assert not uses_shared_checks(_many(can_gossip=False))
+    assert not uses_shared_checks(_many(can_check_health=False))
 
 
 def test_what_has_left_the_list_is_neither_looked_at_nor_believed() -> None:
     """Guards the rule that only the own list names servers."""
-    one = Lookout(_many(12))
-    one.on_list(START, fleet(2))
+    one = SharedHealthChecks(_many(12))
+    one.update_endpoints(START, fleet(2))
     draining = Endpoint("s0", ServerState.DRAINING)
-    one.on_list(START + 1, EndpointListUpdate(EndpointListKind.CHANGES, 2, (draining,)))
-    assert {probe.server_id for probe in of(CheckHealth, one.turn(START + 60_000_000))} == {"s1"}
+    one.update_endpoints(START + 1, EndpointListUpdate(EndpointListKind.CHANGES, 2, (draining,)))
+    assert {probe.server_id for probe in of(CheckHealth, one.run_due(START + 60_000_000))} == {"s1"}
     mark = crc32(b"s0") >> 16
-    assert one.on_told(START + 2, load_reports(ENTRY.pack(mark, 10))) == []
+    assert one.receive_reports(START + 2, load_reports(ENTRY.pack(mark, 10))) == []
 
 
 def test_two_servers_of_one_mark_are_not_taken_for_each_other() -> None:
@@ -291,29 +291,31 @@
             twins = other, name
             break
     assert twins is not None
-    one = Lookout(_many(12))
+    one = SharedHealthChecks(_many(12))
     entries = tuple(Endpoint(server) for server in (*twins, "alone"))
-    one.on_list(START, EndpointListUpdate(EndpointListKind.COMPLETE, 1, entries))
+    one.update_endpoints(START, EndpointListUpdate(EndpointListKind.COMPLETE, 1, entries))
     mark, alone = crc32(twins[0].encode()) >> 16, crc32(b"alone") >> 16
     told = load_reports(ENTRY.pack(mark, 255) + ENTRY.pack(alone, 10))
-    assert [news.server_id for news in one.on_told(START + 1, told)] == ["alone"]
-    one.on_look(START + 2, HealthCheckCompleted(twins[0], AttemptResult.TIMEOUT, 0))
-    assert of(SendGossip, one.turn(START + 100_000)) == []
+    assert [news.server_id for news in one.receive_reports(START + 1, told)] == ["alone"]
+    one.record_result(START + 2, HealthCheckCompleted(twins[0], AttemptResult.TIMEOUT, 0))
+    assert of(SendGossip, one.run_due(START + 100_000)) == []
     # Once one of them has left, the other is told of as any.
     gone = Endpoint(twins[1], ServerState.REMOVED)
-    one.on_list(START + 3, EndpointListUpdate(EndpointListKind.CHANGES, 2, (gone,)))
-    assert [news.server_id for news in one.on_told(START + 4, told)] == [twins[0], "alone"]
+    one.update_endpoints(START + 3, EndpointListUpdate(EndpointListKind.CHANGES, 2, (gone,)))
+    assert [news.server_id for news in one.receive_reports(START + 4, told)] == [twins[0], "alone"]
 
 
 def test_message_of_nothing_known_shows_all_the_same_that_others_are_heard() -> None:
     """Guards against a proxy with an old list that takes itself for cut off, and looks late."""
     part = (crc32(b"s0") >> 16) % 4
     for heard in (False, True):
-        one = Lookout(replace(_many(), proxy_index=(8 + 10 * part) % 40))  # the eighth to step in
-        one.on_list(START, fleet(1))
+        one = SharedHealthChecks(
+            replace(_many(), proxy_index=(8 + 10 * part) % 40)
+        )  # the eighth to step in
+        one.update_endpoints(START, fleet(1))
         if heard:
-            assert one.on_told(START + 2_000_000, load_reports(ENTRY.pack(1, 10))) == []
-        assert bool(of(CheckHealth, one.turn(START + 4_000_000))) is heard
+            assert one.receive_reports(START + 2_000_000, load_reports(ENTRY.pack(1, 10))) == []
+        assert bool(of(CheckHealth, one.run_due(START + 4_000_000))) is heard
 
 
 def test_most_killed_at_once_and_connections_go_on_where_they_stand() -> None:
@@ -426,20 +428,20 @@
 
 def test_server_that_goes_on_failing_is_told_of_before_the_others_try_it_again() -> None:
     """Guards the time a zone is away: left out for 1 to 3 s, told again after 5, it was tried in between."""
-    one = Lookout(_many(12))
+    one = SharedHealthChecks(_many(12))
     marks = {f"x{i}": crc32(f"x{i}".encode()) >> 16 for i in range(40)}
     part = marks["x0"] % 4
     well = next(name for name, mark in marks.items() if mark % 4 == part and name != "x0")
     entries = (Endpoint("x0"), Endpoint(well))
-    one.on_list(START, EndpointListUpdate(EndpointListKind.COMPLETE, 1, entries))
+    one.update_endpoints(START, EndpointListUpdate(EndpointListKind.COMPLETE, 1, entries))
     told = []
     for look in range(5):
         now = START + look * 1_000_000
-        one.on_told(
+        one.receive_reports(
             now, load_reports(ENTRY.pack(marks[well], 10))
         )  # of the part something is told all the time
-        one.on_look(now, HealthCheckCompleted("x0", AttemptResult.TIMEOUT, 500_000))
-        told.append(len(of(SendGossip, one.turn(now + 100_000))))
+        one.record_result(now, HealthCheckCompleted("x0", AttemptResult.TIMEOUT, 500_000))
+        told.append(len(of(SendGossip, one.run_due(now + 100_000))))
     assert told == [1, 0, 1, 0, 1]
 
 
@@ -513,7 +515,7 @@
         if knows:
             for i, lookout in enumerate(tier.all):
                 if i not in tier.dead:
-                    lookout.on_present(START + 3_000_000, frozenset(range(40)) - tier.dead)
+                    lookout.update_live_peers(START + 3_000_000, frozenset(range(40)) - tier.dead)
         now = START + 3_000_000
         while any(not tier.probes[s] for s in "abcde"):
             tier.play(now, now + 20_000)
