--- a/benchmarks/membership_costs.py
+++ b/benchmarks/membership_costs.py
@@ -17,6 +17,7 @@
 import statistics
 import tempfile
 import time
+from collections.abc import Iterable
 from pathlib import Path
 from typing import Any
 
@@ -76,7 +77,7 @@
             program.gate.keys = (proof(KEY),)
             self._programs[number] = program
 
-    def carry_out(self, number: int, actions: Any) -> None:
+    def carry_out(self, number: int, actions: Iterable[object]) -> None:
         """Send what a core wants to be sent."""
         for action in actions:
             if isinstance(action, Datagram):
--- a/example/toy_server.py
+++ b/example/toy_server.py
@@ -12,14 +12,23 @@
 import socket
 import sys
 import time
+from dataclasses import dataclass
 
 DISCOVERY = ("127.0.0.1", 8500)
 SERVERS = {"s0": ("127.0.0.1", 9000), "s1": ("127.0.0.1", 9001)}
 STATES = {"drain": "draining", "ready": "ready", "gone": "gone"}
 
+
+@dataclass
+class ListVersion:
+    """The version of the endpoint list, one more with each change."""
+
+    number: int = 1
+
+
 selector = selectors.DefaultSelector()
 health = dict.fromkeys(SERVERS, "ready")
-seq = 1
+list_version = ListVersion()
 watches: list[
     tuple[socket.socket, int, float]
 ] = []  # who waits, for news after what, and until when
@@ -73,7 +82,7 @@
 def on_call(sock: socket.socket, line: str) -> None:
     """Answer a call to discovery, at once or, for a watch without news, later."""
     call = re.match(r"GET /v1/endpoints(?:\?from=(\d+)&hold_ms=(\d+))? ", line)
-    if call is not None and call.group(1) is not None and int(call.group(1)) >= seq:
+    if call is not None and call.group(1) is not None and int(call.group(1)) >= list_version.number:
         watches.append((sock, int(call.group(1)), time.monotonic() + int(call.group(2)) / 1000))
     elif call is not None:
         tell(sock, whole=True)
@@ -92,17 +101,16 @@
         for name, (host, port) in SERVERS.items()
         if health[name] != "gone"
     ]
-    body = json.dumps({"seq": seq, "whole": whole, "hosts": hosts if whole else []})
+    body = json.dumps({"seq": list_version.number, "whole": whole, "hosts": hosts if whole else []})
     sock.sendall(f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode())
 
 
 def on_typed() -> None:
     """Take a word from the keyboard."""
-    global seq
     word, _, name = sys.stdin.readline().strip().partition(" ")
     if word in STATES and name in SERVERS:
         health[name] = STATES[word]
-        seq += 1
+        list_version.number += 1
         print(f"discovery: {name} is {health[name]}")
     elif not word:
         selector.unregister(sys.stdin)
@@ -133,10 +141,10 @@
             key.data()
         for watch in list(watches):
             sock, seen, until = watch
-            if seen < seq or time.monotonic() >= until:
+            if seen < list_version.number or time.monotonic() >= until:
                 watches.remove(watch)
                 if sock.fileno() >= 0:
-                    tell(sock, whole=seen < seq)
+                    tell(sock, whole=seen < list_version.number)
 
 
 if __name__ == "__main__":
--- a/larchhaven/cli/calls.py
+++ b/larchhaven/cli/calls.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import http.client
+from http import HTTPStatus
 
 TIMEOUT_S = 10.0
 
@@ -30,6 +31,6 @@
         raise CallError(f"{address}: {error}") from None
     finally:
         caller.close()
-    if answer.status != 200:
+    if answer.status != HTTPStatus.OK:
         raise CallError(f"{address} answers {answer.status}")
     return body
--- a/larchhaven/cli/check.py
+++ b/larchhaven/cli/check.py
@@ -13,6 +13,9 @@
 from larchhaven.operator.read import read_file
 from larchhaven.operator.settings import Complaint, Reading
 
+MIN_MEMORY_MB = 16
+MIN_SOCKETS = 64
+
 
 def run(config: Path | None, operator: Path | None, write: Path | None, as_json: bool) -> int:
     """Check what is named; return the exit code."""
@@ -52,9 +55,9 @@
         return [Complaint(line, column, str(error))], None
     limits = read.limits
     found = []
-    if limits.memory_mb < 16:
+    if limits.memory_mb < MIN_MEMORY_MB:
         found.append(Complaint(0, 0, f"limits.memory_mb is {limits.memory_mb:g}: write 32 or more"))
-    if limits.sockets < 64:
+    if limits.sockets < MIN_SOCKETS:
         found.append(Complaint(0, 0, f"limits.sockets is {limits.sockets}: write 256 or more"))
     return found, (int(limits.memory_mb * plan.BYTES_PER_MB), limits.sockets)
 
--- a/larchhaven/cli/lab.py
+++ b/larchhaven/cli/lab.py
@@ -17,6 +17,8 @@
 
 DAYS = Path(__file__).parent.parent / "lab" / "days"
 
+MAX_SHOWN_VIOLATIONS = 20
+
 
 def show_progress(site: Site) -> None:
     """Keep one line up to date for whoever watches; nothing if nobody does."""
@@ -88,10 +90,10 @@
 
 
 def _show_broken(broken: list[Broken]) -> None:
-    for one in broken[:20]:
+    for one in broken[:MAX_SHOWN_VIOLATIONS]:
         print(f"  {one.rule}: {one.text}")
-    if len(broken) > 20:
-        print(f"  and {len(broken) - 20} more")
+    if len(broken) > MAX_SHOWN_VIOLATIONS:
+        print(f"  and {len(broken) - MAX_SHOWN_VIOLATIONS} more")
 
 
 def try_day(name: str, as_json: bool) -> int:
--- a/larchhaven/cli/soak.py
+++ b/larchhaven/cli/soak.py
@@ -5,11 +5,15 @@
 import sys
 from collections.abc import Sequence
 from pathlib import Path
+from typing import TYPE_CHECKING
 
 import msgspec
 
 from larchhaven.cli.lab import show_progress
 
+if TYPE_CHECKING:
+    from larchhaven.soak.verdict import Verdict
+
 
 def run(
     minutes: float,
@@ -50,29 +54,33 @@
         samples.unlink(missing_ok=True)
         part = run_part(seconds, arrivals, memory_mb, sockets, seed, name, samples, show_progress)
         verdicts[label] = part.verdict
-        title = f"Soak, {label}: {seconds / 60:g} minutes at {memory_mb:g} MB, {arrivals:g} arrivals a second"
-        (out / f"{label}.html").write_text(
-            write(title, part.samples, part.warm_s, part.verdict), "utf-8"
+        title = (
+            f"Soak, {label}: {seconds / 60:g} minutes at {memory_mb:g} MB,"
+            f" {arrivals:g} arrivals a second"
         )
+        report = write(title, part.samples, part.warm_s, part.verdict)
+        (out / f"{label}.html").write_text(report, "utf-8")
         (out / f"{label}.json").write_bytes(
             msgspec.json.format(msgspec.json.encode(part.verdict.as_dict()))
         )
         if not as_json:
-            print(f"{label}: {'holds' if not part.verdict.complaints else 'does not hold'}")
-            for complaint in part.verdict.complaints:
-                print(f"  {complaint}")
-            for which, slope in (
-                ("resident", part.verdict.resident),
-                ("accounted", part.verdict.accounted),
-            ):
-                if slope is not None:
-                    share = 100 * slope.share_an_hour
-                    print(
-                        f"  {which}: {slope.mean / (1 << 20):.2f} MB, {share:+.2f}% an hour"
-                        f" ({slope.low / 1024:+.0f} to {slope.high / 1024:+.0f} KB)"
-                    )
+            _show_verdict(label, part.verdict)
     if as_json:
         print(msgspec.json.encode({label: v.as_dict() for label, v in verdicts.items()}).decode())
     else:
         print(f"reports and samples are in {out}")
     return 1 if any(verdict.complaints for verdict in verdicts.values()) else 0
+
+
+def _show_verdict(label: str, verdict: Verdict) -> None:
+    print(f"{label}: {'holds' if not verdict.complaints else 'does not hold'}")
+    for complaint in verdict.complaints:
+        print(f"  {complaint}")
+    for which, slope in (("resident", verdict.resident), ("accounted", verdict.accounted)):
+        if slope is None:
+            continue
+        share = 100 * slope.share_an_hour
+        print(
+            f"  {which}: {slope.mean / (1 << 20):.2f} MB, {share:+.2f}% an hour"
+            f" ({slope.low / 1024:+.0f} to {slope.high / 1024:+.0f} KB)"
+        )
--- a/larchhaven/lab/peers.py
+++ b/larchhaven/lab/peers.py
@@ -35,7 +35,7 @@
         if self._transport is not None:
             self._transport.close()
 
-    def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
+    def datagram_received(self, data: bytes, _addr: tuple[str, int]) -> None:
         """Take a datagram; one that is too long voids a run on the platform."""
         self.heard += 1
         if len(data) > LONGEST:
--- a/larchhaven/lab/proxy.py
+++ b/larchhaven/lab/proxy.py
@@ -142,7 +142,7 @@
     def descriptors(self) -> int:
         """Count the descriptors that the process holds."""
         try:
-            return len(os.listdir(f"/proc/{self.pid}/fd"))
+            return len(list(Path(f"/proc/{self.pid}/fd").iterdir()))
         except OSError:
             return 0
 
--- a/larchhaven/lab/servers.py
+++ b/larchhaven/lab/servers.py
@@ -10,6 +10,7 @@
 from larchhaven.lab.record import Recorder
 
 COLD_US = 7_100_000
+OPEN_WORDS = 4  # OPEN, identity, key, options
 _FLOOD_LINE = b"flood " + b"x" * 1_000 + b"\r\n"
 
 
@@ -122,7 +123,7 @@
             writer.write(b"PONG\r\n")
             return None
         words = line.split(" ")
-        if len(words) != 4 or words[0] != "OPEN":
+        if len(words) != OPEN_WORDS or words[0] != "OPEN":
             self._recorder.note("strange", server=self.name, text=line[:200])
             writer.write(b"SYNTAX\r\n")
             return None
--- a/larchhaven/lab/site.py
+++ b/larchhaven/lab/site.py
@@ -172,7 +172,7 @@
         self._next = 0
         self.terminals = Terminals(self._address, self.recorder, stream(scenario.seed, "terminals"))
         self.samples: list[Sample] = []
-        self.sample_taken: Callable[[Sample], None] = lambda sample: None
+        self.sample_taken: Callable[[Sample], None] = lambda _sample: None
         self._tasks: list[asyncio.Task[None]] = []
         self._begun = 0.0
         self._peer_ports: list[int] = []
@@ -268,6 +268,23 @@
         """Let one event happen now."""
         what = event.WhichOneof("what") or ""
         name = str(getattr(event, what)) if what else ""
+        match what:
+            case "drain" | "ready" | "gone" | "crash" | "hang" | "start":
+                await self._happen_to_server(what, name)
+            case "surge":
+                wishes = Wishes.of(self.scenario.terminals[0])
+                for _ in range(event.surge):
+                    self.terminals.arrive(wishes)
+            case "reconnect_all":
+                self.terminals.break_all()
+            case "discovery_down":
+                self.discovery.set_down(event.discovery_down)
+            case "operator":
+                for proxy in self.proxies:
+                    proxy.operator_file.write_text(event.operator)
+                    proxy.signal(signal.SIGHUP)
+
+    async def _happen_to_server(self, what: str, name: str) -> None:
         match what:
             case "drain":
                 self.discovery.change(name, "draining")
@@ -285,18 +302,6 @@
             case "start":
                 await self.servers[name].start(cold=True)
                 self.discovery.change(name, "ready")
-            case "surge":
-                wishes = Wishes.of(self.scenario.terminals[0])
-                for _ in range(event.surge):
-                    self.terminals.arrive(wishes)
-            case "reconnect_all":
-                self.terminals.break_all()
-            case "discovery_down":
-                self.discovery.set_down(event.discovery_down)
-            case "operator":
-                for proxy in self.proxies:
-                    proxy.operator_file.write_text(event.operator)
-                    proxy.signal(signal.SIGHUP)
 
     async def sample(self) -> None:
         """Look at each proxy once."""
@@ -441,10 +446,10 @@
                     f"terminals: there is no class {name!r}, known are {', '.join(sorted(classes))}"
                 )
         members = {m.name for m in scenario.members}
-        for member in {group.member for group in scenario.terminals} - members - {""}:
-            complaints.append(
-                f"terminals: there is no member {member!r}, known are {sorted(members)}"
-            )
+        complaints.extend(
+            f"terminals: there is no member {member!r}, known are {sorted(members)}"
+            for member in {group.member for group in scenario.terminals} - members - {""}
+        )
         if not names:
             complaints.append("servers: write at least one group of exam servers")
     return scenario, complaints
--- a/larchhaven/lab/tier.py
+++ b/larchhaven/lab/tier.py
@@ -27,6 +27,7 @@
 
 KEY = "a key for the lab only"
 LOOK_S = 0.1
+MAX_DATAGRAM_BYTES = 256
 STARTS_AT_ONCE = 8
 
 
@@ -126,7 +127,7 @@
         longest = (
             max(link.longest for link in self.network.links.values()) if self.network.links else 0
         )
-        return errors + ([f"a datagram of {longest} bytes"] if longest > 256 else [])
+        return errors + ([f"a datagram of {longest} bytes"] if longest > MAX_DATAGRAM_BYTES else [])
 
     def _note(self, what: str) -> None:
         self.steps.append(Step(round(time.monotonic() - self._begun, 3), what))
--- a/larchhaven/model/plot.py
+++ b/larchhaven/model/plot.py
@@ -11,6 +11,7 @@
 from larchhaven.model.sweep import Cell, Interval
 from larchhaven.plots import page, svg
 
+UNBOUNDED = 1e300  # an interval end above it means that the end is not known
 _LINES = ("-", "--", ":", "-.")
 
 
@@ -30,9 +31,10 @@
                 means = [value.mean for _, value in found]
                 # Of one play the interval is unknown, and no bar is drawn.
                 low = [
-                    min(max(v.mean - v.low, 0), v.mean) if v.high < 1e300 else 0 for _, v in found
+                    min(max(v.mean - v.low, 0), v.mean) if v.high < UNBOUNDED else 0
+                    for _, v in found
                 ]
-                high = [v.high - v.mean if v.high < 1e300 else 0 for _, v in found]
+                high = [v.high - v.mean if v.high < UNBOUNDED else 0 for _, v in found]
                 sizes, label = [size for size, _ in found], f"{detector}, {loss:g}% lost"
                 axes.errorbar(sizes, means, [low, high], None, line, label=label, lw=1, capsize=3)
     axes.set_xscale("log")
@@ -102,6 +104,6 @@
 def _text(value: Interval | None) -> str:
     if value is None:
         return ""
-    if value.high > 1e300:
+    if value.high > UNBOUNDED:
         return f"{value.mean:.3g}"
     return f"{value.mean:.3g} [{value.low:.3g}, {value.high:.3g}]"
--- a/larchhaven/model/programs.py
+++ b/larchhaven/model/programs.py
@@ -87,7 +87,7 @@
                 yield self._changed(now, number, State.DEAD)
         self._plan()
 
-    def receive(self, now: int, data: bytes, sender: int) -> Iterator[object]:
+    def receive(self, now: int, _data: bytes, sender: int) -> Iterator[object]:
         """Take a beat."""
         if sender not in self._heard or sender in self._dead:
             self._dead.discard(sender)
--- a/larchhaven/model/sweep.py
+++ b/larchhaven/model/sweep.py
@@ -81,7 +81,7 @@
 def run(
     experiments: Sequence[Experiment],
     jobs: int = 0,
-    played: Callable[[int], None] = lambda done: None,
+    played: Callable[[int], None] = lambda _done: None,
 ) -> list[Result]:
     """Play experiments on so many cores (0: all); the results are in the order of the experiments."""
     results: dict[int, Result] = {}
--- a/larchhaven/model/world.py
+++ b/larchhaven/model/world.py
@@ -77,7 +77,7 @@
         self.network = network
         self.processes: list[Process] = []
         self.events = 0
-        self.observe: Callable[[Process, object], None] = lambda process, thing: None
+        self.observe: Callable[[Process, object], None] = lambda _process, _thing: None
         self._queue: list[tuple[int, int, Callable[[], None]]] = []
         self._order = 0
         self._trace = blake2b(digest_size=16)
--- a/larchhaven/operator/text.py
+++ b/larchhaven/operator/text.py
@@ -8,8 +8,9 @@
 from __future__ import annotations
 
 import difflib
+import math
 from dataclasses import dataclass, field
-from typing import Any, TypeVar
+from typing import Any, TypeVar, cast
 
 from google.protobuf import text_format
 from google.protobuf.descriptor import Descriptor, EnumDescriptor, FieldDescriptor
@@ -54,7 +55,7 @@
         self.found = Found()
         self._tokens: Any = text_format.Tokenizer(text.splitlines())
 
-    def run(self, schema: Any) -> Found:
+    def run(self, schema: Descriptor) -> Found:
         """Walk the whole text."""
         try:
             self._message(schema, "", None, 0)
@@ -179,7 +180,7 @@
         value = sign * self._tokens.ConsumeFloat()
         if whole and not (value == value // 1 and least <= value <= most):
             self._add(at, f"{path!r} is {_kind(known)}, not {value:g}")
-        elif value != value or value in (float("inf"), float("-inf")):
+        elif not math.isfinite(value):
             self._add(at, f"{path!r} is a finite number")
         else:
             self._range(known, path, at, value, "")
@@ -248,7 +249,7 @@
     message = made()
     if len(text) > TEXT_MOST:
         return message, Found([Complaint(0, 0, f"the file is longer than {TEXT_MOST >> 10} KiB")])
-    found = _Walk(text).run(message.DESCRIPTOR)
+    found = _Walk(text).run(cast("Descriptor", message.DESCRIPTOR))
     if not found.complaints:
         try:
             text_format.Parse(text, message)
--- a/larchhaven/plots.py
+++ b/larchhaven/plots.py
@@ -5,10 +5,10 @@
 import html
 import io
 
-import matplotlib
+import matplotlib as mpl
 from matplotlib.figure import Figure
 
-matplotlib.rcParams["svg.hashsalt"] = "larchhaven"  # the same samples give the same file
+mpl.rcParams["svg.hashsalt"] = "larchhaven"  # the same samples give the same file
 
 
 def svg(figure: Figure) -> str:
--- a/larchhaven/soak/verdict.py
+++ b/larchhaven/soak/verdict.py
@@ -14,6 +14,8 @@
 # Samples are averaged over blocks of this length before a line is fitted: neighbours tell the same story.
 BLOCK_S = 30.0
 BLOCKS_LEAST = 8
+MIN_SAMPLES = 2
+FITTED_PARAMETERS = 2  # intercept and slope
 # A slope is flat if it is under this part of the mean an hour and its interval holds 0.
 FLAT_AN_HOUR = 0.01
 
@@ -46,7 +48,7 @@
     Blocks are averaged, and the interval is widened for what neighbouring blocks share (an AR(1) rest, by
     the effective number of blocks n(1-r)/(1+r)): without that a slow swing would look like a leak.
     """
-    if len(at) < 2:
+    if len(at) < MIN_SAMPLES:
         return None
     times, values = np.asarray(at), np.asarray(sizes, dtype=float)
     numbers = ((times - times[0]) // BLOCK_S).astype(int)
@@ -64,9 +66,12 @@
     effective = max(count * (1 - r) / (1 + r), 3.0)
     # linregress divides by count - 2; the effective number takes its place.
     error = (
-        float(line.stderr) * math.sqrt((count - 2) / (effective - 2)) if effective > 2 else math.inf
+        float(line.stderr)
+        * math.sqrt((count - FITTED_PARAMETERS) / (effective - FITTED_PARAMETERS))
+        if effective > FITTED_PARAMETERS
+        else math.inf
     )
-    half = float(stats.t.ppf((1 + CONFIDENCE) / 2, max(effective - 2, 1))) * error
+    half = float(stats.t.ppf((1 + CONFIDENCE) / 2, max(effective - FITTED_PARAMETERS, 1))) * error
     slope = float(line.slope)
     return Slope(float(y.mean()), slope, slope - half, slope + half, count, r)
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -22,4 +22,5 @@
     yield made
     alive = made.process.poll() is None or made.process.returncode == 0
     log = made.close()
-    assert alive and "Traceback" not in log, log
+    assert alive, log
+    assert "Traceback" not in log, log
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -17,7 +17,9 @@
 
 def run(*arguments: str, code: int = 0) -> subprocess.CompletedProcess[str]:
     command = [sys.executable, "-m", "larchhaven", *arguments]
-    done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=120)
+    done = subprocess.run(
+        command, cwd=ROOT, capture_output=True, text=True, timeout=120, check=False
+    )
     assert done.returncode == code, (done.stdout, done.stderr)
     assert "Traceback" not in done.stderr
     return done
@@ -146,7 +148,7 @@
     """Guards the size of a proxy: these libraries take 2 to 20 MB."""
     text = "import sys, larchhaven.__main__, larchhaven.net.proxy; print(*sys.modules)"
     loaded = subprocess.run(
-        [sys.executable, "-c", text], cwd=ROOT, capture_output=True, text=True
+        [sys.executable, "-c", text], cwd=ROOT, capture_output=True, text=True, check=False
     ).stdout
     heavy = {
         "typer",
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -20,8 +20,10 @@
 S = 1_000_000
 
 
-def r(at: int, kind: str, server: str = "", text: str = "", id: str = "a", wait: int = S) -> Record:
-    return Record(at, kind, id, server, text, wait)
+def r(
+    at: int, kind: str, server: str = "", text: str = "", identity: str = "a", wait: int = S
+) -> Record:
+    return Record(at, kind, identity, server, text, wait)
 
 
 UP = [
@@ -85,9 +87,9 @@
     checker.take(Record(0, "born", server="s0", wait=7 * S, amount=10))
     for at in range(0, 3 * S, 100 * MS):
         if at < count * 100 * MS:
-            checker.take(r(at, "sent", "s0", id=f"c{at}"))
+            checker.take(r(at, "sent", "s0", identity=f"c{at}"))
         else:
-            checker.take(r(at, "over", "s0", id="none"))
+            checker.take(r(at, "over", "s0", identity="none"))
     assert bool(checker.broken) is breaks
     assert all(one.rule == "cold" for one in checker.broken)
 
@@ -96,8 +98,8 @@
     checker = Checker()
     for number in range(20_000):
         at = number * 10 * MS
-        checker.take(r(at, "ask", id=f"c{number}"))
-        checker.take(r(at, "answer", id=f"c{number}"))
+        checker.take(r(at, "ask", identity=f"c{number}"))
+        checker.take(r(at, "answer", identity=f"c{number}"))
     assert len(checker._open) < 2_000
     assert len(checker.broken) == BROKEN_MOST
     assert checker.more == 20_000 - BROKEN_MOST
@@ -160,4 +162,5 @@
     served = {
         name: words.get("UP", 0) / sum(words.values()) for name, words in outcome.members.items()
     }
-    assert served["north"] > 0.7 and served["south"] < 0.6 * served["north"], outcome.members
+    assert served["north"] > 0.7, outcome.members
+    assert served["south"] < 0.6 * served["north"], outcome.members
