--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -2,8 +2,8 @@
 
     python -m benchmarks.relay [--rounds 15] [--json]
 
-Both ways run the real parts in this process: listener, broker, decision module, execution, relay, on loopback
-sockets. Without the account means one whose methods do nothing. Each round times both ways, the order drawn
+Both ways run the real parts in this process, on loopback sockets: listener, dispatcher, decisions, attempt and
+relay. Without the account means one whose methods do nothing. Each round times both ways, the order drawn
 anew; the ratio is of the medians of CPU time, which other load on the machine moves less than wall time.
 """
 
@@ -22,7 +22,8 @@
 from larchhaven.memory.purposes import MemoryPurpose
 from larchhaven.net.admin.metrics import Metrics
 from larchhaven.net.control.connection_limits import ConnectionLimits
-from larchhaven.net.control.dispatcher import Broker, Execution, Outside
+from larchhaven.net.control.dispatcher import Dispatcher
+from larchhaven.net.control.interfaces import Transport, UpstreamAttempt
 from larchhaven.net.core.buffer_pool import BufferPool
 from larchhaven.net.core.event_loop import EventLoop
 from larchhaven.net.core.rate_limited_log import RateLimitedLog
@@ -68,46 +69,61 @@
             has_load_updates=True,
         )
         notices = RateLimitedLog(loop)
-        self.broker = broker = Broker(
+        self.dispatcher = dispatcher = Dispatcher(
             loop, notices, settings, 1, Metrics.for_classes(["chat"]), account
         )
         self.server = socket.create_server(("127.0.0.1", 0), backlog=64)
-        broker.outside = Outside(
-            instances=self,
-            begin=self.begin,
-            probe=lambda host, address: None,
-            close_idle=lambda host: None,
-            watch=lambda on: None,
-            fetch=lambda: None,
-            tell=lambda peer, data: None,
-            identity=lambda identity, on: None,
+        dispatcher.transport = Transport(
+            endpoints=self,
+            start_attempt=self.begin,
+            check_health=lambda host, address: None,
+            close_idle_connections=lambda host: None,
+            set_watch_enabled=lambda on: None,
+            poll_endpoints=lambda: None,
+            send_gossip=lambda peer, data: None,
+            announce_identity=lambda identity, on: None,
             is_open_elsewhere=lambda identity: False,
         )
         rooms = ConnectionLimits(loop, account, [1.0], 1_000)
         self.listener = Listener(
-            loop, pool, broker, notices, ("127.0.0.1", 0), {"chat": 0}, {}, 1_000, rooms
+            loop,
+            pool,
+            dispatcher.requests,
+            notices,
+            ("127.0.0.1", 0),
+            {"chat": 0},
+            {},
+            1_000,
+            rooms,
         )
         self.listener.open()
-        broker.queue(EndpointListUpdate(EndpointListKind.COMPLETE, 1, (Endpoint("s0"),)))
-        loop.on_iteration_end = broker.turn
+        dispatcher.queue_event(EndpointListUpdate(EndpointListKind.COMPLETE, 1, (Endpoint("s0"),)))
+        loop.on_iteration_end = dispatcher.dispatch_events
         self.number = 0
         self.client, self.instance = self.open()
 
-    def address(self, host: str) -> tuple[str, int]:
+    def find_address(self, server_id: str) -> tuple[str, int]:
         """Where the exam server is."""
         address: tuple[str, int] = self.server.getsockname()
         return address
 
-    def told_at(self, host: str) -> int | None:
+    def drain_notified_at_us(self, server_id: str) -> int | None:
         """It never drains."""
         return None
 
     def begin(
         self, token: int, payload: bytes, address: tuple[str, int], wait_us: int
-    ) -> Execution:
+    ) -> UpstreamAttempt:
         """Begin an execution."""
         return TextExecution(
-            self.loop, self.pool, self.broker, token, payload, address, 250_000, wait_us
+            self.loop,
+            self.pool,
+            self.dispatcher.requests,
+            token,
+            payload,
+            address,
+            250_000,
+            wait_us,
         )
 
     def turns(self, count: int) -> None:
--- a/larchhaven/net/configuration.py
+++ b/larchhaven/net/configuration.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from larchhaven.net.control.endpoint_watch import HostList, read_address
+from larchhaven.net.control.endpoint_watch import EndpointListMessage, read_address
 from larchhaven.routing.settings import RoutingSettings
 from larchhaven.simulator import codec as wire
 
@@ -39,7 +39,7 @@
     peer_listen: str | None = None
     peers: list[str] = msgspec.field(default_factory=list)
     peers_all: str | None = None
-    known: HostList | None = None
+    known: EndpointListMessage | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,7 +56,7 @@
     peer_listen: tuple[str, int] | None
     peers: tuple[tuple[str, int], ...]
     peers_all: tuple[str, int] | None
-    known: HostList
+    known: EndpointListMessage
     settings: RoutingSettings
     classes: dict[str, int]
     tenants: dict[str, int]
@@ -126,7 +126,7 @@
         peer_listen=_address(file.peer_listen, "peer_listen") if file.peer_listen else None,
         peers=tuple(_address(peer, "peers") for peer in file.peers),
         peers_all=_address(file.peers_all, "peers_all") if file.peers_all else None,
-        known=file.known or HostList(seq=0, hosts=[], whole=True),
+        known=file.known or EndpointListMessage(version=0, endpoints=[], is_complete=True),
         settings=settings,
         classes=_numbers_by_name(file.settings, "services"),
         # Clients that name no member must not be taken for one that has no name.
--- a/larchhaven/net/control/endpoint_watch.py
+++ b/larchhaven/net/control/endpoint_watch.py
@@ -32,7 +32,7 @@
 # An instance that is gone is remembered as such for this long; nothing sent to it can be under way then.
 FORGET_US = 60_000_000
 # So many hosts are remembered as listed once, at most.
-LISTED_MOST = 10_000
+MAX_REMEMBERED_SERVERS = 10_000
 
 _STATES = {
     "ready": ServerState.READY,
@@ -41,25 +41,25 @@
 }
 
 
-class HostEntry(msgspec.Struct):
+class EndpointEntry(msgspec.Struct):
     """One instance as discovery describes it."""
 
-    host: str
-    dial: str = ""
-    site: str = ""
-    kind: str = msgspec.field(name="class", default="")
-    block: int = 0
+    server_id: str = msgspec.field(name="host")
+    address: str = msgspec.field(name="dial", default="")
+    zone: str = msgspec.field(name="site", default="")
+    hardware_kind: str = msgspec.field(name="class", default="")
+    cell: int = msgspec.field(name="block", default=0)
     health: str = "ready"
-    share: float = 1.0
-    born_ms: float = 0
+    weight: float = msgspec.field(name="share", default=1.0)
+    started_at_ms: float = msgspec.field(name="born_ms", default=0)
 
 
-class HostList(msgspec.Struct):
+class EndpointListMessage(msgspec.Struct):
     """An answer of discovery."""
 
-    seq: int
-    hosts: list[HostEntry]
-    whole: bool = False
+    version: int = msgspec.field(name="seq")
+    endpoints: list[EndpointEntry] = msgspec.field(name="hosts")
+    is_complete: bool = msgspec.field(name="whole", default=False)
 
 
 def read_address(text: str) -> tuple[str, int] | None:
@@ -70,11 +70,11 @@
     return host, int(port)
 
 
-class Directory:
+class EndpointDirectory:
     """What discovery has told: the addresses, by host, and since when each instance is to be left alone."""
 
     def __init__(
-        self, zones: Sequence[str], kinds: Sequence[str], listed_most: int = LISTED_MOST
+        self, zones: Sequence[str], kinds: Sequence[str], listed_most: int = MAX_REMEMBERED_SERVERS
     ) -> None:
         self._listed_most = listed_most
         self._zones = {name: i for i, name in enumerate(zones)}
@@ -83,21 +83,21 @@
         self._told: dict[str, int] = {}
         self._listed: dict[str, None] = {}  # every host there ever was, the latest last
         self._offset = unix_offset_us()
-        self.forget: Callable[[str], None] = lambda host: None
+        self.on_server_removed: Callable[[str], None] = lambda host: None
 
-    def address(self, host: str) -> tuple[str, int] | None:
+    def find_address(self, server_id: str) -> tuple[str, int] | None:
         """Where the instance is reached from here."""
-        return self._addresses.get(host)
+        return self._addresses.get(server_id)
 
-    def told_at(self, host: str) -> int | None:
+    def drain_notified_at_us(self, server_id: str) -> int | None:
         """When it was first told that the instance drains or is gone; None while it is ready."""
-        return self._told.get(host)
+        return self._told.get(server_id)
 
-    def members(self) -> int:
+    def count_listed(self) -> int:
         """Count the instances on the list."""
         return len(self._addresses)
 
-    def listed(self) -> int:
+    def count_remembered(self) -> int:
         """Count the instances that are remembered as listed once."""
         return len(self._listed)
 
@@ -105,7 +105,9 @@
         """Tell whether the instance is on the list, or was."""
         return host in self._listed
 
-    def take(self, kind: EndpointListKind, told: HostList, now: int) -> EndpointListUpdate:
+    def apply_list(
+        self, kind: EndpointListKind, told: EndpointListMessage, now: int
+    ) -> EndpointListUpdate:
         """Take in a list and turn it into the decision module's event."""
         if kind is not EndpointListKind.CHANGES:
             old = [
@@ -115,45 +117,45 @@
             ]
             for host in old:
                 del self._told[host]
-            named = {entry.host for entry in told.hosts}
+            named = {entry.server_id for entry in told.endpoints}
             for host in [h for h in self._addresses if h not in named]:
                 self._leave(host, now, gone=True)
-        entries = tuple(self._entry(entry, now) for entry in told.hosts)
-        return EndpointListUpdate(kind, told.seq, entries)
+        entries = tuple(self._entry(entry, now) for entry in told.endpoints)
+        return EndpointListUpdate(kind, told.version, entries)
 
-    def _entry(self, entry: HostEntry, now: int) -> Endpoint:
+    def _entry(self, entry: EndpointEntry, now: int) -> Endpoint:
         # A state that is not known yet is none to send something new to.
         state = _STATES.get(entry.health, ServerState.DRAINING)
-        self._listed.pop(entry.host, None)
-        self._listed[entry.host] = None
+        self._listed.pop(entry.server_id, None)
+        self._listed[entry.server_id] = None
         if len(self._listed) > self._listed_most:
             del self._listed[next(iter(self._listed))]
-        address = read_address(entry.dial)
+        address = read_address(entry.address)
         if address is not None:
-            self._addresses[entry.host] = address
+            self._addresses[entry.server_id] = address
         if state is ServerState.READY:
-            self._told.pop(entry.host, None)
+            self._told.pop(entry.server_id, None)
         else:
-            self._leave(entry.host, now, gone=state is ServerState.REMOVED)
-        born = int(entry.born_ms * 1000)
+            self._leave(entry.server_id, now, gone=state is ServerState.REMOVED)
+        born = int(entry.started_at_ms * 1000)
         return Endpoint(
-            entry.host,
+            entry.server_id,
             state,
-            entry.share,
-            self._zones.get(entry.site, len(self._zones)),
-            entry.block,
-            self._kinds.get(entry.kind, len(self._kinds)),
+            entry.weight,
+            self._zones.get(entry.zone, len(self._zones)),
+            entry.cell,
+            self._kinds.get(entry.hardware_kind, len(self._kinds)),
             max(born - self._offset, 1) if born else 0,
         )
 
     def _leave(self, host: str, now: int, gone: bool) -> None:
         self._told.setdefault(host, now)
         if gone:
-            self.forget(host)
+            self.on_server_removed(host)
             self._addresses.pop(host, None)
 
 
-class Discovery:
+class EndpointWatch:
     """Calls discovery: a watch that is renewed at once, or a single fetch of the whole list."""
 
     def __init__(
@@ -163,7 +165,7 @@
         notices: RateLimitedLog,
         address: tuple[str, int],
         seq: int,
-        told: Callable[[HostList | None], None],
+        told: Callable[[EndpointListMessage | None], None],
     ) -> None:
         self._loop = loop
         self._pool = pool
@@ -180,7 +182,7 @@
         self._strange = False  # this address has not told a list yet: the version held is another's
         self._doubts = 0  # calls in a row that must not wait, as there may be news already
         self._unheard_at: int | None = None  # since when calls have failed, or a watch was silent
-        self.late_us = (
+        self.notification_delay_us = (
             0  # of the list being told: for so long, at most, it has counted as told already
         )
         self._calling = False
@@ -191,25 +193,25 @@
         self._limit: TimerHandle | None = None
         self._next: TimerHandle | None = None
 
-    def watch(self, on: bool) -> None:
+    def set_enabled(self, is_enabled: bool) -> None:
         """Begin, or go on, to ask for changes; or stop."""
-        self._watching = on
-        if on and not self._calling:
+        self._watching = is_enabled
+        if is_enabled and not self._calling:
             self._call()
 
-    def begin(self) -> None:
+    def start_with_poll(self) -> None:
         """Ask at once what there is, and watch from then on: all of it counts as told from the start."""
         self._doubts = 1
-        self.watch(True)
+        self.set_enabled(True)
 
-    def fetch(self) -> None:
+    def poll_complete_list(self) -> None:
         """Ask for the whole list once; a watch under way is left for it and renewed after."""
         self._whole = True
         if self._calling:
             self._hang_up()
         self._call()
 
-    def follow(self, address: tuple[str, int]) -> None:
+    def change_address(self, address: tuple[str, int]) -> None:
         """Ask at another address from now on.
 
         Versions count for one address only: a watch from the old one's would keep the new one mute until it
@@ -287,12 +289,12 @@
             self._fail(f"status {status}")
             return
         try:
-            told = msgspec.json.decode(self._body, type=HostList)
+            told = msgspec.json.decode(self._body, type=EndpointListMessage)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             self._fail(str(error))
             return
         self._drop_body()
-        told.whole = told.whole or self._whole
+        told.is_complete = told.is_complete or self._whole
         if (wrong := self._unusable(told)) is not None:
             # Ask for all of it next: changes to a list that is not the one held would make it worse.
             self._strange = True
@@ -301,8 +303,10 @@
         self._loop.cancel(self._limit)
         self._calling = self._whole = self._strange = False
         self._doubts = 0
-        self._seq = told.seq
-        self.late_us = 0 if self._unheard_at is None else self._loop.now_us - self._unheard_at
+        self._seq = told.version
+        self.notification_delay_us = (
+            0 if self._unheard_at is None else self._loop.now_us - self._unheard_at
+        )
         self._unheard_at = None
         if not self._keep:
             self._hang_up()
@@ -314,18 +318,20 @@
             else:
                 self._call()
 
-    def _unusable(self, told: HostList) -> str | None:
+    def _unusable(self, told: EndpointListMessage) -> str | None:
         """Say why the list held is better than this one, if it is.
 
         A list without hosts would end all service, and one that has a host twice is right in one place at
         most. Changes may name a host twice, as one follows the other.
         """
-        if told.whole and not told.hosts:
+        if told.is_complete and not told.endpoints:
             return "the list is empty"
-        if told.whole and len({entry.host for entry in told.hosts}) < len(told.hosts):
+        if told.is_complete and len({entry.server_id for entry in told.endpoints}) < len(
+            told.endpoints
+        ):
             return "the list contradicts itself: a host is in it twice"
-        if not self._whole and told.seq < self._seq:
-            return f"version {told.seq} is older than version {self._seq}, which is held"
+        if not self._whole and told.version < self._seq:
+            return f"version {told.version} is older than version {self._seq}, which is held"
         return None
 
     # The parser's callbacks
--- a/larchhaven/net/control/peer_socket.py
+++ b/larchhaven/net/control/peer_socket.py
@@ -8,13 +8,13 @@
 from larchhaven.net.core.event_loop import READ, EventLoop
 from larchhaven.net.core.rate_limited_log import RateLimitedLog
 
-LONGEST = 256
-READS_A_TURN = 64
+MAX_DATAGRAM_BYTES = 256
+MAX_READS_PER_WAKEUP = 64
 
 Address = tuple[str, int]
 
 
-class Peers:
+class PeerSocket:
     """Sends to one proxy or to all, and tells from whom a message came."""
 
     def __init__(
@@ -41,13 +41,13 @@
         self._sock.bind(listen)
         loop.register(self._sock, READ, self._on_ready)
 
-    def tell(self, peer: int | None, data: bytes) -> None:
+    def send(self, peer_index: int | None, data: bytes) -> None:
         """Send a message to one proxy, or to every other one."""
-        if len(data) > LONGEST:
+        if len(data) > MAX_DATAGRAM_BYTES:
             self._notices.warning("message to peers left out", f"{len(data)} bytes")
             return
-        if peer is not None:
-            targets = self._peers[peer : peer + 1] if peer >= 0 else []
+        if peer_index is not None:
+            targets = self._peers[peer_index : peer_index + 1] if peer_index >= 0 else []
         elif self._everyone is not None:
             targets = [self._everyone]
         else:
@@ -59,15 +59,15 @@
                 self._notices.warning("message to peers lost", str(error))
 
     def _on_ready(self, _: int) -> None:
-        for _turn in range(READS_A_TURN):
+        for _turn in range(MAX_READS_PER_WAKEUP):
             try:
-                data, sender = self._sock.recvfrom(LONGEST + 1)
+                data, sender = self._sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 return
             except OSError:
                 continue  # an earlier datagram was refused at its target
             number = self._numbers.get(sender)
-            if number is None or len(data) > LONGEST:
+            if number is None or len(data) > MAX_DATAGRAM_BYTES:
                 self._strange()
                 self._notices.warning("strange datagram", f"{len(data)} bytes from {sender[0]}")
             else:
--- a/larchhaven/net/graceful_shutdown.py
+++ b/larchhaven/net/graceful_shutdown.py
@@ -9,7 +9,7 @@
 import enum
 from dataclasses import dataclass
 
-from larchhaven.net.control.dispatcher import Broker
+from larchhaven.net.control.dispatcher import Dispatcher
 from larchhaven.net.core.buffer_pool import BufferPool
 from larchhaven.net.core.event_loop import EventLoop
 from larchhaven.net.core.stream import LINGER_US
@@ -72,14 +72,14 @@
     def __init__(
         self,
         loop: EventLoop,
-        broker: Broker,
+        dispatcher: Dispatcher,
         listener: Listener,
         pool: BufferPool,
         settings: RoutingSettings,
         shared: bool,
     ) -> None:
         self._loop = loop
-        self._broker = broker
+        self._dispatcher = dispatcher
         self._listener = listener
         self._pool = pool
         self._settings = settings
@@ -90,7 +90,7 @@
         """Begin; connections that have to move begin to after this time."""
         self.phase = Phase.LAME_DUCK
         loop, until = self._loop, limits(self._settings, self._shared)
-        self._broker.answer_by(loop.now_us + until.answer_us)
+        self._dispatcher.requests.set_answer_deadline(loop.now_us + until.answer_us)
         if self._shared:
             self._listener.stop()  # whoever comes now waits in the socket for the process that holds it next
         if until.end_us is not None:
@@ -108,9 +108,9 @@
         self._listener.empty_queue()
         self._listener.stop()
         self._part()
-        self._broker.answer_by(self._loop.now_us)
+        self._dispatcher.requests.set_answer_deadline(self._loop.now_us)
         if not self._settings.pass_through:
-            self._broker.move_all()
+            self._dispatcher.requests.migrate_all_connections()
         self.phase = Phase.OVER
         self._loop.call_later(LINGER_US, self._loop.stop)
         self._loop.call_later(
@@ -120,7 +120,7 @@
     def _move(self, within_us: int) -> None:
         """Have moved what is still here, unless packets pass through: others take it over then."""
         if not self._settings.pass_through:
-            self._broker.queue(ProxyDraining(within_us))
+            self._dispatcher.queue_event(ProxyDraining(within_us))
 
     def _close(self) -> None:
         """Close the listener once nobody waits in its queue: they would be reset with what they sent."""
@@ -144,7 +144,7 @@
     def _leave_when_done(self) -> None:
         if self.phase is not Phase.PARTING:
             return
-        if self._broker.held() or self._pool.lingering:
+        if self._dispatcher.requests.count_requests() or self._pool.lingering:
             self._loop.call_later(LOOK_US, self._leave_when_done)
         else:
             self.phase = Phase.OVER
@@ -152,7 +152,9 @@
 
     def _leave_when_heard(self) -> None:
         # Where connections end here, one whose instance is in the middle of a line is moved after that line.
-        if self._pool.lingering or (self._broker.held() and not self._settings.pass_through):
+        if self._pool.lingering or (
+            self._dispatcher.requests.count_requests() and not self._settings.pass_through
+        ):
             self._loop.call_later(LOOK_US, self._leave_when_heard)
         else:
             self._loop.stop()
--- a/larchhaven/net/proxy.py
+++ b/larchhaven/net/proxy.py
@@ -29,10 +29,17 @@
 from larchhaven.net.admin.operator_file import OperatorFileReader
 from larchhaven.net.configuration import Config, ConfigError, load
 from larchhaven.net.control.connection_limits import ConnectionLimits
-from larchhaven.net.control.dispatcher import Broker, Outside, Wants
-from larchhaven.net.control.endpoint_watch import LISTED_MOST, Directory, Discovery, HostList
+from larchhaven.net.control.dispatcher import Dispatcher
+from larchhaven.net.control.endpoint_watch import (
+    MAX_REMEMBERED_SERVERS,
+    EndpointDirectory,
+    EndpointListMessage,
+    EndpointWatch,
+)
+from larchhaven.net.control.interfaces import Transport
 from larchhaven.net.control.membership_switch import MembersSwitch
-from larchhaven.net.control.peer_socket import Peers
+from larchhaven.net.control.peer_socket import PeerSocket
+from larchhaven.net.control.request import RequestSpec
 from larchhaven.net.core import log_setup as logs
 from larchhaven.net.core.buffer_pool import BufferPool
 from larchhaven.net.core.event_loop import EventLoop
@@ -121,11 +128,16 @@
             ),
         )
         self._figures = Metrics.for_classes(list(config.classes))
-        self._broker = broker = Broker(loop, notices, settings, config.seed, self._figures, account)
-        self._directory = Directory(
+        self._dispatcher = dispatcher = Dispatcher(
+            loop, notices, settings, config.seed, self._figures, account
+        )
+        self._directory = EndpointDirectory(
             config.zones,
             config.kinds,
-            min(LISTED_MOST, int(LISTED_SHARE * tables) // item_costs.REMEMBERED_SERVER_BYTES),
+            min(
+                MAX_REMEMBERED_SERVERS,
+                int(LISTED_SHARE * tables) // item_costs.REMEMBERED_SERVER_BYTES,
+            ),
         )
         shared = config.socket_fd is not None  # with another process, during an upgrade
         self._suspensions = Suspensions(folder, self._on_suspended, self._accounting.can_write_file)
@@ -136,13 +148,13 @@
             settings.connect_timeout_us,
             self._on_probe,
         )
-        self._directory.forget = self._forget
-        self._discovery = Discovery(
-            loop, aside, notices, config.discovery, config.known.seq, self._on_list
+        self._directory.on_server_removed = self._forget
+        self._endpoint_watch = EndpointWatch(
+            loop, aside, notices, config.discovery, config.known.version, self._on_list
         )
-        self._peers: Peers | None = None
+        self._peers: PeerSocket | None = None
         if config.peer_listen is not None:
-            self._peers = Peers(
+            self._peers = PeerSocket(
                 loop,
                 notices,
                 config.peer_listen,
@@ -159,19 +171,26 @@
             token: int, first_line: bytes, address: tuple[str, int], wait_us: int
         ) -> TextExecution:
             return TextExecution(
-                loop, pool, broker, token, first_line, address, settings.connect_timeout_us, wait_us
+                loop,
+                pool,
+                dispatcher.requests,
+                token,
+                first_line,
+                address,
+                settings.connect_timeout_us,
+                wait_us,
             )
 
-        self._members.present = broker.present
-        broker.outside = Outside(
-            instances=self._directory,
-            begin=begin,
-            probe=self._probes.probe,
-            close_idle=self._probes.drop,
-            watch=self._discovery.watch,
-            fetch=self._discovery.fetch,
-            tell=self._tell,
-            identity=self._handover.identity,
+        self._members.present = dispatcher.set_live_peers
+        dispatcher.transport = Transport(
+            endpoints=self._directory,
+            start_attempt=begin,
+            check_health=self._probes.probe,
+            close_idle_connections=self._probes.drop,
+            set_watch_enabled=self._endpoint_watch.set_enabled,
+            poll_endpoints=self._endpoint_watch.poll_complete_list,
+            send_gossip=self._tell,
+            announce_identity=self._handover.identity,
             is_open_elsewhere=self._handover.is_open_elsewhere,
         )
         descriptors = self._descriptors() - (DESCRIPTORS if config.mgmt is not None else 0)
@@ -183,7 +202,7 @@
         self._listener = Listener(
             loop,
             pool,
-            broker,
+            dispatcher.requests,
             notices,
             config.listen,
             config.classes,
@@ -201,45 +220,51 @@
         self._apply(own)
         loop.on_iteration_end = self._end_turn
         loop.on_process_resumed = self._on_woke
-        self._stopping = Stopping(loop, broker, self._listener, pool, settings, shared)
+        self._stopping = Stopping(loop, dispatcher, self._listener, pool, settings, shared)
 
     def run(self) -> None:
         """Serve until told to stop."""
-        known = self._directory.take(EndpointListKind.CACHED, self._config.known, self._loop.now_us)
-        self._broker.queue(known)
+        known = self._directory.apply_list(
+            EndpointListKind.CACHED, self._config.known, self._loop.now_us
+        )
+        self._dispatcher.queue_event(known)
         self._look_at_suspensions()
         if not self._config.settings.subscribes_to_endpoints:
             # The simulator's "automatic" sends news unasked; over HTTP nothing comes without a watch.
-            self._discovery.begin()
-            self._broker.hear_first()
+            self._endpoint_watch.start_with_poll()
+            self._dispatcher.wait_for_endpoint_list()
         if self._config.socket_fd is not None:
             self._handover.begin(self._open)
         else:
             self._open()
-        self._broker.turn()
+        self._dispatcher.dispatch_events()
         self._loop.run()
         _log.info("stopped")
 
     def _count_parts(self) -> None:
         """Say how what has no owner to charge it is counted."""
-        broker, directory, loop = self._broker, self._directory, self._loop
+        dispatcher, directory, loop = self._dispatcher, self._directory, self._loop
         self._accounting.sampled_sources = {
             (MemoryPurpose.TABLES, "first use"): lambda: (
-                item_costs.FIRST_REQUEST_BYTES if broker.arrived_at else 0
+                item_costs.FIRST_REQUEST_BYTES if dispatcher.requests.last_arrival_us else 0
             ),
             # Beside those that commands are charged with.
             (MemoryPurpose.TABLES, "deadlines"): lambda: (
                 item_costs.TIMER_BYTES
-                * max(loop.timer_count() - item_costs.TIMERS_PER_REQUEST * broker.held(), 0)
+                * max(
+                    loop.timer_count()
+                    - item_costs.TIMERS_PER_REQUEST * dispatcher.requests.count_requests(),
+                    0,
+                )
             ),
             (MemoryPurpose.TABLES, "servers"): lambda: (
-                directory.members() * item_costs.SERVER_BYTES
+                directory.count_listed() * item_costs.SERVER_BYTES
             ),
             (MemoryPurpose.TABLES, "hosts listed"): lambda: (
-                directory.listed() * item_costs.REMEMBERED_SERVER_BYTES
+                directory.count_remembered() * item_costs.REMEMBERED_SERVER_BYTES
             ),
             (MemoryPurpose.TABLES, "holders"): lambda: (
-                broker.holders() * item_costs.STICKY_ENTRY_BYTES
+                dispatcher.count_sticky_entries() * item_costs.STICKY_ENTRY_BYTES
             ),
             (MemoryPurpose.PEERS, "members"): self._members.used,
             (MemoryPurpose.LOG, "notices"): lambda: (
@@ -248,14 +273,14 @@
         }
 
     def _spare_tables(self, size: int) -> None:
-        self._broker.forget_holders(size // item_costs.STICKY_ENTRY_BYTES + 1)
-        held = self._broker.holders() * item_costs.STICKY_ENTRY_BYTES
+        self._dispatcher.evict_sticky_entries(size // item_costs.STICKY_ENTRY_BYTES + 1)
+        held = self._dispatcher.count_sticky_entries() * item_costs.STICKY_ENTRY_BYTES
         self._account.set_sampled_bytes(MemoryPurpose.TABLES, "holders", held)
 
     def _forget(self, host: str) -> None:
         """Forget all but the decisions about an instance that is gone; the decision module does by itself."""
         self._probes.drop(host)
-        self._broker.forget(host)
+        self._dispatcher.forget_server(host)
         self._reports.pop(host, None)
 
     def _open(self) -> None:
@@ -268,7 +293,7 @@
         _log.info("%s listens at %s:%d", self._config.name or "larchhaven", host, port)
 
     def _end_turn(self) -> None:
-        self._broker.turn()
+        self._dispatcher.dispatch_events()
         if self._stopping.phase is not Phase.SERVING and self._handover.has_younger:
             self._pass_on()
         if self._members.handed_on and not self._handover.has_younger:
@@ -279,7 +304,7 @@
         self._notices.warning(
             "asleep", f"for {late_us / 1e6:.1f} s; what came meanwhile is read before anything else"
         )
-        self._broker.woke()
+        self._dispatcher.on_process_resumed()
 
     def _descriptors(self) -> int:
         """Take what the configuration grants, as far as the system lets us."""
@@ -293,14 +318,16 @@
 
     # News for the decision module
 
-    def _on_list(self, told: HostList | None) -> None:
+    def _on_list(self, told: EndpointListMessage | None) -> None:
         if told is None:
-            self._broker.heard(EndpointListUpdate(EndpointListKind.FAILED))
+            self._dispatcher.receive_endpoint_list(EndpointListUpdate(EndpointListKind.FAILED))
             return
-        kind = EndpointListKind.COMPLETE if told.whole else EndpointListKind.CHANGES
+        kind = EndpointListKind.COMPLETE if told.is_complete else EndpointListKind.CHANGES
         # What comes late has counted as told before: the drain rule's time runs from then.
-        self._broker.heard(
-            self._directory.take(kind, told, self._loop.now_us - self._discovery.late_us)
+        self._dispatcher.receive_endpoint_list(
+            self._directory.apply_list(
+                kind, told, self._loop.now_us - self._endpoint_watch.notification_delay_us
+            )
         )
 
     def _on_probe(
@@ -308,14 +335,14 @@
     ) -> None:
         if report is not None:
             self._reports[host] = (self._loop.now_us, report)
-        self._broker.queue(HealthCheckCompleted(host, result, latency_us, report))
+        self._dispatcher.queue_event(HealthCheckCompleted(host, result, latency_us, report))
 
     def _on_peer(self, sender: int, data: bytes) -> None:
         if self._members.on_datagram(sender, data):
             return
         message = gossip_codec.decode(data)
         if is_peer_message(message):
-            self._broker.queue(GossipReceived(sender, message))
+            self._dispatcher.queue_event(GossipReceived(sender, message))
         else:
             self._count_strange()
 
@@ -326,12 +353,12 @@
         """Pass on a message to other proxies, and to the other process of an upgrade: it has our number."""
         data = gossip_codec.encode(message)
         if self._peers is not None and peer != self._config.settings.proxy_index:
-            self._peers.tell(peer, data)
+            self._peers.send(peer, data)
         self._handover.tell(data)
 
     def _tell_member(self, peer: int, data: bytes) -> None:
         if self._peers is not None:
-            self._peers.tell(peer, data)
+            self._peers.send(peer, data)
 
     # The other process of an upgrade
 
@@ -343,7 +370,7 @@
         reports = [
             (host, at, ReportRecord.of(report)) for host, (at, report) in self._reports.items()
         ]
-        identities = [mark(identity) for identity in self._broker.identities()]
+        identities = [mark(identity) for identity in self._dispatcher.requests.list_identities()]
         return Known(VERSION, reports, identities, self._members.hand_on())
 
     def on_known(self, known: Known) -> None:
@@ -351,67 +378,69 @@
         self._members.take_over(known.incarnation)
         for host, at, report in known.reports:
             age = max(self._loop.now_us - at, 0)
-            self._broker.queue(HealthCheckCompleted(host, AttemptResult.OK, age, report.report()))
+            self._dispatcher.queue_event(
+                HealthCheckCompleted(host, AttemptResult.OK, age, report.report())
+            )
 
     def on_heard(self, data: bytes) -> None:
         """Take a message of the other process's decision module."""
         own = self._config.settings.proxy_index
-        self._broker.queue(GossipReceived(own, gossip_codec.decode(data)))
+        self._dispatcher.queue_event(GossipReceived(own, gossip_codec.decode(data)))
 
     def on_standing(self, standing: Standing, descriptors: Sequence[int]) -> None:
         """Go on with a connection that the older process held."""
-        loop, pool, broker = self._loop, self._pool, self._broker
+        loop, pool, dispatcher = self._loop, self._pool, self._dispatcher
         client, instance = (
             Stream(loop, pool, socket.socket(fileno=number)) for number in descriptors
         )
-        wants = Wants(
+        spec = RequestSpec(
             payload=b"",
-            cls=min(max(standing.cls, 0), len(self._config.settings.classes) - 1),
-            wait_us=0,
+            class_index=min(max(standing.cls, 0), len(self._config.settings.classes) - 1),
+            budget_us=0,
             identity=standing.identity,
-            key=standing.key,
-            group=standing.group,
+            affinity_key=standing.key,
+            affinity_group=standing.group,
             load=standing.load,
-            tenant=standing.tenant,
+            tenant_index=standing.tenant,
         )
-        broker.adopt(
-            wants,
+        dispatcher.requests.adopt_connection(
+            spec,
             standing.host,
-            lambda token: Relay(loop, client, instance, broker, token, standing.relay),
+            lambda token: Relay(loop, client, instance, dispatcher.requests, token, standing.relay),
         )
 
     def _pass_on(self) -> None:
         """Pass on what stands, as far as it goes; what comes up meanwhile follows."""
-        for token, command in self._broker.sessions():
-            relay, wants = command.session, command.wants
+        for request_id, request in self._dispatcher.requests.list_connections():
+            relay, spec = request.connection, request.spec
             state = relay.state() if isinstance(relay, Relay) else None
             if state is None or not isinstance(relay, Relay):
                 continue  # it is about to end
             standing = Standing(
-                identity=wants.identity,
-                cls=wants.cls,
-                host=command.host,
+                identity=spec.identity,
+                cls=spec.class_index,
+                host=request.server_id,
                 relay=state,
-                key=wants.key,
-                group=wants.group,
-                load=command.load,
-                tenant=wants.tenant,
+                key=spec.affinity_key,
+                group=spec.affinity_group,
+                load=request.load,
+                tenant=spec.tenant_index,
             )
             if not self._handover.pass_on(standing, relay.descriptors()):
                 self._loop.call_later(PASS_AGAIN_US, lambda: None)  # the next turn tries again
                 return
-            self._broker.release(token)
+            self._dispatcher.requests.release_connection(request_id)
 
     # What operators ask
 
     def is_ready(self) -> bool:
         """Tell whether this process takes clients: it accepts and knows instances to send them to."""
-        return self._listener.accepting and self._directory.members() > 0
+        return self._listener.accepting and self._directory.count_listed() > 0
 
     def figures(self) -> bytes:
         """Return the figures as JSON."""
-        self._figures.listed_servers = self._directory.members()
-        self._figures.unavailable_servers = self._broker.avoided()
+        self._figures.listed_servers = self._directory.count_listed()
+        self._figures.unavailable_servers = self._dispatcher.count_unavailable_servers()
         return self._figures.encode()
 
     def memory(self) -> bytes:
@@ -439,7 +468,7 @@
 
     def _on_suspended(self, host: str, on: bool) -> None:
         _log.info("exam server %r is %s", host, "taken out" if on else "back")
-        self._broker.suspend(host, on)
+        self._dispatcher.set_administrative_ejection(host, on)
 
     def _look_at_suspensions(self) -> None:
         """Heed what the other process of an upgrade was told."""
@@ -454,7 +483,7 @@
         self._listener.away = on
         _log.info("told to drain" if on else "told to work again")
         if not self._config.settings.pass_through and self._stopping.phase is Phase.SERVING:
-            self._broker.queue(ProxyDraining(DRAIN_US if on else 0))
+            self._dispatcher.queue_event(ProxyDraining(DRAIN_US if on else 0))
 
     # A new configuration
 
@@ -481,7 +510,7 @@
         _log.info("configuration reloaded: discovery is at %s:%d%s", host, port, more)
         if config.discovery != self._config.discovery:
             self._config = replace(self._config, discovery=config.discovery)
-            self._discovery.follow(config.discovery)
+            self._endpoint_watch.change_address(config.discovery)
 
     def _on_operator(self, reading: Reading) -> None:
         """Take the operators' file as a whole, or nothing of it."""
--- a/larchhaven/net/text_protocol/codec.py
+++ b/larchhaven/net/text_protocol/codec.py
@@ -5,7 +5,7 @@
 import math
 from collections.abc import Mapping
 
-from larchhaven.net.control.dispatcher import Wants
+from larchhaven.net.control.request import RequestSpec
 from larchhaven.net.core.buffer_pool import Buffer
 from larchhaven.routing.events import AttemptResult, LoadReport
 
@@ -71,7 +71,9 @@
     return fields.get(name, b"0") not in (b"0", b"")
 
 
-def read_opening(line: bytes, classes: Mapping[str, int], tenants: Mapping[str, int]) -> Wants:
+def read_opening(
+    line: bytes, classes: Mapping[str, int], tenants: Mapping[str, int]
+) -> RequestSpec:
     """Read ``OPEN id key c=..,t=..,d=..``; raise BadLineError for anything else.
 
     Where the settings name tenants, a command of none of them is of no tenant: it is served, and counts as
@@ -94,19 +96,19 @@
     wait_ms = _whole(fields[b"d"], 10, "d") if b"d" in fields else None
     load = fields.get(b"h")
     at = fields.get(b"at")
-    return Wants(
+    return RequestSpec(
         payload=line,
         identity=parts[1],
-        key=_whole(parts[2], 16, "the key"),
-        cls=cls,
-        wait_us=None if wait_ms is None else min(wait_ms, WAIT_MOST_MS) * 1000,
-        group=_whole(fields[b"g"], 16, "g") if b"g" in fields else None,
+        affinity_key=_whole(parts[2], 16, "the key"),
+        class_index=cls,
+        budget_us=None if wait_ms is None else min(wait_ms, WAIT_MOST_MS) * 1000,
+        affinity_group=_whole(fields[b"g"], 16, "g") if b"g" in fields else None,
         load=None if load is None else _share(load, "h") * 1e-6,
-        retry=_maybe_flag(fields, b"r"),
-        again=_maybe_flag(fields, b"again"),
-        midflow=_maybe_flag(fields, b"mid"),
-        at=at.decode("utf-8", "replace") if at else None,
-        tenant=tenants.get(fields.get(b"t", b"").decode("utf-8", "replace"), len(tenants)),
+        is_retry=_maybe_flag(fields, b"r"),
+        is_reconnect=_maybe_flag(fields, b"again"),
+        is_mid_flow=_maybe_flag(fields, b"mid"),
+        pinned_server_id=at.decode("utf-8", "replace") if at else None,
+        tenant_index=tenants.get(fields.get(b"t", b"").decode("utf-8", "replace"), len(tenants)),
     )
 
 
--- a/larchhaven/net/text_protocol/connection_relay.py
+++ b/larchhaven/net/text_protocol/connection_relay.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 from collections import deque
-from typing import Protocol
 
 import msgspec
 
+from larchhaven.net.control.interfaces import ConnectionObserver
 from larchhaven.net.core.event_loop import EventLoop, TimerHandle
 from larchhaven.net.core.stream import LINGER_US, Stream
 from larchhaven.net.text_protocol import codec as lines
@@ -29,25 +29,6 @@
 ASKED_MOST = 64
 
 
-class SessionOwner(Protocol):
-    """Whom a session tells of its life."""
-
-    def session_load(self, token: int, load: float) -> None:
-        """Take the connection's new load, in cores."""
-
-    def session_delay(self, token: int, delay_us: int) -> None:
-        """Take how long an answer took."""
-
-    def session_waits(self, token: int, age_us: int) -> None:
-        """Take how long a line has gone unanswered."""
-
-    def session_stalled(self, token: int, age_us: int) -> None:
-        """Take that a line has gone unanswered so long that the connection should be moved."""
-
-    def session_over(self, token: int, result: AttemptResult, report: LoadReport | None) -> None:
-        """Take how the connection ended."""
-
-
 class SideState(msgspec.Struct):
     """One side of a relay: bytes read and not passed on, bytes to be sent, and where its lines are."""
 
@@ -127,7 +108,7 @@
         "_moving",
         "_over",
         "_owner",
-        "_token",
+        "_request_id",
     )
 
     def __init__(
@@ -135,13 +116,13 @@
         loop: EventLoop,
         client: Stream,
         instance: Stream,
-        owner: SessionOwner,
-        token: int,
+        owner: ConnectionObserver,
+        request_id: int,
         first: bytes | RelayState,
     ) -> None:
         self._loop = loop
         self._owner = owner
-        self._token = token
+        self._request_id = request_id
         self._client = _Side(self, client)
         self._instance = _Side(self, instance)
         self._asked: deque[int] = deque()
@@ -181,7 +162,7 @@
         """Return the descriptors of the client's and the instance's side."""
         return self._client.stream.file_descriptor, self._instance.stream.file_descriptor
 
-    def release(self) -> None:
+    def detach_sockets(self) -> None:
         """Let go of a connection that another process holds now; nobody at its ends notices."""
         self._over = True
         for deadline in (self._look, self._idle, self._closing):
@@ -226,7 +207,7 @@
         for line in done:
             load = lines.read_load(line)
             if load is not None:
-                self._owner.session_load(self._token, load)
+                self._owner.on_load_changed(self._request_id, load)
                 continue
             ending = lines.read_last(line)
             if ending is not None:
@@ -235,7 +216,9 @@
                     LAST_LINE_US, self._finish_both
                 )
             elif self._asked:
-                self._owner.session_delay(self._token, self._loop.now_us - self._asked.popleft())
+                self._owner.on_message_answered(
+                    self._request_id, self._loop.now_us - self._asked.popleft()
+                )
                 # A hung instance may never answer what it swallowed; each later answer would look late.
                 while self._asked and self._loop.now_us - self._asked[0] >= STALLED_US:
                     self._asked.popleft()
@@ -254,9 +237,9 @@
             self._end_now(AttemptResult.TIMEOUT)
             return
         if age >= STALLED_US:
-            self._owner.session_stalled(self._token, age)
+            self._owner.on_server_unresponsive(self._request_id, age)
         elif age >= LOOK_US:
-            self._owner.session_waits(self._token, age)
+            self._owner.on_message_waiting(self._request_id, age)
         self._look = self._loop.call_later(max(LOOK_US - age, LOOK_US // 2), self._look_again)
 
     def _end_now(self, result: AttemptResult) -> None:
@@ -282,7 +265,7 @@
 
     # Moves
 
-    def move(self) -> None:
+    def migrate(self) -> None:
         """Tell the client to come again, between two lines, and end both sides."""
         if self._over or self._moving or self._ending is not None:
             return
@@ -350,4 +333,4 @@
             self._loop.cancel(self._look)
             self._loop.cancel(self._idle)
             self._asked.clear()
-            self._owner.session_over(self._token, result, report)
+            self._owner.on_connection_ended(self._request_id, result, report)
--- a/larchhaven/net/text_protocol/listener.py
+++ b/larchhaven/net/text_protocol/listener.py
@@ -8,7 +8,8 @@
 
 from larchhaven.memory.admission import UNREAD_US, ShedCandidate, choose_shed_candidate
 from larchhaven.net.control.connection_limits import ConnectionLimits
-from larchhaven.net.control.dispatcher import Broker, Execution, Wants
+from larchhaven.net.control.interfaces import RequestIntake, UpstreamAttempt
+from larchhaven.net.control.request import RequestSpec
 from larchhaven.net.core.buffer_pool import BufferPool
 from larchhaven.net.core.event_loop import READ, EventLoop, TimerHandle
 from larchhaven.net.core.rate_limited_log import RateLimitedLog
@@ -39,7 +40,7 @@
         self._listener = listener
         self._loop = listener.loop
         self.since = listener.loop.now_us
-        self._token: int | None = None  # of its command, while the broker has it
+        self._request_id: int | None = None  # of its command, while the request table has it
         self.stream = Stream(listener.loop, listener.pool, sock, self)
         self._limit: TimerHandle | None = self._loop.call_later(FIRST_LINE_US, self._on_late)
 
@@ -53,7 +54,7 @@
 
     def data_received(self) -> None:
         """Read the first line; what comes behind it waits for the instance."""
-        while self._token is None and self.stream.inbox is not None:
+        while self._request_id is None and self.stream.inbox is not None:
             try:
                 line = lines.take_line(self.stream.inbox)
                 if line is None:
@@ -63,20 +64,20 @@
                     self.stream.write(lines.AWAY if self._listener.away else lines.PONG)
                     self._rest(PING_REST_US)
                     continue
-                wants = lines.read_opening(line, self._listener.classes, self._listener.tenants)
-                if self._listener.broker.refuses_identity(wants):
+                spec = lines.read_opening(line, self._listener.classes, self._listener.tenants)
+                if self._listener.requests.detect_duplicate_identity(spec):
                     raise lines.BadLineError("the id is that of an open command")
             except lines.BadLineError as error:
                 self._listener.notices.warning("bad first line", str(error))
-                self.fail()
+                self.send_failure()
                 return
             self._stop_clock()
             self._listener.count_out(self)
-            if self._listener.admits(wants):
+            if self._listener.admits(spec):
                 self.stream.on_inbox_full = self._stuffed
-                self._token = self._listener.broker.take_command(self, wants)
+                self._request_id = self._listener.requests.accept_request(self, spec)
             else:
-                self._listener.broker.turn_away(self, wants)
+                self._listener.requests.reject_request(self, spec)
 
     def eof_received(self) -> None:
         """Take it that the client has left: it would hold its side open while it waits."""
@@ -90,8 +91,8 @@
     def _leave(self) -> None:
         self._stop_clock()
         self._listener.count_out(self)
-        if self._token is not None:
-            self._listener.broker.client_left(self._token)
+        if self._request_id is not None:
+            self._listener.requests.on_client_disconnected(self._request_id)
 
     def _stop_clock(self) -> None:
         self._loop.cancel(self._limit)
@@ -106,9 +107,9 @@
         limit = self._limit
         self.stream.read_available()
         if self._limit is limit:
-            self.fail()
+            self.send_failure()
 
-    def look(self) -> None:
+    def read_available(self) -> None:
         """Read what has come since the turn began: above all the end of a client that has left."""
         self.stream.read_available()
 
@@ -118,11 +119,11 @@
         After its first line a client waits. What it sends all the same is kept as far as a buffer goes; with
         more, or with no buffer free, its end would stay unseen, and its command be sent on for nobody.
         """
-        if self._token is not None:
+        if self._request_id is not None:
             self._listener.notices.warning(
                 "a client does not wait", "it sent more than a buffer holds"
             )
-            self._listener.broker.client_fails(self._token)
+            self._listener.requests.fail_request(self._request_id)
 
     def give_way(self) -> None:
         """Answer and end our side, as others need the room; a line that has just come still counts.
@@ -130,16 +131,16 @@
         What comes after that is read and never sent on. The stream parts: it is the next to be closed.
         """
         self.stream.read_available()
-        if self._token is None and not self.stream.closed:
-            self.refuse(0)
+        if self._request_id is None and not self.stream.closed:
+            self.send_rejection(0)
 
-    # Answers, as the broker gives them
+    # Answers, as the request table gives them
 
-    def refuse(self, retry_after_us: int) -> None:
+    def send_rejection(self, retry_after_us: int) -> None:
         """Answer that trying again is harmless."""
         self._answer(lines.busy(retry_after_us))
 
-    def fail(self) -> None:
+    def send_failure(self) -> None:
         """Answer that it failed."""
         self._answer(lines.FAILED)
 
@@ -149,18 +150,18 @@
         self.stream.write(line)
         self.stream.start_lingering_close()
 
-    def serve(self, execution: Execution, token: int) -> Relay:
+    def establish_connection(self, attempt: UpstreamAttempt, request_id: int) -> Relay:
         """Join the client to the instance that took its command."""
-        assert isinstance(execution, TextExecution)
-        assert execution.stream is not None
+        assert isinstance(attempt, TextExecution)
+        assert attempt.stream is not None
         self.stream.on_inbox_full = None
         return Relay(
             self._loop,
             self.stream,
-            execution.stream,
-            self._listener.broker,
-            token,
-            execution.up_line,
+            attempt.stream,
+            self._listener.requests,
+            request_id,
+            attempt.up_line,
         )
 
 
@@ -171,7 +172,7 @@
         self,
         loop: EventLoop,
         pool: BufferPool,
-        broker: Broker,
+        requests: RequestIntake,
         notices: RateLimitedLog,
         address: tuple[str, int],
         classes: Mapping[str, int],
@@ -182,7 +183,7 @@
     ) -> None:
         self.loop = loop
         self.pool = pool
-        self.broker = broker
+        self.requests = requests
         self.notices = notices
         self.classes = classes
         self.tenants = tenants
@@ -286,12 +287,12 @@
         """Tell whether somebody has to give way before the next comes in."""
         return len(self._silent) > self._silent_most or self._short()
 
-    def admits(self, wants: Wants) -> bool:
+    def admits(self, spec: RequestSpec) -> bool:
         """Tell whether there is room for this command."""
-        standing = wants.midflow or wants.at is not None
-        size = len(wants.payload) + len(wants.identity)
+        standing = spec.is_mid_flow or spec.pinned_server_id is not None
+        size = len(spec.payload) + len(spec.identity)
         sparable = len(self._silent) + len(self.pool.lingering)
-        return self._rooms.try_admit(wants.cls, size, sparable, standing)
+        return self._rooms.try_admit(spec.class_index, size, sparable, standing)
 
     def _giver(self) -> ShedCandidate | None:
         unread = next(iter(self.pool.unread_since_us.values()), None)
--- a/larchhaven/net/text_protocol/upstream_attempt.py
+++ b/larchhaven/net/text_protocol/upstream_attempt.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 import errno
-from typing import Protocol
 
+from larchhaven.net.control.interfaces import AttemptObserver
 from larchhaven.net.core.buffer_pool import BufferPool
 from larchhaven.net.core.event_loop import EventLoop
 from larchhaven.net.core.stream import RESOURCE_EXHAUSTION_ERRNOS, Stream
@@ -12,22 +12,6 @@
 from larchhaven.routing.events import AttemptResult, LoadReport
 
 
-class ExecutionOwner(Protocol):
-    """Whom an execution tells of its life."""
-
-    def may_begin(self, token: int) -> bool:
-        """Tell whether the first byte may still be sent to the instance."""
-
-    def execution_written(self, token: int) -> None:
-        """Take that the last byte of the first line is written."""
-
-    def execution_up(self, token: int) -> None:
-        """Take that the instance serves the command."""
-
-    def execution_over(self, token: int, result: AttemptResult, report: LoadReport | None) -> None:
-        """Take how the execution ended without having come up."""
-
-
 class TextExecution:
     """One attempt; its owner hears exactly once how it came out, unless it cancels."""
 
@@ -35,8 +19,8 @@
         self,
         loop: EventLoop,
         pool: BufferPool,
-        owner: ExecutionOwner,
-        token: int,
+        owner: AttemptObserver,
+        request_id: int,
         first_line: bytes,
         address: tuple[str, int],
         connect_us: int,
@@ -44,7 +28,7 @@
     ) -> None:
         self._loop = loop
         self._owner = owner
-        self._token = token
+        self._request_id = request_id
         self._first_line = first_line
         self._until = loop.now_us + wait_us
         self._written = False
@@ -69,7 +53,7 @@
         stream = self.stream
         if stream is None or self._over:
             return
-        if not self._owner.may_begin(self._token):
+        if not self._owner.may_send_request(self._request_id):
             self._end(AttemptResult.NOT_SENT)
             return
         line = lines.with_wait(self._first_line, self._until - self._loop.now_us)
@@ -83,7 +67,7 @@
         """Note that the last byte of the line is written: from here on it may have run."""
         if not self._written:
             self._written = True
-            self._owner.execution_written(self._token)
+            self._owner.on_request_sent(self._request_id)
 
     def data_received(self) -> None:
         """Read the instance's answer."""
@@ -102,7 +86,7 @@
             self._over = True
             self._stop_clocks()
             self.up_line = line
-            self._owner.execution_up(self._token)
+            self._owner.on_attempt_established(self._request_id)
             return
         result, report = lines.read_ending(line) or (AttemptResult.ERROR, None)
         self._end(result, report)
@@ -142,7 +126,7 @@
     def _end(self, result: AttemptResult, report: LoadReport | None = None) -> None:
         if not self._over:
             self.cancel()  # closed before the owner hears of it: the next execution must not overlap
-            self._owner.execution_over(self._token, result, report)
+            self._owner.on_attempt_failed(self._request_id, result, report)
 
     def _stop_clocks(self) -> None:
         self._loop.cancel(self._connect_limit)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -105,7 +105,7 @@
     """Guards instances: a client behind a full buffer, or without one, left unseen and its command ran."""
     clients = [bench.client(LINE % number) for number in range(3)]
     bench.spin(3)
-    assert bench.broker.held() == 3
+    assert bench.dispatcher.requests.count_requests() == 3
     taken = empty_pool(bench) if buffers == "none left" else []
     for sock in clients:
         leave(sock, bench, how)
@@ -116,7 +116,7 @@
     for _ in range(6):
         bench.spin(4, 30_000)
     assert sent_on(bench) == []
-    assert bench.broker.held() == 0
+    assert bench.dispatcher.requests.count_requests() == 0
 
 
 @pytest.mark.parametrize("how", ["end", "reset", "end behind a line"])
@@ -131,7 +131,7 @@
     bench.unseen(ready)
     bench.spin()
     assert sent_on(bench) == []
-    assert bench.broker.held() == 0
+    assert bench.dispatcher.requests.count_requests() == 0
 
 
 def test_client_that_sends_much_at_once_and_stays_gets_one_failed_answer(bench: Bench) -> None:
@@ -140,7 +140,7 @@
     assert len(sent_on(bench)) == 1
     stuff(sock, bench)
     assert read(sock) == b"ERR\r\n."
-    assert bench.broker.held() == 0
+    assert bench.dispatcher.requests.count_requests() == 0
 
 
 # Repeats, when the connect of the second attempt is held across the end of the window
@@ -232,7 +232,7 @@
         sock.send(LINE % number)
     bench.unseen(ready)
     bench.spin(1, 3_000_000)
-    bench.broker._awake_at = 0  # the list has been heard
+    bench.dispatcher._awake_at = 0  # the list has been heard
     bench.spin()
     assert [read(sock) for sock in socks] == [b""] * 4
     assert len(sent_on(bench)) == 4
@@ -285,23 +285,23 @@
     instance.send(b"BYE\r\n")
     if first == "BYE":
         bench.spin(1)
-    bench.broker.move_all()
+    bench.dispatcher.requests.migrate_all_connections()
     bench.spin()
     bench.spin(4, 100_000)  # an instance is given a moment to end by itself
     assert read(sock) == (b"MOVE\r\n." if first == "move" else b"BYE\r\n.")
-    assert bench.broker.held() == 0
+    assert bench.dispatcher.requests.count_requests() == 0
 
 
 @pytest.mark.parametrize("rest", [b"a line\r\n", b"a line\r", b""])
 def test_move_waits_for_the_end_of_a_line_but_not_for_ever(bench: Bench, rest: bytes) -> None:
     sock, instance = standing(bench, b"half ")
-    bench.broker.move_all()
+    bench.dispatcher.requests.migrate_all_connections()
     bench.spin(2, 200_000)
     assert read(sock) == b""
     instance.send(rest)
     bench.spin(3, 200_000)
     assert read(sock) == rest + (b"MOVE\r\n." if rest.endswith(b"\n") else b".")
-    assert bench.broker.held() == 0
+    assert bench.dispatcher.requests.count_requests() == 0
 
 
 @pytest.mark.parametrize("rest", [b"a line\r\n", b""])
@@ -310,7 +310,9 @@
 ) -> None:
     """Guards a connection that ends here: the process left before the line was over, and MOVE never came."""
     sock, instance = standing(bench, b"half ")
-    stopping = Stopping(bench.loop, bench.broker, bench.listener, bench.pool, PLAIN, shared=False)
+    stopping = Stopping(
+        bench.loop, bench.dispatcher, bench.listener, bench.pool, PLAIN, shared=False
+    )
     vars(bench.loop)["_running"] = True
     stopping.begin(0)
     stopping.hurry()
@@ -330,7 +332,7 @@
     for end in (sock, instance):
         leave(end, bench, how)
     bench.spin()
-    assert bench.broker.held() == 0
+    assert bench.dispatcher.requests.count_requests() == 0
 
 
 ODD = {
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -10,7 +10,12 @@
 
 from larchhaven.memory.account import MemoryAccount
 from larchhaven.net.control import endpoint_watch as discovery_module
-from larchhaven.net.control.endpoint_watch import Directory, Discovery, HostEntry, HostList
+from larchhaven.net.control.endpoint_watch import (
+    EndpointDirectory,
+    EndpointEntry,
+    EndpointListMessage,
+    EndpointWatch,
+)
 from larchhaven.net.core.buffer_pool import BufferPool
 from larchhaven.net.core.event_loop import EventLoop
 from larchhaven.net.core.rate_limited_log import RateLimitedLog
@@ -25,11 +30,11 @@
 
     def __init__(self) -> None:
         self.loop = EventLoop()
-        self.told: list[HostList | None] = []
+        self.told: list[EndpointListMessage | None] = []
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.listener.setblocking(False)
         pool = BufferPool(MemoryAccount.unbounded())
-        self.calls = Discovery(
+        self.calls = EndpointWatch(
             self.loop,
             pool,
             RateLimitedLog(self.loop),
@@ -101,7 +106,7 @@
 
 def test_silent_watch_is_followed_at_once_by_a_call_that_does_not_wait(service: _Service) -> None:
     """Guards the drain rule: when a watch stays silent, all that it had to tell counts as told already."""
-    service.calls.watch(True)
+    service.calls.set_enabled(True)
     _cut, call = service.take()
     assert call == "GET /v1/endpoints?from=7&hold_ms=60 HTTP/1.1"
     sock, call = service.take()
@@ -109,24 +114,26 @@
     assert service.told == []  # nothing has failed yet
     service.answer(sock, ANSWER)
     assert service.told[0] is not None
-    assert service.told[0].seq == 8
+    assert service.told[0].version == 8
     # The time that a drain leaves for new sends has run since the silence was noticed.
-    assert service.calls.late_us > 0
-    told = HostList(9, [HostEntry("s0", "127.0.0.1:1", health="draining")])
-    directory = Directory(["a"], ["x"])
-    directory.take(EndpointListKind.CHANGES, told, service.loop.now_us - service.calls.late_us)
-    assert (directory.told_at("s0") or 0) < service.loop.now_us
+    assert service.calls.notification_delay_us > 0
+    told = EndpointListMessage(9, [EndpointEntry("s0", "127.0.0.1:1", health="draining")])
+    directory = EndpointDirectory(["a"], ["x"])
+    directory.apply_list(
+        EndpointListKind.CHANGES, told, service.loop.now_us - service.calls.notification_delay_us
+    )
+    assert (directory.drain_notified_at_us("s0") or 0) < service.loop.now_us
 
 
 def test_silent_watch_is_followed_before_what_it_missed_counts_as_told(service: _Service) -> None:
     """Guards graces shorter than a call takes: it must be out well before that moment, here a minute away."""
-    service.calls.watch(True)
+    service.calls.set_enabled(True)
     _silent, _ = service.take()
     sock, call = service.take()
     assert call == "GET /v1/endpoints?from=7&hold_ms=0 HTTP/1.1"
     service.answer(sock, f'{{"seq":8,"hosts":[{DRAINS}]}}'.encode())
     assert service.told[0] is not None
-    assert service.told[0].hosts[0].health == "draining"
+    assert service.told[0].endpoints[0].health == "draining"
 
 
 def test_third_silence_in_a_row_is_a_failure_and_the_next_call_does_not_wait_either(
@@ -134,13 +141,13 @@
 ) -> None:
     """Guards against a new connection that is silent as well: the second call was the last, and too late."""
     monkeypatch.setattr(discovery_module, "DOUBT_US", 60_000)
-    service.calls.watch(True)
+    service.calls.set_enabled(True)
     calls = [service.take() for _ in range(3)]
     assert [call.split("=")[-1] for _, call in calls] == ["60 HTTP/1.1", "0 HTTP/1.1", "0 HTTP/1.1"]
     assert service.told == []
     service.wait(1)
     assert service.told == [None]
-    service.calls.watch(True)
+    service.calls.set_enabled(True)
     assert service.take()[1] == "GET /v1/endpoints?from=7&hold_ms=0 HTTP/1.1"
 
 
@@ -153,18 +160,18 @@
     "silent", ["at once", "in the middle of an answer", "while followed elsewhere"]
 )
 def test_news_are_asked_for_however_a_watch_falls_silent(service: _Service, silent: str) -> None:
-    service.calls.watch(True)
+    service.calls.set_enabled(True)
     sock, _ = service.take()
     if silent == "in the middle of an answer":
         sock.sendall(b'HTTP/1.1 200 OK\r\nContent-Length: 40\r\n\r\n{"seq":8')
     if silent == "while followed elsewhere":
         service.take()  # in doubt already, when the configuration names another address
-        service.calls.follow(service.listener.getsockname())
+        service.calls.change_address(service.listener.getsockname())
     sock, call = service.take()
     assert ("hold_ms=0" in call) == (silent != "while followed elsewhere")
     service.answer(sock, f'{{"seq":8,"whole":true,"hosts":[{DRAINS}]}}'.encode())
     assert service.told[0] is not None
-    assert service.told[0].hosts[0].health == "draining"
+    assert service.told[0].endpoints[0].health == "draining"
     assert service.take_next(sock).endswith("?from=8&hold_ms=60 HTTP/1.1")
 
 
@@ -183,23 +190,23 @@
 )
 def test_list_that_is_worse_than_the_one_held_is_a_failure(patient: _Service, bad: str) -> None:
     """Guards service: an empty list would take every instance away, an old one bring back what is gone."""
-    patient.calls.watch(True)
+    patient.calls.set_enabled(True)
     patient.answer(patient.take()[0], bad.encode())
     assert patient.told == [None]
     # The whole list, once asked for, is taken whatever its version: discovery may have begun anew.
-    patient.calls.watch(True)
+    patient.calls.set_enabled(True)
     sock, call = patient.take()
     assert call == "GET /v1/endpoints HTTP/1.1"
     patient.answer(sock, f'{{"seq":4,"whole":true,"hosts":[{READY}]}}'.encode())
     good = patient.told[-1]
     assert good is not None
-    assert good.seq == 4
-    assert len(good.hosts) == 1
+    assert good.version == 4
+    assert len(good.endpoints) == 1
 
 
 def test_changes_that_name_a_host_twice_are_taken_in_their_order(patient: _Service) -> None:
-    patient.calls.watch(True)
+    patient.calls.set_enabled(True)
     patient.answer(patient.take()[0], f'{{"seq":8,"hosts":[{DRAINS},{READY}]}}'.encode())
     told = patient.told[0]
     assert told is not None
-    assert [entry.health for entry in told.hosts] == ["draining", "ready"]
+    assert [entry.health for entry in told.endpoints] == ["draining", "ready"]
--- /dev/null
+++ b/tests/test_dispatcher.py
@@ -0,0 +1,135 @@
+"""The dispatcher between a decision module and an outside made of plain objects."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from typing import Any
+
+import pytest
+
+from larchhaven.net.admin.metrics import Metrics
+from larchhaven.net.control.dispatcher import DRAIN_GRACE_MARGIN_US, Dispatcher
+from larchhaven.net.control.interfaces import EstablishedConnection, Transport, UpstreamAttempt
+from larchhaven.net.control.request import RequestSpec
+from larchhaven.net.core.event_loop import EventLoop
+from larchhaven.net.core.rate_limited_log import RateLimitedLog
+from larchhaven.routing.events import AttemptResult, Endpoint, EndpointListKind, EndpointListUpdate
+from tests.world import PLAIN
+
+
+@dataclass
+class World:
+    """Plays instances, executions and one client."""
+
+    told: int | None = None
+    begun: list[tuple[int, str]] = field(default_factory=list)
+    answers: list[str] = field(default_factory=list)
+
+    def find_address(self, server_id: str) -> tuple[str, int] | None:
+        return ("127.0.0.1", 1)
+
+    def drain_notified_at_us(self, server_id: str) -> int | None:
+        return self.told
+
+    def begin(
+        self, token: int, payload: bytes, address: tuple[str, int], wait_us: int
+    ) -> UpstreamAttempt:
+        self.begun.append((token, payload.decode()))
+        return self
+
+    def cancel(self) -> None:
+        self.answers.append("cancelled")
+
+    def read_available(self) -> None:
+        """Nothing: the client stays."""
+
+    def send_rejection(self, retry_after_us: int) -> None:
+        self.answers.append(f"refused {retry_after_us}")
+
+    def send_failure(self) -> None:
+        self.answers.append("failed")
+
+    def establish_connection(
+        self, attempt: UpstreamAttempt, request_id: int
+    ) -> EstablishedConnection:
+        self.answers.append("served")
+        return self
+
+    def detach_sockets(self) -> None:
+        self.answers.append("released")
+
+    def migrate(self) -> None:
+        self.answers.append("moved")
+
+
+@pytest.fixture
+def world() -> World:
+    return World()
+
+
+@pytest.fixture
+def dispatcher(world: World) -> Dispatcher:
+    loop = EventLoop()
+    made = Dispatcher(loop, RateLimitedLog(loop), PLAIN, 1, Metrics.for_classes(["chat"]))
+    nothing: Any = lambda *_: None  # noqa: E731
+    made.transport = Transport(world, world.begin, *[nothing] * 7)
+    made.queue_event(EndpointListUpdate(EndpointListKind.COMPLETE, 1, (Endpoint("s0"),)))
+    loop.on_iteration_end = made.dispatch_events
+    return made
+
+
+def test_list_is_looked_at_again_when_a_slow_connect_completes(
+    dispatcher: Dispatcher, world: World
+) -> None:
+    """Guards the drain rule: a send counts from its first byte, which a slow connect puts off."""
+    token = dispatcher.requests.accept_request(world, RequestSpec(b"x", 0, None))
+    dispatcher.dispatch_events()
+    assert world.begun == [(token, "x")]
+    assert dispatcher.requests.may_send_request(token)
+    world.told = dispatcher._loop.now_us
+    assert dispatcher.requests.may_send_request(token)
+    world.told = dispatcher._loop.now_us - PLAIN.drain_grace_us + DRAIN_GRACE_MARGIN_US
+    assert not dispatcher.requests.may_send_request(token)
+    assert not dispatcher.requests.may_send_request(token + 1)
+
+
+@pytest.mark.parametrize("last", ["up", "left", "overdue"])
+def test_command_gets_one_answer_whatever_comes_after(
+    dispatcher: Dispatcher, world: World, last: str
+) -> None:
+    """Guards the one final answer: events of a command that is over must find nobody."""
+    token = dispatcher.requests.accept_request(world, RequestSpec(b"x", 0, 100_000))
+    dispatcher.dispatch_events()
+    if last == "up":
+        dispatcher.requests.on_attempt_established(token)
+    elif last == "left":
+        dispatcher.requests.on_client_disconnected(token)
+    else:
+        dispatcher.requests._overdue(token)
+    first = list(world.answers)
+    assert (
+        first == {"up": ["served"], "left": ["cancelled"], "overdue": ["cancelled", "failed"]}[last]
+    )
+    dispatcher.dispatch_events()
+    dispatcher.requests.on_attempt_established(token)
+    dispatcher.requests.on_attempt_failed(token, AttemptResult.RESET, None)
+    dispatcher.requests._overdue(token)
+    dispatcher.requests.on_client_disconnected(token)
+    dispatcher.dispatch_events()
+    assert world.answers == first
+    dispatcher.requests.on_connection_ended(token, AttemptResult.OK, None)
+    assert dispatcher.requests.count_requests() == 0
+
+
+def test_slow_answers_are_told_once_a_second_and_once_when_over(
+    dispatcher: Dispatcher, world: World
+) -> None:
+    token = dispatcher.requests.accept_request(world, RequestSpec(b"x", 0, None))
+    dispatcher.dispatch_events()
+    dispatcher.requests.on_attempt_established(token)
+    dispatcher.dispatch_events()
+    notes: list[float] = []
+    dispatcher.queue_event = lambda event: notes.append(event.delay_us)  # type: ignore
+    for delay in (1_000, 90_000, 80_000, 2_000, 3_000):
+        dispatcher.requests.on_message_answered(token, delay)
+    assert notes == [90_000, 2_000]
--- a/tests/test_leaks.py
+++ b/tests/test_leaks.py
@@ -24,7 +24,9 @@
 from larchhaven.memory.purposes import MemoryPurpose
 from larchhaven.net.admin.metrics import Metrics
 from larchhaven.net.control.connection_limits import ConnectionLimits
-from larchhaven.net.control.dispatcher import Broker, Execution, Outside, Wants
+from larchhaven.net.control.dispatcher import Dispatcher
+from larchhaven.net.control.interfaces import Transport, UpstreamAttempt
+from larchhaven.net.control.request import RequestSpec
 from larchhaven.net.core import event_loop as loop_module
 from larchhaven.net.core.buffer_pool import BUFFER_BYTES, BufferPool
 from larchhaven.net.core.event_loop import EventLoop
@@ -42,7 +44,7 @@
 
 
 class Bench:
-    """The client's, the broker's and the instance's side in one process."""
+    """The client's, the dispatcher's and the instance's side in one process."""
 
     def __init__(
         self, settings: RoutingSettings = PLAIN, servers: tuple[Endpoint, ...] = SERVERS
@@ -60,36 +62,44 @@
         self.account = MemoryAccount(caps)
         self.pool = BufferPool(self.account, socket_buffer_bytes=4096)
         notices = RateLimitedLog(self.loop)
-        self.broker = Broker(
+        self.dispatcher = Dispatcher(
             self.loop, notices, settings, 1, Metrics.for_classes(["chat"]), self.account
         )
         self.server = socket.create_server(("127.0.0.1", 0))
         self.server.setblocking(False)
-        self.broker.outside = Outside(
-            instances=self,
-            begin=self.begin,
-            probe=lambda host, address: None,
-            close_idle=lambda host: None,
-            watch=lambda on: None,
-            fetch=lambda: None,
-            tell=lambda peer, data: None,
-            identity=lambda identity, on: None,
+        self.dispatcher.transport = Transport(
+            endpoints=self,
+            start_attempt=self.begin,
+            check_health=lambda host, address: None,
+            close_idle_connections=lambda host: None,
+            set_watch_enabled=lambda on: None,
+            poll_endpoints=lambda: None,
+            send_gossip=lambda peer, data: None,
+            announce_identity=lambda identity, on: None,
             is_open_elsewhere=lambda identity: False,
         )
         rooms = ConnectionLimits(self.loop, self.account, [1.0], 60)
         self.listener = Listener(
-            self.loop, self.pool, self.broker, notices, ("127.0.0.1", 0), {"chat": 0}, {}, 60, rooms
+            self.loop,
+            self.pool,
+            self.dispatcher.requests,
+            notices,
+            ("127.0.0.1", 0),
+            {"chat": 0},
+            {},
+            60,
+            rooms,
         )
         self.listener.open()
         self.list_servers(servers)
-        self.loop.on_iteration_end = self.broker.turn
+        self.loop.on_iteration_end = self.dispatcher.dispatch_events
         self.number = 0
         self.clients: list[socket.socket] = []
         self.instances: list[socket.socket] = []
         self.spin()
 
     def list_servers(self, servers: tuple[Endpoint, ...]) -> None:
-        self.broker.queue(EndpointListUpdate(EndpointListKind.COMPLETE, 1, servers))
+        self.dispatcher.queue_event(EndpointListUpdate(EndpointListKind.COMPLETE, 1, servers))
 
     def client(self, data: bytes) -> socket.socket:
         """Connect, and send something without a turn of the loop."""
@@ -114,18 +124,25 @@
 
         selector.select = select
 
-    def address(self, host: str) -> tuple[str, int]:
+    def find_address(self, server_id: str) -> tuple[str, int]:
         address: tuple[str, int] = self.server.getsockname()
         return address
 
-    def told_at(self, host: str) -> int | None:
+    def drain_notified_at_us(self, server_id: str) -> int | None:
         return None
 
     def begin(
         self, token: int, payload: bytes, address: tuple[str, int], wait_us: int
-    ) -> Execution:
+    ) -> UpstreamAttempt:
         return TextExecution(
-            self.loop, self.pool, self.broker, token, payload, address, 250_000, wait_us
+            self.loop,
+            self.pool,
+            self.dispatcher.requests,
+            token,
+            payload,
+            address,
+            250_000,
+            wait_us,
         )
 
     def spin(self, turns: int = 6, us: int = 100) -> None:
@@ -142,7 +159,7 @@
     def settled(self) -> None:
         """See that nothing is held any more: commands, streams, buffers, what was charged."""
         self.end()
-        assert self.broker.held() == 0
+        assert self.dispatcher.requests.count_requests() == 0
         assert not self.pool.lingering
         assert not self.pool.unread_since_us
         self.pool.release_spares()
@@ -245,18 +262,18 @@
     @rule(what=st.sampled_from(["move", "release", "unread", "adopt"]), pick=st.integers(0, 99))
     def happen(self, what: str, pick: int) -> None:
         bench = self.bench
-        sessions = bench.broker.sessions()
+        sessions = bench.dispatcher.requests.list_connections()
         if what == "adopt":
             self.adopt()
         elif what == "unread":
             for stream in list(bench.pool.unread_since_us)[:1]:
                 stream.shed()
         elif sessions:
-            token, command = sessions[pick % len(sessions)]
+            token, request = sessions[pick % len(sessions)]
             if what == "release":
-                bench.broker.release(token)
-            elif command.session is not None:
-                command.session.move()
+                bench.dispatcher.requests.release_connection(token)
+            elif request.connection is not None:
+                request.connection.migrate()
         bench.spin()
 
     def adopt(self) -> None:
@@ -267,11 +284,13 @@
         bench.clients.append(tcp[0][1])
         bench.instances.append(tcp[1][1])
         bench.number += 1
-        wants = Wants(b"", 0, 0, b"%d" % bench.number)
-        bench.broker.adopt(
-            wants,
+        spec = RequestSpec(b"", 0, 0, b"%d" % bench.number)
+        bench.dispatcher.requests.adopt_connection(
+            spec,
             "s0",
-            lambda token: Relay(bench.loop, client, instance, bench.broker, token, b"UP 9"),
+            lambda token: Relay(
+                bench.loop, client, instance, bench.dispatcher.requests, token, b"UP 9"
+            ),
         )
 
     @rule(us=st.sampled_from([1_000, 300_000, 2_000_000]))
@@ -331,7 +350,7 @@
     usual.sendall(LINE % 1)
     bench.clients.append(usual)
     bench.spin()
-    assert bench.broker.held() == 1
+    assert bench.dispatcher.requests.count_requests() == 1
     assert bench.clients[0].recv(99) == b"BUSY\r\n"
 
 
@@ -345,4 +364,4 @@
     bench.instances[0].send(b"UP 1\r\n")
     bench.spin()
     assert before - bench.account.charged_bytes(MemoryPurpose.TABLES) > 3_900
-    assert bench.broker.sessions()[0][1].wants.payload == b""
+    assert bench.dispatcher.requests.list_connections()[0][1].spec.payload == b""
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -9,7 +9,12 @@
 from larchhaven.memory.account import MemoryAccount
 from larchhaven.memory.item_costs import BUFFER_OVERHEAD_BYTES
 from larchhaven.memory.purposes import MemoryPurpose
-from larchhaven.net.control.endpoint_watch import Directory, HostEntry, HostList, read_address
+from larchhaven.net.control.endpoint_watch import (
+    EndpointDirectory,
+    EndpointEntry,
+    EndpointListMessage,
+    read_address,
+)
 from larchhaven.net.core.buffer_pool import BUFFER_BYTES, Buffer, BufferPool
 from larchhaven.net.core.slot_table import SlotTable
 from larchhaven.net.text_protocol import codec as lines
@@ -31,7 +36,7 @@
     ],
 )
 def test_member_of_a_command(fields: bytes, members: dict[str, int], tenant: int) -> None:
-    assert lines.read_opening(b"OPEN 1 2 " + fields, {"a": 0}, members).tenant == tenant
+    assert lines.read_opening(b"OPEN 1 2 " + fields, {"a": 0}, members).tenant_index == tenant
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
@@ -125,20 +130,20 @@
 
 
 def test_directory_keeps_since_when_an_instance_is_to_be_left_alone() -> None:
-    directory = Directory(["a"], ["k"])
-    entry = HostEntry("s0", "127.0.0.1:7000", "a", "k", born_ms=1)
-    directory.take(EndpointListKind.COMPLETE, HostList(1, [entry], True), 100)
-    assert directory.told_at("s0") is None
-    assert directory.address("s0") == ("127.0.0.1", 7000)
+    directory = EndpointDirectory(["a"], ["k"])
+    entry = EndpointEntry("s0", "127.0.0.1:7000", "a", "k", started_at_ms=1)
+    directory.apply_list(EndpointListKind.COMPLETE, EndpointListMessage(1, [entry], True), 100)
+    assert directory.drain_notified_at_us("s0") is None
+    assert directory.find_address("s0") == ("127.0.0.1", 7000)
     entry.health = "draining"
     for now in (200, 300):
-        told = directory.take(EndpointListKind.CHANGES, HostList(2, [entry]), now)
-        assert directory.told_at("s0") == 200
+        told = directory.apply_list(EndpointListKind.CHANGES, EndpointListMessage(2, [entry]), now)
+        assert directory.drain_notified_at_us("s0") == 200
         assert told.endpoints[0].state is ServerState.DRAINING
-    directory.take(EndpointListKind.COMPLETE, HostList(3, [], True), 400)
-    assert directory.told_at("s0") == 200
-    assert directory.address("s0") is None
+    directory.apply_list(EndpointListKind.COMPLETE, EndpointListMessage(3, [], True), 400)
+    assert directory.drain_notified_at_us("s0") == 200
+    assert directory.find_address("s0") is None
     entry.health = "what is this"
-    assert directory.take(EndpointListKind.CHANGES, HostList(4, [entry]), 500).endpoints[
-        0
-    ].state is (ServerState.DRAINING)
+    assert directory.apply_list(
+        EndpointListKind.CHANGES, EndpointListMessage(4, [entry]), 500
+    ).endpoints[0].state is (ServerState.DRAINING)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -20,7 +20,7 @@
 from larchhaven.gossip.codec import LOAD_REPORTS
 from larchhaven.gossip.codec import decode as decode_message
 from larchhaven.net.configuration import decode
-from larchhaven.net.control.dispatcher import after_sleep
+from larchhaven.net.control.dispatcher import order_events_after_pause
 from larchhaven.routing.events import (
     EndpointListKind,
     EndpointListUpdate,
@@ -652,4 +652,8 @@
         GossipReceived(1, decode_message(LOAD_REPORTS + b"abc")),
     )
     held = GossipReceived(1, decode_message(b"Habcdef"))
-    assert after_sleep([told, ProxyDraining(0), held, listed]) == [listed, ProxyDraining(0), held]
+    assert order_events_after_pause([told, ProxyDraining(0), held, listed]) == [
+        listed,
+        ProxyDraining(0),
+        held,
+    ]
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -11,7 +11,7 @@
     STICKY_ENTRY_QUERY,
     decode,
 )
-from larchhaven.net.control.peer_socket import LONGEST, Peers
+from larchhaven.net.control.peer_socket import MAX_DATAGRAM_BYTES, PeerSocket
 from larchhaven.net.core.event_loop import EventLoop
 from larchhaven.net.core.rate_limited_log import RateLimitedLog
 from larchhaven.routing.gossip_messages import is_peer_message
@@ -28,7 +28,7 @@
     heard: list[tuple[int, bytes]] = []
     strange: list[None] = []
     tier = [address, known.getsockname()]
-    Peers(
+    PeerSocket(
         loop,
         RateLimitedLog(loop),
         address,
@@ -40,7 +40,7 @@
     )
     for _ in range(3):
         stranger.sendto(PROXY_STARTED, address)
-    known.sendto(bytes(LONGEST + 1), address)
+    known.sendto(bytes(MAX_DATAGRAM_BYTES + 1), address)
     known.sendto(
         PROXY_STARTED, address
     )  # on loopback nothing overtakes what one socket sent before
