--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -73,16 +73,18 @@
             loop, notices, settings, 1, Metrics.for_classes(["chat"]), account
         )
         self.server = socket.create_server(("127.0.0.1", 0), backlog=64)
-        dispatcher.transport = Transport(
-            endpoints=self,
-            start_attempt=self.begin,
-            check_health=lambda host, address: None,
-            close_idle_connections=lambda host: None,
-            set_watch_enabled=lambda on: None,
-            poll_endpoints=lambda: None,
-            send_gossip=lambda peer, data: None,
-            announce_identity=lambda identity, on: None,
-            is_open_elsewhere=lambda identity: False,
+        dispatcher.attach_transport(
+            Transport(
+                endpoints=self,
+                start_attempt=self.begin,
+                check_health=lambda host, address: None,
+                close_idle_connections=lambda host: None,
+                set_watch_enabled=lambda on: None,
+                poll_endpoints=lambda: None,
+                send_gossip=lambda peer, data: None,
+                announce_identity=lambda identity, on: None,
+                is_open_elsewhere=lambda identity: False,
+            )
         )
         rooms = ConnectionLimits(loop, account, [1.0], 1_000)
         self.listener = Listener(
--- a/larchhaven/net/configuration.py
+++ b/larchhaven/net/configuration.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from larchhaven.net.control.endpoint_watch import EndpointListMessage, read_address
+from larchhaven.net.control.endpoint_directory import EndpointListMessage, parse_address
 from larchhaven.routing.settings import RoutingSettings
 from larchhaven.simulator import codec as wire
 
@@ -65,7 +65,7 @@
 
 
 def _address(text: str, what: str) -> tuple[str, int]:
-    address = read_address(text)
+    address = parse_address(text)
     if address is None:
         raise ConfigError(f"{what} must be host:port, not {text!r}")
     return address
--- a/larchhaven/net/control/dispatcher.py
+++ b/larchhaven/net/control/dispatcher.py
@@ -164,7 +164,7 @@
         self._notes: dict[str, tuple[int, bool]] = {}  # when the last was sent, and if it was slow
         aims = [c.message_latency_objective_us or c.latency_objective_us for c in settings.classes]
         self._slow_us = min(aims) / 3
-        self.transport: Transport
+        self._transport: Transport
         self._handlers: dict[type, Callable[[Any], None]] = {
             StartAttempt: self._do_send,
             RejectRequest: self._do_refuse,
@@ -172,14 +172,18 @@
             CancelAttempt: self._do_cancel,
             MigrateConnection: self._do_move,
             CheckHealth: self._do_probe,
-            SendGossip: lambda a: self.transport.send_gossip(a.peer_index, a.message),
+            SendGossip: lambda a: self._transport.send_gossip(a.peer_index, a.message),
             StartTimer: self._do_timer,
-            WatchEndpoints: lambda a: self.transport.set_watch_enabled(a.is_enabled),
-            PollEndpoints: lambda _: self.transport.poll_endpoints(),
-            CloseIdleConnections: lambda a: self.transport.close_idle_connections(a.server_id),
+            WatchEndpoints: lambda a: self._transport.set_watch_enabled(a.is_enabled),
+            PollEndpoints: lambda _: self._transport.poll_endpoints(),
+            CloseIdleConnections: lambda a: self._transport.close_idle_connections(a.server_id),
             LogMessage: lambda a: self._notices.warning("decisions", a.text),
         }
 
+    def attach_transport(self, transport: Transport) -> None:
+        """Set by what actions are carried out; to be called before the first event."""
+        self._transport = transport
+
     def count_requests(self) -> int:
         """Count the requests held, served ones included."""
         return len(self._requests)
@@ -315,7 +319,9 @@
         An server would turn the second one away, at the price of a set-up, and seem to fail. A connection
         that comes back mid-flow, or stood before, is the same one and may meet what is left of itself.
         """
-        known = spec.identity in self._identities or self.transport.is_open_elsewhere(spec.identity)
+        known = spec.identity in self._identities or self._transport.is_open_elsewhere(
+            spec.identity
+        )
         taken = known and not spec.is_mid_flow and spec.pinned_server_id is None
         self._outcomes[spec.class_index].failed += taken
         return taken
@@ -425,7 +431,7 @@
             self._account.release(MemoryPurpose.TABLES, request.charged_bytes)
         if request is not None and self._identities.get(request.spec.identity) == request_id:
             del self._identities[request.spec.identity]
-            self.transport.announce_identity(request.spec.identity, False)
+            self._transport.announce_identity(request.spec.identity, False)
         return request
 
     # Executions
@@ -443,7 +449,7 @@
     def _open(self, server_id: str) -> bool:
         """Guard the drain rule once more: the list may have changed while a connect took its time."""
         told = (
-            self.transport.endpoints.drain_notified_at_us(server_id),
+            self._transport.endpoints.drain_notified_at_us(server_id),
             self._suspended.get(server_id),
         )
         until = self._settings.drain_grace_us - DRAIN_GRACE_MARGIN_US
@@ -597,7 +603,7 @@
     def _identify(self, request_id: int, request: Request) -> None:
         if request.spec.identity:
             self._identities[request.spec.identity] = request_id
-            self.transport.announce_identity(request.spec.identity, True)
+            self._transport.announce_identity(request.spec.identity, True)
 
     # Actions
 
@@ -608,13 +614,13 @@
         request.attempt_number += 1
         request.server_id = action.server_id
         request.attempt_started_us = self._loop.now_us
-        address = self.transport.endpoints.find_address(action.server_id)
+        address = self._transport.endpoints.find_address(action.server_id)
         left = request.deadline_us - self._loop.now_us
         wait = min(action.timeout_us or left, left)
         if address is None or wait <= 0 or not self._open(action.server_id):
             self._ended(action.request_id, request, AttemptResult.NOT_SENT, None, finished=False)
             return
-        request.attempt = self.transport.start_attempt(
+        request.attempt = self._transport.start_attempt(
             action.request_id, request.spec.payload, address, wait
         )
 
@@ -664,11 +670,11 @@
             self.queue_event(HealthCheckCompleted(action.server_id, AttemptResult.NOT_SENT, 0))
 
     def _ask(self, server_id: str) -> None:
-        address = self.transport.endpoints.find_address(server_id)
+        address = self._transport.endpoints.find_address(server_id)
         if address is None:
             self.queue_event(HealthCheckCompleted(server_id, AttemptResult.NOT_SENT, 0))
         else:
-            self.transport.check_health(server_id, address)
+            self._transport.check_health(server_id, address)
 
     def _do_timer(self, action: StartTimer) -> None:
         event = TimerFired(action.timer_id)
--- a/larchhaven/net/control/endpoint_watch.py
+++ b/larchhaven/net/control/endpoint_watch.py
@@ -2,17 +2,17 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Sequence
+from collections.abc import Callable
 
 import httptools
 import msgspec
 
 from larchhaven.memory.purposes import MemoryPurpose
+from larchhaven.net.control.endpoint_directory import EndpointListMessage
 from larchhaven.net.core.buffer_pool import BufferPool
-from larchhaven.net.core.event_loop import EventLoop, TimerHandle, unix_offset_us
+from larchhaven.net.core.event_loop import EventLoop, TimerHandle
 from larchhaven.net.core.rate_limited_log import RateLimitedLog
 from larchhaven.net.core.stream import Stream
-from larchhaven.routing.events import Endpoint, EndpointListKind, EndpointListUpdate, ServerState
 
 # How long discovery may hold a watch, and how long an answer may take. So long after the hold, what a silent
 # watch had to tell counts as told. A sound one answers as soon as the hold is over: one that has not by the
@@ -29,130 +29,6 @@
 CALL_GAP_US = 50_000
 BODY_MOST = 4 << 20
 BODY_SHARE = 0.25  # of the memory for management, if that is less
-# An instance that is gone is remembered as such for this long; nothing sent to it can be under way then.
-FORGET_US = 60_000_000
-# So many hosts are remembered as listed once, at most.
-MAX_REMEMBERED_SERVERS = 10_000
-
-_STATES = {
-    "ready": ServerState.READY,
-    "draining": ServerState.DRAINING,
-    "gone": ServerState.REMOVED,
-}
-
-
-class EndpointEntry(msgspec.Struct):
-    """One instance as discovery describes it."""
-
-    server_id: str = msgspec.field(name="host")
-    address: str = msgspec.field(name="dial", default="")
-    zone: str = msgspec.field(name="site", default="")
-    hardware_kind: str = msgspec.field(name="class", default="")
-    cell: int = msgspec.field(name="block", default=0)
-    health: str = "ready"
-    weight: float = msgspec.field(name="share", default=1.0)
-    started_at_ms: float = msgspec.field(name="born_ms", default=0)
-
-
-class EndpointListMessage(msgspec.Struct):
-    """An answer of discovery."""
-
-    version: int = msgspec.field(name="seq")
-    endpoints: list[EndpointEntry] = msgspec.field(name="hosts")
-    is_complete: bool = msgspec.field(name="whole", default=False)
-
-
-def read_address(text: str) -> tuple[str, int] | None:
-    """Read ``host:port``; None if it is no such thing."""
-    host, _, port = text.rpartition(":")
-    if not host or not port.isascii() or not port.isdigit() or not 0 <= int(port) < 65536:
-        return None
-    return host, int(port)
-
-
-class EndpointDirectory:
-    """What discovery has told: the addresses, by host, and since when each instance is to be left alone."""
-
-    def __init__(
-        self, zones: Sequence[str], kinds: Sequence[str], listed_most: int = MAX_REMEMBERED_SERVERS
-    ) -> None:
-        self._listed_most = listed_most
-        self._zones = {name: i for i, name in enumerate(zones)}
-        self._kinds = {name: i for i, name in enumerate(kinds)}
-        self._addresses: dict[str, tuple[str, int]] = {}
-        self._told: dict[str, int] = {}
-        self._listed: dict[str, None] = {}  # every host there ever was, the latest last
-        self._offset = unix_offset_us()
-        self.on_server_removed: Callable[[str], None] = lambda host: None
-
-    def find_address(self, server_id: str) -> tuple[str, int] | None:
-        """Where the instance is reached from here."""
-        return self._addresses.get(server_id)
-
-    def drain_notified_at_us(self, server_id: str) -> int | None:
-        """When it was first told that the instance drains or is gone; None while it is ready."""
-        return self._told.get(server_id)
-
-    def count_listed(self) -> int:
-        """Count the instances on the list."""
-        return len(self._addresses)
-
-    def count_remembered(self) -> int:
-        """Count the instances that are remembered as listed once."""
-        return len(self._listed)
-
-    def was_listed(self, host: str) -> bool:
-        """Tell whether the instance is on the list, or was."""
-        return host in self._listed
-
-    def apply_list(
-        self, kind: EndpointListKind, told: EndpointListMessage, now: int
-    ) -> EndpointListUpdate:
-        """Take in a list and turn it into the decision module's event."""
-        if kind is not EndpointListKind.CHANGES:
-            old = [
-                h
-                for h, at in self._told.items()
-                if h not in self._addresses and at < now - FORGET_US
-            ]
-            for host in old:
-                del self._told[host]
-            named = {entry.server_id for entry in told.endpoints}
-            for host in [h for h in self._addresses if h not in named]:
-                self._leave(host, now, gone=True)
-        entries = tuple(self._entry(entry, now) for entry in told.endpoints)
-        return EndpointListUpdate(kind, told.version, entries)
-
-    def _entry(self, entry: EndpointEntry, now: int) -> Endpoint:
-        # A state that is not known yet is none to send something new to.
-        state = _STATES.get(entry.health, ServerState.DRAINING)
-        self._listed.pop(entry.server_id, None)
-        self._listed[entry.server_id] = None
-        if len(self._listed) > self._listed_most:
-            del self._listed[next(iter(self._listed))]
-        address = read_address(entry.address)
-        if address is not None:
-            self._addresses[entry.server_id] = address
-        if state is ServerState.READY:
-            self._told.pop(entry.server_id, None)
-        else:
-            self._leave(entry.server_id, now, gone=state is ServerState.REMOVED)
-        born = int(entry.started_at_ms * 1000)
-        return Endpoint(
-            entry.server_id,
-            state,
-            entry.weight,
-            self._zones.get(entry.zone, len(self._zones)),
-            entry.cell,
-            self._kinds.get(entry.hardware_kind, len(self._kinds)),
-            max(born - self._offset, 1) if born else 0,
-        )
-
-    def _leave(self, host: str, now: int, gone: bool) -> None:
-        self._told.setdefault(host, now)
-        if gone:
-            self.on_server_removed(host)
-            self._addresses.pop(host, None)
 
 
 class EndpointWatch:
--- a/larchhaven/net/proxy.py
+++ b/larchhaven/net/proxy.py
@@ -30,12 +30,12 @@
 from larchhaven.net.configuration import Config, ConfigError, load
 from larchhaven.net.control.connection_limits import ConnectionLimits
 from larchhaven.net.control.dispatcher import Dispatcher
-from larchhaven.net.control.endpoint_watch import (
+from larchhaven.net.control.endpoint_directory import (
     MAX_REMEMBERED_SERVERS,
     EndpointDirectory,
     EndpointListMessage,
-    EndpointWatch,
 )
+from larchhaven.net.control.endpoint_watch import EndpointWatch
 from larchhaven.net.control.interfaces import Transport
 from larchhaven.net.control.membership_switch import MembersSwitch
 from larchhaven.net.control.peer_socket import PeerSocket
@@ -182,16 +182,18 @@
             )
 
         self._members.present = dispatcher.set_live_peers
-        dispatcher.transport = Transport(
-            endpoints=self._directory,
-            start_attempt=begin,
-            check_health=self._probes.probe,
-            close_idle_connections=self._probes.drop,
-            set_watch_enabled=self._endpoint_watch.set_enabled,
-            poll_endpoints=self._endpoint_watch.poll_complete_list,
-            send_gossip=self._tell,
-            announce_identity=self._handover.identity,
-            is_open_elsewhere=self._handover.is_open_elsewhere,
+        dispatcher.attach_transport(
+            Transport(
+                endpoints=self._directory,
+                start_attempt=begin,
+                check_health=self._probes.probe,
+                close_idle_connections=self._probes.drop,
+                set_watch_enabled=self._endpoint_watch.set_enabled,
+                poll_endpoints=self._endpoint_watch.poll_complete_list,
+                send_gossip=self._tell,
+                announce_identity=self._handover.identity,
+                is_open_elsewhere=self._handover.is_open_elsewhere,
+            )
         )
         descriptors = self._descriptors() - (DESCRIPTORS if config.mgmt is not None else 0)
         most = max(descriptors - SPARE_DESCRIPTORS, descriptors // 2)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -10,12 +10,12 @@
 
 from larchhaven.memory.account import MemoryAccount
 from larchhaven.net.control import endpoint_watch as discovery_module
-from larchhaven.net.control.endpoint_watch import (
+from larchhaven.net.control.endpoint_directory import (
     EndpointDirectory,
     EndpointEntry,
     EndpointListMessage,
-    EndpointWatch,
 )
+from larchhaven.net.control.endpoint_watch import EndpointWatch
 from larchhaven.net.core.buffer_pool import BufferPool
 from larchhaven.net.core.event_loop import EventLoop
 from larchhaven.net.core.rate_limited_log import RateLimitedLog
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -72,7 +72,7 @@
     loop = EventLoop()
     made = Dispatcher(loop, RateLimitedLog(loop), PLAIN, 1, Metrics.for_classes(["chat"]))
     nothing: Any = lambda *_: None  # noqa: E731
-    made.transport = Transport(world, world.begin, *[nothing] * 7)
+    made.attach_transport(Transport(world, world.begin, *[nothing] * 7))
     made.queue_event(EndpointListUpdate(EndpointListKind.COMPLETE, 1, (Endpoint("s0"),)))
     loop.on_iteration_end = made.dispatch_events
     return made
--- a/tests/test_leaks.py
+++ b/tests/test_leaks.py
@@ -67,16 +67,18 @@
         )
         self.server = socket.create_server(("127.0.0.1", 0))
         self.server.setblocking(False)
-        self.dispatcher.transport = Transport(
-            endpoints=self,
-            start_attempt=self.begin,
-            check_health=lambda host, address: None,
-            close_idle_connections=lambda host: None,
-            set_watch_enabled=lambda on: None,
-            poll_endpoints=lambda: None,
-            send_gossip=lambda peer, data: None,
-            announce_identity=lambda identity, on: None,
-            is_open_elsewhere=lambda identity: False,
+        self.dispatcher.attach_transport(
+            Transport(
+                endpoints=self,
+                start_attempt=self.begin,
+                check_health=lambda host, address: None,
+                close_idle_connections=lambda host: None,
+                set_watch_enabled=lambda on: None,
+                poll_endpoints=lambda: None,
+                send_gossip=lambda peer, data: None,
+                announce_identity=lambda identity, on: None,
+                is_open_elsewhere=lambda identity: False,
+            )
         )
         rooms = ConnectionLimits(self.loop, self.account, [1.0], 60)
         self.listener = Listener(
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -9,11 +9,11 @@
 from larchhaven.memory.account import MemoryAccount
 from larchhaven.memory.item_costs import BUFFER_OVERHEAD_BYTES
 from larchhaven.memory.purposes import MemoryPurpose
-from larchhaven.net.control.endpoint_watch import (
+from larchhaven.net.control.endpoint_directory import (
     EndpointDirectory,
     EndpointEntry,
     EndpointListMessage,
-    read_address,
+    parse_address,
 )
 from larchhaven.net.core.buffer_pool import BUFFER_BYTES, Buffer, BufferPool
 from larchhaven.net.core.slot_table import SlotTable
@@ -92,7 +92,7 @@
 
 @pytest.mark.parametrize("text", ["", "x", "h:", ":1", "h:-1", "h:99999", "h:²"])
 def test_strange_addresses_are_none(text: str) -> None:
-    assert read_address(text) is None
+    assert parse_address(text) is None
 
 
 def test_stale_token_reaches_nobody() -> None:
