--- a/larchhaven/net/configuration.py
+++ b/larchhaven/net/configuration.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from larchhaven.net.control.endpoint_watch import HostList, read_address
+from larchhaven.net.control.endpoint_directory import EndpointListMessage, parse_address
 from larchhaven.routing import settings_codec
 from larchhaven.routing.settings import RoutingSettings
 from larchhaven.text_fields import FormatError
@@ -40,7 +40,7 @@
     peer_listen: str | None = None
     peers: list[str] = msgspec.field(default_factory=list)
     peers_all: str | None = None
-    known: HostList | None = None
+    known: EndpointListMessage | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,7 +57,7 @@
     peer_listen: tuple[str, int] | None
     peers: tuple[tuple[str, int], ...]
     peers_all: tuple[str, int] | None
-    known: HostList
+    known: EndpointListMessage
     settings: RoutingSettings
     classes: dict[str, int]
     tenants: dict[str, int]
@@ -66,7 +66,7 @@
 
 
 def _address(text: str, what: str) -> tuple[str, int]:
-    address = read_address(text)
+    address = parse_address(text)
     if address is None:
         raise ConfigError(f"{what} must be host:port, not {text!r}")
     return address
@@ -127,7 +127,7 @@
         peer_listen=_address(file.peer_listen, "peer_listen") if file.peer_listen else None,
         peers=tuple(_address(peer, "peers") for peer in file.peers),
         peers_all=_address(file.peers_all, "peers_all") if file.peers_all else None,
-        known=file.known or HostList(seq=0, hosts=[], whole=True),
+        known=file.known or EndpointListMessage(version=0, endpoints=[], is_complete=True),
         settings=settings,
         classes=_numbers_by_name(file.settings, "services"),
         # Clients that name no member must not be taken for one that has no name.
--- a/larchhaven/net/control/endpoint_watch.py
+++ b/larchhaven/net/control/endpoint_watch.py
@@ -2,17 +2,17 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Sequence
+from collections.abc import Callable
 
 import httptools
 import msgspec
 
 from larchhaven.memory.purposes import MemoryPurpose
+from larchhaven.net.control.endpoint_directory import EndpointListMessage
 from larchhaven.net.core.buffer_pool import BufferPool
-from larchhaven.net.core.event_loop import EventLoop, TimerHandle, unix_offset_us
+from larchhaven.net.core.event_loop import EventLoop, TimerHandle
 from larchhaven.net.core.rate_limited_log import RateLimitedLog
 from larchhaven.net.core.stream import Stream
-from larchhaven.routing.events import Endpoint, EndpointListKind, EndpointListUpdate, ServerState
 
 # How long discovery may hold a watch, and how long an answer may take. So long after the hold, what a silent
 # watch had to tell counts as told. A sound one answers as soon as the hold is over: one that has not by the
@@ -29,131 +29,9 @@
 CALL_GAP_US = 50_000
 BODY_MOST = 4 << 20
 BODY_SHARE = 0.25  # of the memory for management, if that is less
-# An instance that is gone is remembered as such for this long; nothing sent to it can be under way then.
-FORGET_US = 60_000_000
-# So many hosts are remembered as listed once, at most.
-LISTED_MOST = 10_000
 
-_STATES = {
-    "ready": ServerState.READY,
-    "draining": ServerState.DRAINING,
-    "gone": ServerState.REMOVED,
-}
 
-
-class HostEntry(msgspec.Struct):
-    """One instance as discovery describes it."""
-
-    host: str
-    dial: str = ""
-    site: str = ""
-    kind: str = msgspec.field(name="class", default="")
-    block: int = 0
-    health: str = "ready"
-    share: float = 1.0
-    born_ms: float = 0
-
-
-class HostList(msgspec.Struct):
-    """An answer of discovery."""
-
-    seq: int
-    hosts: list[HostEntry]
-    whole: bool = False
-
-
-def read_address(text: str) -> tuple[str, int] | None:
-    """Read ``host:port``; None if it is no such thing."""
-    host, _, port = text.rpartition(":")
-    if not host or not port.isascii() or not port.isdigit() or not 0 <= int(port) < 65536:
-        return None
-    return host, int(port)
-
-
-class Directory:
-    """What discovery has told: the addresses, by host, and since when each instance is to be left alone."""
-
-    def __init__(
-        self, zones: Sequence[str], kinds: Sequence[str], listed_most: int = LISTED_MOST
-    ) -> None:
-        self._listed_most = listed_most
-        self._zones = {name: i for i, name in enumerate(zones)}
-        self._kinds = {name: i for i, name in enumerate(kinds)}
-        self._addresses: dict[str, tuple[str, int]] = {}
-        self._told: dict[str, int] = {}
-        self._listed: dict[str, None] = {}  # every host there ever was, the latest last
-        self._offset = unix_offset_us()
-        self.forget: Callable[[str], None] = lambda host: None
-
-    def address(self, host: str) -> tuple[str, int] | None:
-        """Where the instance is reached from here."""
-        return self._addresses.get(host)
-
-    def told_at(self, host: str) -> int | None:
-        """When it was first told that the instance drains or is gone; None while it is ready."""
-        return self._told.get(host)
-
-    def members(self) -> int:
-        """Count the instances on the list."""
-        return len(self._addresses)
-
-    def listed(self) -> int:
-        """Count the instances that are remembered as listed once."""
-        return len(self._listed)
-
-    def was_listed(self, host: str) -> bool:
-        """Tell whether the instance is on the list, or was."""
-        return host in self._listed
-
-    def take(self, kind: EndpointListKind, told: HostList, now: int) -> EndpointListUpdate:
-        """Take in a list and turn it into the decision module's event."""
-        if kind is not EndpointListKind.CHANGES:
-            old = [
-                h
-                for h, at in self._told.items()
-                if h not in self._addresses and at < now - FORGET_US
-            ]
-            for host in old:
-                del self._told[host]
-            named = {entry.host for entry in told.hosts}
-            for host in [h for h in self._addresses if h not in named]:
-                self._leave(host, now, gone=True)
-        entries = tuple(self._entry(entry, now) for entry in told.hosts)
-        return EndpointListUpdate(kind, told.seq, entries)
-
-    def _entry(self, entry: HostEntry, now: int) -> Endpoint:
-        # A state that is not known yet is none to send something new to.
-        state = _STATES.get(entry.health, ServerState.DRAINING)
-        self._listed.pop(entry.host, None)
-        self._listed[entry.host] = None
-        if len(self._listed) > self._listed_most:
-            del self._listed[next(iter(self._listed))]
-        address = read_address(entry.dial)
-        if address is not None:
-            self._addresses[entry.host] = address
-        if state is ServerState.READY:
-            self._told.pop(entry.host, None)
-        else:
-            self._leave(entry.host, now, gone=state is ServerState.REMOVED)
-        born = int(entry.born_ms * 1000)
-        return Endpoint(
-            entry.host,
-            state,
-            entry.share,
-            self._zones.get(entry.site, len(self._zones)),
-            entry.block,
-            self._kinds.get(entry.kind, len(self._kinds)),
-            max(born - self._offset, 1) if born else 0,
-        )
-
-    def _leave(self, host: str, now: int, gone: bool) -> None:
-        self._told.setdefault(host, now)
-        if gone:
-            self.forget(host)
-            self._addresses.pop(host, None)
-
-
-class Discovery:
+class EndpointWatch:
     """Calls discovery: a watch that is renewed at once, or a single fetch of the whole list."""
 
     def __init__(
@@ -163,7 +41,7 @@
         notices: RateLimitedLog,
         address: tuple[str, int],
         seq: int,
-        told: Callable[[HostList | None], None],
+        told: Callable[[EndpointListMessage | None], None],
     ) -> None:
         self._loop = loop
         self._pool = pool
@@ -180,7 +58,7 @@
         self._strange = False  # this address has not told a list yet: the version held is another's
         self._doubts = 0  # calls in a row that must not wait, as there may be news already
         self._unheard_at: int | None = None  # since when calls have failed, or a watch was silent
-        self.late_us = (
+        self.notification_delay_us = (
             0  # of the list being told: for so long, at most, it has counted as told already
         )
         self._calling = False
@@ -191,25 +69,25 @@
         self._limit: TimerHandle | None = None
         self._next: TimerHandle | None = None
 
-    def watch(self, on: bool) -> None:
+    def set_enabled(self, is_enabled: bool) -> None:
         """Begin, or go on, to ask for changes; or stop."""
-        self._watching = on
-        if on and not self._calling:
+        self._watching = is_enabled
+        if is_enabled and not self._calling:
             self._call()
 
-    def begin(self) -> None:
+    def start_with_poll(self) -> None:
         """Ask at once what there is, and watch from then on: all of it counts as told from the start."""
         self._doubts = 1
-        self.watch(True)
+        self.set_enabled(True)
 
-    def fetch(self) -> None:
+    def poll_complete_list(self) -> None:
         """Ask for the whole list once; a watch under way is left for it and renewed after."""
         self._whole = True
         if self._calling:
             self._hang_up()
         self._call()
 
-    def follow(self, address: tuple[str, int]) -> None:
+    def change_address(self, address: tuple[str, int]) -> None:
         """Ask at another address from now on.
 
         Versions count for one address only: a watch from the old one's would keep the new one mute until it
@@ -287,12 +165,12 @@
             self._fail(f"status {status}")
             return
         try:
-            told = msgspec.json.decode(self._body, type=HostList)
+            told = msgspec.json.decode(self._body, type=EndpointListMessage)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             self._fail(str(error))
             return
         self._drop_body()
-        told.whole = told.whole or self._whole
+        told.is_complete = told.is_complete or self._whole
         if (wrong := self._unusable(told)) is not None:
             # Ask for all of it next: changes to a list that is not the one held would make it worse.
             self._strange = True
@@ -301,8 +179,10 @@
         self._loop.cancel(self._limit)
         self._calling = self._whole = self._strange = False
         self._doubts = 0
-        self._seq = told.seq
-        self.late_us = 0 if self._unheard_at is None else self._loop.now_us - self._unheard_at
+        self._seq = told.version
+        self.notification_delay_us = (
+            0 if self._unheard_at is None else self._loop.now_us - self._unheard_at
+        )
         self._unheard_at = None
         if not self._keep:
             self._hang_up()
@@ -314,18 +194,20 @@
             else:
                 self._call()
 
-    def _unusable(self, told: HostList) -> str | None:
+    def _unusable(self, told: EndpointListMessage) -> str | None:
         """Say why the list held is better than this one, if it is.
 
         A list without hosts would end all service, and one that has a host twice is right in one place at
         most. Changes may name a host twice, as one follows the other.
         """
-        if told.whole and not told.hosts:
+        if told.is_complete and not told.endpoints:
             return "the list is empty"
-        if told.whole and len({entry.host for entry in told.hosts}) < len(told.hosts):
+        if told.is_complete and len({entry.server_id for entry in told.endpoints}) < len(
+            told.endpoints
+        ):
             return "the list contradicts itself: a host is in it twice"
-        if not self._whole and told.seq < self._seq:
-            return f"version {told.seq} is older than version {self._seq}, which is held"
+        if not self._whole and told.version < self._seq:
+            return f"version {told.version} is older than version {self._seq}, which is held"
         return None
 
     # The parser's callbacks
