--- a/larchhaven/net/control/membership_log.py
+++ b/larchhaven/net/control/membership_log.py
@@ -78,7 +78,8 @@
         if briefly_dead:
             parts.append(f"briefly declared dead: {self._names(briefly_dead)}")
         status = self._current_status()
-        parts.append(f"{status.present_count} of {status.table_size} present, {status.side.value}")
+        parts.append(f"{status.present_count} of {status.table_size} present")
+        parts.append(f"partition side: {status.side.value}")
         detail = "; ".join(parts)
         _log.info("membership changed: %s", detail, extra={"event": "members", "detail": detail})
 
--- a/tests/test_membership_datagrams.py
+++ b/tests/test_membership_datagrams.py
@@ -9,6 +9,7 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
+from larchhaven.errors import LarchhavenError
 from larchhaven.membership.actions import Action
 from larchhaven.membership.authenticator import REPLAY_WINDOW, DatagramAuthenticator
 from larchhaven.membership.codec import (
@@ -208,3 +209,68 @@
         RejectReason.PEER_TABLE: 4,
         RejectReason.FORMAT_VERSION: 1,
     }
+
+
+def test_bytes_of_datagrams_do_not_change() -> None:
+    """Proxies of different versions are in one fleet during an upgrade."""
+    ack = Message(
+        MessageKind.ACK,
+        3,
+        7,
+        make_stamp(60481251, MemberState.ALIVE),
+        sequence=9,
+        target=3,
+        state_updates=(
+            StateUpdate(2, make_stamp(60481250, MemberState.SUSPECT), 5),
+            StateUpdate(4, make_stamp(1, MemberState.LEFT)),
+        ),
+        info_updates=(InfoUpdate(2, 60481250, MemberInfo("n2é", 1, 1, 1790000000, Capability(5))),),
+        session_id=0x01020304,
+        counter=258,
+    )
+    assert encode(ack, b"k" * 32).hex() == (
+        "4d0102020003000701020304000001020e6b7b8c0000000900030002"
+        "0e6b7b890005000400000007ffff"
+        "0002039adee20100016ab13b800005046e32c3a9"
+        "2f0800f1ef9c5b42"
+    )
+    digests = tuple(range(1, 33))
+    request = Message(MessageKind.PUSH_PULL_REQUEST, 0, 1, digests=digests, session_id=1, counter=1)
+    assert encode(request).hex() == (
+        "4d0106000000000100000001000000010000000000000000ffff"
+        + "".join(f"{digest:08x}" for digest in digests)
+        + "11184cc4b897aa05"
+    )
+
+
+def reject_reason(data: bytes) -> RejectReason:
+    with pytest.raises(DatagramError) as caught:
+        decode(data)
+    return caught.value.reason
+
+
+def test_rejected_datagram_says_which_rule_it_breaks() -> None:
+    ping = encode(Message(MessageKind.PING, 0, 1))
+
+    def changed(offset: int, value: int, extra: bytes = b"") -> bytes:
+        body = bytearray(ping[:-TAG_BYTES] + extra)
+        body[offset] = value
+        return bytes(body) + compute_tag(bytes(body), b"")
+
+    assert reject_reason(ping[: TAG_BYTES + 1]) is RejectReason.SIZE
+    assert reject_reason(changed(0, ord("X"))) is RejectReason.PREFIX
+    assert reject_reason(changed(1, 2)) is RejectReason.FORMAT_VERSION
+    assert reject_reason(ping[:-1] + bytes([ping[-1] ^ 1])) is RejectReason.TAG
+    assert reject_reason(changed(2, 99)) is RejectReason.KIND
+    assert reject_reason(changed(3, 1)) is RejectReason.STATE_UPDATES
+    assert reject_reason(changed(3, 1, bytes(8))) is RejectReason.INCARNATION
+    assert reject_reason(changed(2, MessageKind.PUSH_PULL_REQUEST)) is RejectReason.DIGESTS
+    assert reject_reason(changed(0, ord("M"), b"x")) is RejectReason.INFO_UPDATES
+    assert isinstance(DatagramError(RejectReason.SIZE), LarchhavenError)
+
+
+def test_reject_reasons_have_the_names_that_operators_read() -> None:
+    assert [reason.value for reason in RejectReason] == [
+        "size", "letter", "version", "tag", "kind", "entries", "incarnation", "digests", "account",
+        "table", "replayed",
+    ]  # fmt: skip
--- a/tests/test_membership_partition.py
+++ b/tests/test_membership_partition.py
@@ -19,7 +19,7 @@
     PartitionTracker,
     presumed_present,
 )
-from larchhaven.membership.rendezvous import choose_members
+from larchhaven.membership.rendezvous import choose_members, rendezvous_weight
 from larchhaven.membership.view import MembershipView
 
 
@@ -75,6 +75,11 @@
     )
 
 
+def test_weights_do_not_change() -> None:
+    """Proxies of different versions have to choose the same members."""
+    assert rendezvous_weight(b"key", 7) == 8905555666779977681
+
+
 def test_partition_side_follows_from_the_last_agreement() -> None:
     tracker = PartitionTracker()
     whole = dict.fromkeys(range(6), MemberState.ALIVE)
--- a/tests/test_membership_protocol.py
+++ b/tests/test_membership_protocol.py
@@ -214,3 +214,11 @@
         for membership in memberships
     )
     assert all(membership.view.agrees_with(memberships[0].view) for membership in memberships)
+
+
+def test_digests_do_not_change() -> None:
+    """Proxies of different versions compare them."""
+    info = MemberInfo("n0", 2, 1, 5)
+    membership = Membership(0, 0, 1, info, 7, random.Random(1), CONFIG)
+    assert membership.digests()[0] == 3466741951
+    assert membership.digests()[DIGEST_BUCKETS] == 2206860229
--- /dev/null
+++ b/tests/test_membership_transport.py
@@ -0,0 +1,195 @@
+"""The membership on an event loop: the operators' report, the log, the datagrams of a turn, the switch."""
+
+from __future__ import annotations
+
+import heapq
+import itertools
+import json
+import logging
+from collections.abc import Callable
+from typing import Any, cast
+
+import msgspec
+import pytest
+
+from larchhaven.membership.counters import ProtocolCounter
+from larchhaven.membership.member import Capability, MemberInfo
+from larchhaven.net.control import membership_transport
+from larchhaven.net.control.membership_switch import MembershipSwitch, derive_key
+from larchhaven.net.control.membership_transport import (
+    MAX_DATAGRAMS_PER_TURN,
+    MAX_QUEUED_DATAGRAMS,
+    MembershipTransport,
+)
+from larchhaven.net.core.event_loop import Deadline, Loop
+from larchhaven.operator.settings import Settings
+
+SECOND_US = 1_000_000
+LATENCY_US = 300
+UNIX_OFFSET_US = 1_790_000_000_000_000
+KEY = derive_key("a key for this test")
+
+
+class ManualLoop:
+    """The deadlines of an event loop, on a clock that the test advances."""
+
+    def __init__(self) -> None:
+        self.now = SECOND_US
+        self._deadlines: list[tuple[int, int, Deadline]] = []
+        self._order = itertools.count()
+
+    def after(self, delay_us: int, then: Callable[[], None]) -> Deadline:
+        deadline = Deadline(self.now + delay_us, then)
+        heapq.heappush(self._deadlines, (deadline.at, next(self._order), deadline))
+        return deadline
+
+    def cancel(self, deadline: Deadline | None) -> None:
+        if deadline is not None:
+            deadline.then = None
+
+    def run_until(self, until_us: int) -> None:
+        while self._deadlines and self._deadlines[0][0] <= until_us:
+            at_us, _, deadline = heapq.heappop(self._deadlines)
+            self.now = max(self.now, at_us)
+            if deadline.then is not None:
+                deadline.then()
+        self.now = until_us
+
+
+class Fleet:
+    """Transports that send each other datagrams; those of cut-off ones are lost."""
+
+    def __init__(self, size: int, table_size: int) -> None:
+        self.loop = ManualLoop()
+        self.cut_off: set[int] = set()
+        self.present: dict[int, frozenset[int]] = {}
+        self.transports = {number: self._start(number, table_size) for number in range(size)}
+
+    def _start(self, number: int, table_size: int) -> MembershipTransport:
+        def send_datagram(receiver: int, data: bytes) -> None:
+            is_lost = bool({number, receiver} & self.cut_off)
+            if receiver in self.transports and not is_lost:
+                transport = self.transports[receiver]
+                self.loop.after(LATENCY_US, lambda: transport.handle_datagram(number, data))
+
+        def store_present(proxies: frozenset[int]) -> None:
+            self.present[number] = proxies
+
+        info = MemberInfo(f"n{number}", number % 2, capabilities=Capability.LOAD_REPORTS)
+        loop = cast("Loop", self.loop)
+        transport = MembershipTransport(
+            loop, number, table_size, info, [KEY], send_datagram, number
+        )
+        transport.on_present_changed = store_present
+        return transport
+
+    def report(self, number: int) -> dict[str, Any]:
+        encoded = msgspec.json.encode(self.transports[number].report())
+        return dict(json.loads(encoded))
+
+
+@pytest.fixture
+def fleet(monkeypatch: pytest.MonkeyPatch) -> Fleet:
+    monkeypatch.setattr(membership_transport, "unix_offset_us", lambda: UNIX_OFFSET_US)
+    return Fleet(3, 4)
+
+
+def test_report_keeps_the_keys_that_operators_read(fleet: Fleet) -> None:
+    fleet.loop.run_until(15 * SECOND_US)
+    expected = {
+        "on": True, "why_off": "", "me": 0, "incarnation": 54310401, "view": 5, "sure": True,
+        "doubt": 0, "here": 3, "agreed": 3, "table": 4, "confidence": 1.0, "part": "whole",
+        "zones_lost": [],
+        "members": [
+            {"number": number, "name": f"n{number}", "state": "alive", "since_s": 13.0,
+             "incarnation": 54310401, "by": [], "zone": number % 2, "version": 1,
+             "started": 1790000001, "can": ["reports"]}
+            for number in range(3)
+        ],
+        "counts": {"sent": 93}, "refused": {},
+    }  # fmt: skip
+    encoded = msgspec.json.encode(fleet.transports[0].report())
+    assert encoded == msgspec.json.encode(expected)  # the order of the keys as well
+
+
+def test_capabilities_have_the_names_that_operators_read() -> None:
+    names = membership_transport._CAPABILITY_NAMES
+    assert [names[flag] for flag in Capability] == ["reports", "copies", "shedding"]
+
+
+def test_counters_have_the_names_that_operators_read() -> None:
+    assert [counter.value for counter in ProtocolCounter] == [
+        "sent", "held back", "probes failed", "accused", "gaps", "late turns",
+        "numbers beyond the table",
+    ]  # fmt: skip
+
+
+def test_silent_proxy_is_reported_dead_and_logged(
+    fleet: Fleet, caplog: pytest.LogCaptureFixture
+) -> None:
+    fleet.loop.run_until(15 * SECOND_US)
+    fleet.cut_off.add(2)
+    with caplog.at_level(logging.INFO, "larchhaven"):
+        fleet.loop.run_until(24 * SECOND_US)
+    report = fleet.report(0)
+    assert [member["state"] for member in report["members"]] == ["alive", "alive", "dead"]
+    assert sorted(report["members"][2]["by"]) == [0, 1]
+    assert (report["here"], report["agreed"], report["part"]) == (2, 3, "majority")
+    assert fleet.present[0] == {0, 1, 3}  # 3 was never heard of and may be about to start
+    line = "membership changed: dead: 2 (n2); 2 of 4 present; partition side: majority"
+    lines = {record.getMessage(): record for record in caplog.records}
+    assert vars(lines[line])["event"] == "members"
+    assert vars(lines[line])["detail"] == line.removeprefix("membership changed: ")
+
+
+def test_changes_within_a_second_are_one_line(
+    fleet: Fleet, caplog: pytest.LogCaptureFixture
+) -> None:
+    with caplog.at_level(logging.INFO, "larchhaven"):
+        fleet.loop.run_until(4 * SECOND_US)
+    line = "alive: 0 (n0), 1 (n1), 2 (n2); 3 of 4 present; partition side: unknown"
+    assert [record.getMessage() for record in caplog.records] == [f"membership changed: {line}"] * 3
+
+
+def test_datagrams_beyond_the_queue_are_dropped_and_counted(fleet: Fleet) -> None:
+    fleet.loop.run_until(5 * SECOND_US)
+    transport = fleet.transports[0]
+    for _ in range(MAX_QUEUED_DATAGRAMS + 3):
+        transport.handle_datagram(1, b"M")
+    fleet.loop.run_until(fleet.loop.now)  # one turn
+    assert fleet.report(0)["refused"] == {"size": MAX_DATAGRAMS_PER_TURN}
+    fleet.loop.run_until(6 * SECOND_US)
+    report = fleet.report(0)
+    assert report["counts"]["dropped unread"] == 3
+    assert report["refused"] == {"size": MAX_QUEUED_DATAGRAMS}
+
+
+def test_next_process_takes_over_with_a_larger_incarnation(fleet: Fleet) -> None:
+    fleet.loop.run_until(5 * SECOND_US)
+    transport = fleet.transports[2]
+    incarnation = transport.hand_over()
+    assert incarnation == 54310401
+    sent_before = fleet.report(2)["counts"]["sent"]
+    fleet.loop.run_until(6 * SECOND_US)
+    assert fleet.report(2)["counts"]["sent"] == sent_before
+    fleet.transports[2] = successor = fleet._start(2, 4)
+    successor.take_over(incarnation)
+    fleet.loop.run_until(10 * SECOND_US)
+    assert fleet.report(2)["incarnation"] > incarnation
+    assert fleet.report(0)["members"][2]["incarnation"] == fleet.report(2)["incarnation"]
+
+
+def test_disabled_membership_says_why() -> None:
+    switch = MembershipSwitch(
+        cast("Loop", ManualLoop()), cast("Any", None), lambda proxy, data: None, False
+    )
+    assert switch.report_json() == (
+        b'{"on":false,"why_off":"the operators\' file does not turn it on (membership.on)"}'
+    )
+    assert switch.memory_bytes() == 0
+    assert not switch.handle_datagram(1, b"M")
+    assert switch.hand_over() == 0
+    assert not switch.is_handed_over
+    switch.apply_settings(Settings())
+    switch.start()
+    assert switch.disabled_reason()
