--- a/larchhaven/net/proxy.py
+++ b/larchhaven/net/proxy.py
@@ -37,7 +37,7 @@
 )
 from larchhaven.net.control.endpoint_watch import EndpointWatch
 from larchhaven.net.control.interfaces import Transport
-from larchhaven.net.control.membership_switch import MembersSwitch
+from larchhaven.net.control.membership_switch import MembershipSwitch
 from larchhaven.net.control.peer_socket import PeerSocket
 from larchhaven.net.control.request import RequestSpec
 from larchhaven.net.core import log_setup as logs
@@ -165,7 +165,9 @@
                 self._count_strange,
             )
         self._handover = Handover(loop, notices, folder if shared else "", self, account)
-        self._members = MembersSwitch(loop, config, self._tell_member, uses_shared_checks(settings))
+        self._members = MembershipSwitch(
+            loop, config, self._tell_member, uses_shared_checks(settings)
+        )
 
         def begin(
             token: int, first_line: bytes, address: tuple[str, int], wait_us: int
@@ -181,7 +183,7 @@
                 wait_us,
             )
 
-        self._members.present = dispatcher.set_live_peers
+        self._members.on_present_changed = dispatcher.set_live_peers
         dispatcher.attach_transport(
             Transport(
                 endpoints=self._directory,
@@ -268,7 +270,7 @@
             (MemoryPurpose.TABLES, "holders"): lambda: (
                 dispatcher.count_sticky_entries() * item_costs.STICKY_ENTRY_BYTES
             ),
-            (MemoryPurpose.PEERS, "members"): self._members.used,
+            (MemoryPurpose.PEERS, "members"): self._members.memory_bytes,
             (MemoryPurpose.LOG, "notices"): lambda: (
                 self._notices.event_count() * item_costs.LOG_EVENT_BYTES
             ),
@@ -288,7 +290,7 @@
     def _open(self) -> None:
         self._accounting.start()
         self._listener.open()
-        self._members.begin()
+        self._members.start()
         host, port = self._listener.address
         if self._management is not None:
             _log.info("management at %s:%d", *self._management.address)
@@ -298,8 +300,8 @@
         self._dispatcher.dispatch_events()
         if self._stopping.phase is not Phase.SERVING and self._handover.has_younger:
             self._pass_on()
-        if self._members.handed_on and not self._handover.has_younger:
-            self._members.go_on()
+        if self._members.is_handed_over and not self._handover.has_younger:
+            self._members.resume()
 
     def _on_woke(self, late_us: int) -> None:
         """Be careful after a sleep: the list is heard first, and the membership doubts what it knew."""
@@ -340,7 +342,7 @@
         self._dispatcher.queue_event(HealthCheckCompleted(host, result, latency_us, report))
 
     def _on_peer(self, sender: int, data: bytes) -> None:
-        if self._members.on_datagram(sender, data):
+        if self._members.handle_datagram(sender, data):
             return
         message = gossip_codec.decode(data)
         if is_peer_message(message):
@@ -373,7 +375,7 @@
             (host, at, ReportRecord.of(report)) for host, (at, report) in self._reports.items()
         ]
         identities = [mark(identity) for identity in self._dispatcher.requests.list_identities()]
-        return Known(VERSION, reports, identities, self._members.hand_on())
+        return Known(VERSION, reports, identities, self._members.hand_over())
 
     def on_known(self, known: Known) -> None:
         """Take what the older process knows: its reports are as old as they are."""
@@ -455,7 +457,7 @@
 
     def members(self) -> bytes:
         """Return what is known of the other proxies, as JSON."""
-        return self._members.state()
+        return self._members.report_json()
 
     def suspend(self, host: str, on: bool) -> HTTPStatus:
         """Take an instance out, or let it serve again; the yes comes when it is saved and heeded."""
@@ -542,7 +544,7 @@
         self._rooms.admission.reserve_ratio = own.reserve_share
         self._listener.unread_us = own.unread_us
         self._notices.repeat_interval_us = own.quiet_us
-        self._members.apply(own)
+        self._members.apply_settings(own)
         if own.log_json != self._logs_json:
             logs.configure_logging(own.log_json)
             self._logs_json = own.log_json
@@ -559,5 +561,5 @@
             self._stopping.hurry()
             return
         _log.info("told to stop")
-        self._members.leave()
+        self._members.announce_leave()
         self._stopping.begin(PASS_MOST_US if self._handover.has_younger else 0)
