--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -120,7 +120,7 @@
         return TextExecution(
             self.loop,
             self.pool,
-            self.dispatcher.requests,
+            self.dispatcher.attempts,
             token,
             payload,
             address,
--- a/larchhaven/net/control/dispatcher.py
+++ b/larchhaven/net/control/dispatcher.py
@@ -104,6 +104,7 @@
         "deadline_timer",
         "deadline_us",
         "load",
+        "request_id",
         "server_id",
         "spec",
     )
@@ -111,6 +112,7 @@
     def __init__(
         self, client: ClientConnection | None, spec: RequestSpec, deadline_us: int
     ) -> None:
+        self.request_id = -1
         self.client = client  # None once it is answered or has left
         self.spec = spec
         self.load = spec.load
@@ -156,7 +158,8 @@
         self._figures = figures
         self._outcomes = figures.outcomes_by_class()
         self._account = account or MemoryAccount.unbounded()
-        self.requests = self  # its request table
+        # Their parts are still one.
+        self.requests = self.attempts = self.connections = self
         self.last_arrival_us = 0  # when the last request came
         self._requests: SlotTable[Request] = SlotTable()
         self._identities: dict[bytes, int] = {}  # of the open requests
@@ -372,7 +375,7 @@
 
     def migrate_all_connections(self) -> None:
         """Move every connection that stands, at once."""
-        for _token, request in self.list_connections():
+        for request in self.list_connections():
             if request.connection is not None:
                 request.connection.migrate()
 
@@ -382,7 +385,7 @@
         client.send_rejection(self._settings.max_retry_after_us)
 
     def _add(self, request: Request) -> int:
-        request_id = self._requests.add(request)
+        request_id = request.request_id = self._requests.add(request)
         self._account.charge(MemoryPurpose.TABLES, request.charged_bytes)
         self._figures.active_requests += 1
         self._identify(request_id, request)
@@ -476,7 +479,7 @@
         self._account.release(MemoryPurpose.TABLES, len(request.spec.payload))
         request.charged_bytes -= len(request.spec.payload)
         request.spec = replace(request.spec, payload=b"")
-        request.connection = client.establish_connection(attempt, request_id)
+        request.connection = client.establish_connection(attempt, request_id, self)
 
     def on_attempt_failed(
         self, request_id: int, result: AttemptResult, report: LoadReport | None
@@ -562,11 +565,11 @@
         """Return the ids of the open requests."""
         return list(self._identities)
 
-    def list_connections(self) -> list[tuple[int, Request]]:
-        """Return the connections that stand, under their tokens."""
+    def list_connections(self) -> list[Request]:
+        """Return the requests whose connections are established."""
         return [
-            (request_id, request)
-            for request_id, request in self._requests.items()
+            request
+            for _request_id, request in self._requests.items()
             if request.connection is not None
         ]
 
--- a/larchhaven/net/control/interfaces.py
+++ b/larchhaven/net/control/interfaces.py
@@ -11,45 +11,6 @@
 from larchhaven.routing.gossip_messages import GossipMessage
 
 
-class UpstreamAttempt(Protocol):
-    """One attempt of a request at a server."""
-
-    def cancel(self) -> None:
-        """Give up; the observer is not notified."""
-
-
-class EstablishedConnection(Protocol):
-    """A connection between a client and its server."""
-
-    def detach_sockets(self) -> None:
-        """Close this process's descriptors; another process has taken the connection over."""
-
-    def migrate(self) -> None:
-        """Ask the client to reconnect, and end both sides."""
-
-
-class ClientConnection(Protocol):
-    """A client that waits for its answer.
-
-    Each request ends in exactly one call of ``send_rejection``, ``send_failure`` or
-    ``establish_connection``, unless its client disconnects first.
-    """
-
-    def read_available(self) -> None:
-        """Read what has arrived, as it may be the client's end of stream."""
-
-    def send_rejection(self, retry_after_us: int) -> None:
-        """Answer that a retry does no harm, after this time if it is not 0."""
-
-    def send_failure(self) -> None:
-        """Answer that the request failed."""
-
-    def establish_connection(
-        self, attempt: UpstreamAttempt, request_id: int
-    ) -> EstablishedConnection:
-        """Connect the client to the server of this attempt."""
-
-
 class AttemptObserver(Protocol):
     """Is notified of the progress of an attempt."""
 
@@ -89,8 +50,47 @@
         """Take notice of how the connection ended."""
 
 
-class RequestIntake(ConnectionObserver, Protocol):
-    """Accepts requests of clients, and is notified of what becomes of their connections."""
+class UpstreamAttempt(Protocol):
+    """One attempt of a request at a server."""
+
+    def cancel(self) -> None:
+        """Give up; the observer is not notified."""
+
+
+class EstablishedConnection(Protocol):
+    """A connection between a client and its server."""
+
+    def detach_sockets(self) -> None:
+        """Close this process's descriptors; another process has taken the connection over."""
+
+    def migrate(self) -> None:
+        """Ask the client to reconnect, and end both sides."""
+
+
+class ClientConnection(Protocol):
+    """A client that waits for its answer.
+
+    Each request ends in exactly one call of ``send_rejection``, ``send_failure`` or
+    ``establish_connection``, unless its client disconnects first.
+    """
+
+    def read_available(self) -> None:
+        """Read what has arrived, as it may be the client's end of stream."""
+
+    def send_rejection(self, retry_after_us: int) -> None:
+        """Answer that a retry does no harm, after this time if it is not 0."""
+
+    def send_failure(self) -> None:
+        """Answer that the request failed."""
+
+    def establish_connection(
+        self, attempt: UpstreamAttempt, request_id: int, observer: ConnectionObserver
+    ) -> EstablishedConnection:
+        """Connect the client to the server of this attempt; the observer is notified from then on."""
+
+
+class RequestIntake(Protocol):
+    """Accepts the requests of clients."""
 
     def detect_duplicate_identity(self, spec: RequestSpec) -> bool:
         """Return whether another open request has this identity, and count a failure if so."""
--- a/larchhaven/net/graceful_shutdown.py
+++ b/larchhaven/net/graceful_shutdown.py
@@ -110,7 +110,7 @@
         self._part()
         self._dispatcher.requests.set_answer_deadline(self._loop.now_us)
         if not self._settings.pass_through:
-            self._dispatcher.requests.migrate_all_connections()
+            self._dispatcher.connections.migrate_all_connections()
         self.phase = Phase.OVER
         self._loop.call_later(LINGER_US, self._loop.stop)
         self._loop.call_later(
--- a/larchhaven/net/proxy.py
+++ b/larchhaven/net/proxy.py
@@ -173,7 +173,7 @@
             return TextExecution(
                 loop,
                 pool,
-                dispatcher.requests,
+                dispatcher.attempts,
                 token,
                 first_line,
                 address,
@@ -405,15 +405,17 @@
             load=standing.load,
             tenant_index=standing.tenant,
         )
-        dispatcher.requests.adopt_connection(
+        dispatcher.connections.adopt_connection(
             spec,
             standing.host,
-            lambda token: Relay(loop, client, instance, dispatcher.requests, token, standing.relay),
+            lambda token: Relay(
+                loop, client, instance, dispatcher.connections, token, standing.relay
+            ),
         )
 
     def _pass_on(self) -> None:
         """Pass on what stands, as far as it goes; what comes up meanwhile follows."""
-        for request_id, request in self._dispatcher.requests.list_connections():
+        for request in self._dispatcher.connections.list_connections():
             relay, spec = request.connection, request.spec
             state = relay.state() if isinstance(relay, Relay) else None
             if state is None or not isinstance(relay, Relay):
@@ -431,7 +433,7 @@
             if not self._handover.pass_on(standing, relay.descriptors()):
                 self._loop.call_later(PASS_AGAIN_US, lambda: None)  # the next turn tries again
                 return
-            self._dispatcher.requests.release_connection(request_id)
+            self._dispatcher.connections.release_connection(request.request_id)
 
     # What operators ask
 
--- a/larchhaven/net/text_protocol/listener.py
+++ b/larchhaven/net/text_protocol/listener.py
@@ -8,7 +8,7 @@
 
 from larchhaven.memory.admission import UNREAD_US, ShedCandidate, choose_shed_candidate
 from larchhaven.net.control.connection_limits import ConnectionLimits
-from larchhaven.net.control.interfaces import RequestIntake, UpstreamAttempt
+from larchhaven.net.control.interfaces import ConnectionObserver, RequestIntake, UpstreamAttempt
 from larchhaven.net.control.request import RequestSpec
 from larchhaven.net.core.buffer_pool import BufferPool
 from larchhaven.net.core.event_loop import READ, EventLoop, TimerHandle
@@ -150,7 +150,9 @@
         self.stream.write(line)
         self.stream.start_lingering_close()
 
-    def establish_connection(self, attempt: UpstreamAttempt, request_id: int) -> Relay:
+    def establish_connection(
+        self, attempt: UpstreamAttempt, request_id: int, observer: ConnectionObserver
+    ) -> Relay:
         """Join the client to the instance that took its command."""
         assert isinstance(attempt, TextExecution)
         assert attempt.stream is not None
@@ -159,7 +161,7 @@
             self._loop,
             self.stream,
             attempt.stream,
-            self._listener.requests,
+            observer,
             request_id,
             attempt.up_line,
         )
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -285,7 +285,7 @@
     instance.send(b"BYE\r\n")
     if first == "BYE":
         bench.spin(1)
-    bench.dispatcher.requests.migrate_all_connections()
+    bench.dispatcher.connections.migrate_all_connections()
     bench.spin()
     bench.spin(4, 100_000)  # an instance is given a moment to end by itself
     assert read(sock) == (b"MOVE\r\n." if first == "move" else b"BYE\r\n.")
@@ -295,7 +295,7 @@
 @pytest.mark.parametrize("rest", [b"a line\r\n", b"a line\r", b""])
 def test_move_waits_for_the_end_of_a_line_but_not_for_ever(bench: Bench, rest: bytes) -> None:
     sock, instance = standing(bench, b"half ")
-    bench.dispatcher.requests.migrate_all_connections()
+    bench.dispatcher.connections.migrate_all_connections()
     bench.spin(2, 200_000)
     assert read(sock) == b""
     instance.send(rest)
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -9,7 +9,12 @@
 
 from larchhaven.net.admin.metrics import Metrics
 from larchhaven.net.control.dispatcher import DRAIN_GRACE_MARGIN_US, Dispatcher
-from larchhaven.net.control.interfaces import EstablishedConnection, Transport, UpstreamAttempt
+from larchhaven.net.control.interfaces import (
+    ConnectionObserver,
+    EstablishedConnection,
+    Transport,
+    UpstreamAttempt,
+)
 from larchhaven.net.control.request import RequestSpec
 from larchhaven.net.core.event_loop import EventLoop
 from larchhaven.net.core.rate_limited_log import RateLimitedLog
@@ -50,7 +55,7 @@
         self.answers.append("failed")
 
     def establish_connection(
-        self, attempt: UpstreamAttempt, request_id: int
+        self, attempt: UpstreamAttempt, request_id: int, observer: ConnectionObserver
     ) -> EstablishedConnection:
         self.answers.append("served")
         return self
@@ -85,12 +90,12 @@
     token = dispatcher.requests.accept_request(world, RequestSpec(b"x", 0, None))
     dispatcher.dispatch_events()
     assert world.begun == [(token, "x")]
-    assert dispatcher.requests.may_send_request(token)
+    assert dispatcher.attempts.may_send_request(token)
     world.told = dispatcher._loop.now_us
-    assert dispatcher.requests.may_send_request(token)
+    assert dispatcher.attempts.may_send_request(token)
     world.told = dispatcher._loop.now_us - PLAIN.drain_grace_us + DRAIN_GRACE_MARGIN_US
-    assert not dispatcher.requests.may_send_request(token)
-    assert not dispatcher.requests.may_send_request(token + 1)
+    assert not dispatcher.attempts.may_send_request(token)
+    assert not dispatcher.attempts.may_send_request(token + 1)
 
 
 @pytest.mark.parametrize("last", ["up", "left", "overdue"])
@@ -101,7 +106,7 @@
     token = dispatcher.requests.accept_request(world, RequestSpec(b"x", 0, 100_000))
     dispatcher.dispatch_events()
     if last == "up":
-        dispatcher.requests.on_attempt_established(token)
+        dispatcher.attempts.on_attempt_established(token)
     elif last == "left":
         dispatcher.requests.on_client_disconnected(token)
     else:
@@ -111,13 +116,13 @@
         first == {"up": ["served"], "left": ["cancelled"], "overdue": ["cancelled", "failed"]}[last]
     )
     dispatcher.dispatch_events()
-    dispatcher.requests.on_attempt_established(token)
-    dispatcher.requests.on_attempt_failed(token, AttemptResult.RESET, None)
+    dispatcher.attempts.on_attempt_established(token)
+    dispatcher.attempts.on_attempt_failed(token, AttemptResult.RESET, None)
     dispatcher.requests._overdue(token)
     dispatcher.requests.on_client_disconnected(token)
     dispatcher.dispatch_events()
     assert world.answers == first
-    dispatcher.requests.on_connection_ended(token, AttemptResult.OK, None)
+    dispatcher.connections.on_connection_ended(token, AttemptResult.OK, None)
     assert dispatcher.requests.count_requests() == 0
 
 
@@ -126,10 +131,10 @@
 ) -> None:
     token = dispatcher.requests.accept_request(world, RequestSpec(b"x", 0, None))
     dispatcher.dispatch_events()
-    dispatcher.requests.on_attempt_established(token)
+    dispatcher.attempts.on_attempt_established(token)
     dispatcher.dispatch_events()
     notes: list[float] = []
     dispatcher.queue_event = lambda event: notes.append(event.delay_us)  # type: ignore
     for delay in (1_000, 90_000, 80_000, 2_000, 3_000):
-        dispatcher.requests.on_message_answered(token, delay)
+        dispatcher.connections.on_message_answered(token, delay)
     assert notes == [90_000, 2_000]
--- a/tests/test_leaks.py
+++ b/tests/test_leaks.py
@@ -139,7 +139,7 @@
         return TextExecution(
             self.loop,
             self.pool,
-            self.dispatcher.requests,
+            self.dispatcher.attempts,
             token,
             payload,
             address,
@@ -264,16 +264,16 @@
     @rule(what=st.sampled_from(["move", "release", "unread", "adopt"]), pick=st.integers(0, 99))
     def happen(self, what: str, pick: int) -> None:
         bench = self.bench
-        sessions = bench.dispatcher.requests.list_connections()
+        sessions = bench.dispatcher.connections.list_connections()
         if what == "adopt":
             self.adopt()
         elif what == "unread":
             for stream in list(bench.pool.unread_since_us)[:1]:
                 stream.shed()
         elif sessions:
-            token, request = sessions[pick % len(sessions)]
+            request = sessions[pick % len(sessions)]
             if what == "release":
-                bench.dispatcher.requests.release_connection(token)
+                bench.dispatcher.connections.release_connection(request.request_id)
             elif request.connection is not None:
                 request.connection.migrate()
         bench.spin()
@@ -287,11 +287,11 @@
         bench.instances.append(tcp[1][1])
         bench.number += 1
         spec = RequestSpec(b"", 0, 0, b"%d" % bench.number)
-        bench.dispatcher.requests.adopt_connection(
+        bench.dispatcher.connections.adopt_connection(
             spec,
             "s0",
             lambda token: Relay(
-                bench.loop, client, instance, bench.dispatcher.requests, token, b"UP 9"
+                bench.loop, client, instance, bench.dispatcher.connections, token, b"UP 9"
             ),
         )
 
@@ -366,4 +366,4 @@
     bench.instances[0].send(b"UP 1\r\n")
     bench.spin()
     assert before - bench.account.charged_bytes(MemoryPurpose.TABLES) > 3_900
-    assert bench.dispatcher.requests.list_connections()[0][1].spec.payload == b""
+    assert bench.dispatcher.connections.list_connections()[0].spec.payload == b""
