--- a/larchhaven/net/control/dispatcher.py
+++ b/larchhaven/net/control/dispatcher.py
@@ -24,7 +24,7 @@
     Transport,
     UpstreamAttempt,
 )
-from larchhaven.net.control.request import RequestSpec
+from larchhaven.net.control.request_spec import RequestSpec
 from larchhaven.net.core.event_loop import EventLoop, TimerHandle
 from larchhaven.net.core.rate_limited_log import RateLimitedLog
 from larchhaven.net.core.slot_table import SlotTable
--- a/larchhaven/net/control/interfaces.py
+++ b/larchhaven/net/control/interfaces.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from larchhaven.net.control.request import RequestSpec
+from larchhaven.net.control.request_spec import RequestSpec
 from larchhaven.routing.events import AttemptResult, LoadReport
 from larchhaven.routing.gossip_messages import GossipMessage
 
--- a/larchhaven/net/control/request.py
+++ b/larchhaven/net/control/request_spec.py
@@ -1,4 +1,4 @@
-"""A client's request: what it asks for."""
+"""What a client asks for, whatever its protocol."""
 
 from __future__ import annotations
 
--- a/larchhaven/net/proxy.py
+++ b/larchhaven/net/proxy.py
@@ -39,7 +39,7 @@
 from larchhaven.net.control.interfaces import Transport
 from larchhaven.net.control.membership_switch import MembersSwitch
 from larchhaven.net.control.peer_socket import PeerSocket
-from larchhaven.net.control.request import RequestSpec
+from larchhaven.net.control.request_spec import RequestSpec
 from larchhaven.net.core import log_setup as logs
 from larchhaven.net.core.buffer_pool import BufferPool
 from larchhaven.net.core.event_loop import EventLoop
--- a/larchhaven/net/text_protocol/codec.py
+++ b/larchhaven/net/text_protocol/codec.py
@@ -5,7 +5,7 @@
 import math
 from collections.abc import Mapping
 
-from larchhaven.net.control.request import RequestSpec
+from larchhaven.net.control.request_spec import RequestSpec
 from larchhaven.net.core.buffer_pool import Buffer
 from larchhaven.routing.events import AttemptResult, LoadReport
 
--- a/larchhaven/net/text_protocol/listener.py
+++ b/larchhaven/net/text_protocol/listener.py
@@ -9,7 +9,7 @@
 from larchhaven.memory.admission import UNREAD_US, ShedCandidate, choose_shed_candidate
 from larchhaven.net.control.connection_limits import ConnectionLimits
 from larchhaven.net.control.interfaces import ConnectionObserver, RequestIntake, UpstreamAttempt
-from larchhaven.net.control.request import RequestSpec
+from larchhaven.net.control.request_spec import RequestSpec
 from larchhaven.net.core.buffer_pool import BufferPool
 from larchhaven.net.core.event_loop import READ, EventLoop, TimerHandle
 from larchhaven.net.core.rate_limited_log import RateLimitedLog
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -15,7 +15,7 @@
     Transport,
     UpstreamAttempt,
 )
-from larchhaven.net.control.request import RequestSpec
+from larchhaven.net.control.request_spec import RequestSpec
 from larchhaven.net.core.event_loop import EventLoop
 from larchhaven.net.core.rate_limited_log import RateLimitedLog
 from larchhaven.routing.events import AttemptResult, Endpoint, EndpointListKind, EndpointListUpdate
--- a/tests/test_leaks.py
+++ b/tests/test_leaks.py
@@ -26,7 +26,7 @@
 from larchhaven.net.control.connection_limits import ConnectionLimits
 from larchhaven.net.control.dispatcher import Dispatcher
 from larchhaven.net.control.interfaces import Transport, UpstreamAttempt
-from larchhaven.net.control.request import RequestSpec
+from larchhaven.net.control.request_spec import RequestSpec
 from larchhaven.net.core import event_loop as loop_module
 from larchhaven.net.core.buffer_pool import BUFFER_BYTES, BufferPool
 from larchhaven.net.core.event_loop import EventLoop
