--- a/larchhaven/net/control/dispatcher.py
+++ b/larchhaven/net/control/dispatcher.py
@@ -7,7 +7,6 @@
 
 from __future__ import annotations
 
-import itertools
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 from functools import partial
@@ -252,7 +251,7 @@
 
     def avoided(self) -> int:
         """Count the listed instances that get nothing new at present."""
-        return self._balancer.avoided(self._loop.now_us)
+        return self._balancer.count_unavailable_servers(self._loop.now_us)
 
     def suspend(self, host: str, on: bool) -> None:
         """Have an instance taken out, or let it serve again."""
@@ -274,13 +273,11 @@
 
     def forget_holders(self, count: int) -> None:
         """Forget the holders told longest ago: their connections set up anew if they come mid-flow."""
-        holders = self._balancer.holders
-        for tag in list(itertools.islice(holders, count)):
-            del holders[tag]
+        self._balancer.sticky_table.forget_oldest(count)
 
     def holders(self) -> int:
         """Count the connections whose holder is remembered."""
-        return len(self._balancer.holders)
+        return len(self._balancer.sticky_table)
 
     # Events
 
@@ -496,7 +493,9 @@
             command.client.look()
         if command is None or self._commands.get(token) is not command:
             return False  # the client has just left
-        return self._open(command.host) and self._balancer.may_begin(self._loop.now_us, token)
+        return self._open(command.host) and self._balancer.may_start_attempt(
+            self._loop.now_us, token
+        )
 
     def _open(self, host: str) -> bool:
         """Guard the drain rule once more: the list may have changed while a connect took its time."""
--- /dev/null
+++ b/larchhaven/routing/admission.py
@@ -0,0 +1,110 @@
+"""Admission: load is shed early rather than servers overloaded, the least priority first."""
+
+from __future__ import annotations
+
+from bisect import bisect_left
+from collections import deque
+from collections.abc import Mapping
+from dataclasses import dataclass
+from itertools import accumulate
+
+from larchhaven.routing.live_peers import LivePeers
+from larchhaven.routing.load_estimate import LoadEstimate
+from larchhaven.routing.ranking import Ranking
+from larchhaven.routing.request import Request
+from larchhaven.routing.server import Server
+from larchhaven.routing.settings import RoutingSettings
+
+PRIORITY_WINDOW = 32  # arrivals among which the priority of the next is ranked
+MIN_LOAD_CORES = 1e-6
+
+
+@dataclass(frozen=True, slots=True)
+class AdmissionThresholds:
+    """At which pressure load is shed; all are ratios of load over capacity.
+
+    Attributes:
+        shed_from_ratio: From here arrivals are rejected, those of the least priority first.
+        shed_all_ratio: From here all are.
+        max_spread_ratio: The pressure lies above the lowest server by so much at most.
+    """
+
+    shed_from_ratio: float = 0.5
+    shed_all_ratio: float = 0.75
+    max_spread_ratio: float = 0.3
+
+
+THRESHOLDS = AdmissionThresholds()
+
+
+class Admission:
+    """Decides whether an arrival is rejected, by its priority and the load of the fleet."""
+
+    def __init__(
+        self,
+        settings: RoutingSettings,
+        live_peers: LivePeers,
+        load_estimate: LoadEstimate,
+        ranking: Ranking,
+        connection_counts: Mapping[int, int],
+    ) -> None:
+        self._has_tenants = bool(settings.tenants)
+        # The last quota is that of requests of no tenant.
+        self._quotas = [*(tenant.connection_quota for tenant in settings.tenants), 0.0]
+        self._over_quota_factor = settings.over_quota_priority_factor
+        self._weighs_priority_by_load = settings.weighs_priority_by_load
+        self._live_peers = live_peers
+        self._load_estimate = load_estimate
+        self._ranking = ranking
+        self._connection_counts = connection_counts
+        self._recent_densities: deque[float] = deque(maxlen=PRIORITY_WINDOW)
+
+    def should_reject(self, request: Request) -> bool:
+        """Return whether an arrival is to be rejected at once; it counts for later ones."""
+        density = self._priority_density(request)
+        rank = self._rank(density)
+        self._recent_densities.append(density)
+        usable = [server for _, server in self._ranking.usable_servers(request)]
+        # Where nobody reports, slow messages alone tell how full the fleet is.
+        has_reports = self._load_estimate.has_reports()
+        open_servers = usable
+        if has_reports:
+            open_servers = [each for each in usable if self._load_estimate.has_capacity(each)]
+        if not open_servers:
+            return bool(usable)
+        weights = list(accumulate(server.weight for server in open_servers))
+        middle = open_servers[bisect_left(weights, weights[-1] / 2)]
+        pressure = self._load_estimate.occupancy_ratio(middle)
+        if has_reports:
+            lowest = self._load_estimate.occupancy_ratio(open_servers[0])
+            pressure = min(pressure, lowest + THRESHOLDS.max_spread_ratio)
+        shed_range = THRESHOLDS.shed_all_ratio - THRESHOLDS.shed_from_ratio
+        return rank < (pressure - THRESHOLDS.shed_from_ratio) / shed_range
+
+    def would_overload(self, request: Request, server: Server) -> bool:
+        """Return whether a request has to be rejected rather than placed on the drawn server.
+
+        A mid-flow connection is placed in any case, and a server of which nothing is known is used.
+        """
+        is_known = server.reported_ratio is not None or server.unreported_load > 0
+        return is_known and not request.is_mid_flow and not self._load_estimate.has_capacity(server)
+
+    def _priority_density(self, request: Request) -> float:
+        """Return the priority of a request for the load that it brings."""
+        priority = request.request_class.priority_weight
+        if self._has_tenants and self._is_over_quota(request.tenant_index):
+            priority *= self._over_quota_factor
+        if self._weighs_priority_by_load:
+            return priority
+        return priority / max(request.load, MIN_LOAD_CORES)
+
+    def _is_over_quota(self, tenant_index: int) -> bool:
+        quota = self._quotas[min(tenant_index, len(self._quotas) - 1)]
+        return quota <= self._connection_counts[tenant_index] * self._live_peers.count
+
+    def _rank(self, density: float) -> float:
+        """Return the fraction of recent arrivals with a lower priority density."""
+        if not self._recent_densities:
+            return 1.0
+        below = sum((d < density) + 0.5 * (d == density) for d in self._recent_densities)
+        return below / len(self._recent_densities)
--- /dev/null
+++ b/larchhaven/routing/attempts.py
@@ -0,0 +1,208 @@
+"""What becomes of attempts: established connections, failures, load and delay on the way."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+
+from larchhaven.routing.actions import CancelAttempt
+from larchhaven.routing.affinity import StickyTable
+from larchhaven.routing.arrival_statistics import ArrivalStatistics
+from larchhaven.routing.circuit_breaker import SHARED_FAILURES, CircuitBreaker
+from larchhaven.routing.connections import ConnectionTable
+from larchhaven.routing.events import (
+    AttemptEnded,
+    AttemptResult,
+    ClientDisconnected,
+    ConnectionEstablished,
+    ConnectionLoadChanged,
+    ConnectionRestored,
+    HealthCheckCompleted,
+    MessageDelayObserved,
+    ServerUnresponsive,
+)
+from larchhaven.routing.health_checks import HealthChecks
+from larchhaven.routing.migration import Migration
+from larchhaven.routing.outlier_ejection import (
+    OUTLIER_RESULTS,
+    SUSPECT_RESULTS,
+    OutlierEjection,
+)
+from larchhaven.routing.placement import Placement
+from larchhaven.routing.ranking import Ranking
+from larchhaven.routing.request import Request, RequestState
+from larchhaven.routing.retries import RetryPolicy
+from larchhaven.routing.scheduler import Scheduler
+from larchhaven.routing.server import Server
+from larchhaven.routing.settings import RoutingSettings
+
+# A failure within this part of the latency objective may be the fault of the request.
+FAST_FAILURE_OBJECTIVES = 0.5
+SLOW_MESSAGE_OBJECTIVES = 3  # a message is slow from the objective divided by this
+
+
+class AttemptEvents:
+    """Learns from how attempts and health checks fare, and goes on with their requests."""
+
+    def __init__(
+        self,
+        settings: RoutingSettings,
+        scheduler: Scheduler,
+        requests: Mapping[int, Request],
+        servers: Mapping[str, Server],
+        connections: ConnectionTable,
+        arrivals: ArrivalStatistics,
+        breaker: CircuitBreaker,
+        ejection: OutlierEjection,
+        retry_policy: RetryPolicy,
+        ranking: Ranking,
+        health_checks: HealthChecks,
+        sticky_table: StickyTable,
+        migration: Migration,
+        placement: Placement,
+    ) -> None:
+        self._can_cancel = settings.can_cancel
+        self._message_objective_us = min(
+            each.message_latency_objective_us or each.latency_objective_us
+            for each in settings.classes
+        )
+        self._scheduler = scheduler
+        self._requests = requests
+        self._servers = servers
+        self._connections = connections
+        self._arrivals = arrivals
+        self._breaker = breaker
+        self._ejection = ejection
+        self._retry_policy = retry_policy
+        self._ranking = ranking
+        self._health_checks = health_checks
+        self._sticky_table = sticky_table
+        self._migration = migration
+        self._placement = placement
+
+    def on_connection_restored(self, event: ConnectionRestored) -> None:
+        """Take in a connection that another process of this proxy established."""
+        request = self._placement.add_request(event.arrival)
+        request.begin_attempt(self._servers.get(event.server_id))
+        request.establish()
+        self._add_connection(request)
+
+    def on_connection_established(self, event: ConnectionEstablished) -> None:
+        """Note that a set-up succeeded."""
+        request = self._requests.get(event.request_id)
+        if request is None or request.attempt_in_flight != event.attempt:
+            return
+        request.establish()
+        self._breaker.record_success()
+        for server in request.suspected_outliers:
+            self._ejection.eject_server(server)  # nothing is wrong with what another one takes
+        self._add_connection(request)
+
+    def on_attempt_ended(self, event: AttemptEnded) -> None:
+        """Learn from how an attempt ended, and retry unless nothing is owed any more."""
+        request = self._requests.get(event.request_id)
+        server = self._servers.get(event.server_id)
+        is_fast = False
+        # A request that no server can use fails at each in turn, and one with no time at any.
+        if request is not None and not request.is_established:
+            objective_us = request.request_class.latency_objective_us
+            is_fast = event.latency_us < FAST_FAILURE_OBJECTIVES * objective_us
+        if server is not None:
+            self._judge_server(server, request, event, is_fast)
+        if request is None or request.attempt_in_flight != event.attempt:
+            return
+        self._count_failure(request, event.result, is_fast)
+        self._end_attempt(request, event)
+        if event.is_final or request.state is RequestState.CLOSED:
+            self._placement.close(request)
+        else:
+            self._placement.place(request)
+
+    def on_client_disconnected(self, event: ClientDisconnected) -> None:
+        """Cancel the attempt of a request whose client left."""
+        request = self._requests.get(event.request_id)
+        if request is None:
+            return
+        attempt = request.attempt_in_flight
+        is_attempting = request.state is RequestState.ATTEMPTING
+        if attempt is not None and is_attempting and self._can_cancel:
+            self._scheduler.emit(CancelAttempt(request.id, attempt))
+        self._placement.close(request)
+
+    def on_connection_load_changed(self, event: ConnectionLoadChanged) -> None:
+        """Learn the load of a connection."""
+        request = self._requests.get(event.request_id)
+        if request is None or request.attempt_in_flight != event.attempt:
+            return
+        self._arrivals.record_class_load(request.class_index, event.load)
+        if request.server is not None:
+            self._ranking.apply_load_change(request.server, event.load - request.load)
+        request.load = event.load
+
+    def on_message_delay_observed(self, event: MessageDelayObserved) -> None:
+        """Rank a server by the delay of its messages; a very long one may show an overload."""
+        server = self._servers.get(event.server_id)
+        if server is None:
+            return
+        objective_us = self._message_objective_us
+        is_slow = event.delay_us > objective_us / SLOW_MESSAGE_OBJECTIVES
+        self._ranking.mark_slow(server, is_slow)
+        if event.delay_us > objective_us:
+            self._migration.check_overload(server)
+
+    def on_server_unresponsive(self, event: ServerUnresponsive) -> None:
+        """Migrate a connection whose server is silent: its client reconnects elsewhere."""
+        request = self._requests.get(event.request_id)
+        server = self._servers.get(event.server_id)
+        if server is not None:
+            self._ejection.eject_server(server)
+        if request is not None and request.attempt_in_flight == event.attempt:
+            self._migration.migrate(request)
+
+    def on_health_check_completed(self, event: HealthCheckCompleted) -> None:
+        """Learn from a health check, and go on with the requests that waited for it."""
+        server = self._servers.get(event.server_id)
+        if server is not None and event.result is AttemptResult.OK:
+            self._ranking.apply_report(server, event.report, event.latency_us)
+            self._migration.rebalance_server(server)
+        elif server is not None and event.result in OUTLIER_RESULTS:
+            self._ejection.eject_server(server)
+        for request in self._health_checks.finish_check(event.server_id):
+            self._placement.resume_after_checks(request)
+
+    def _add_connection(self, request: Request) -> None:
+        self._connections.add_connection(request)
+        if request.server is not None and request.key_hash:
+            # Another proxy knows it too, should this one crash.
+            self._sticky_table.remember_connection(request.key_hash, request.server)
+        self._migration.on_connection_established(request)
+
+    def _judge_server(
+        self, server: Server, request: Request | None, event: AttemptEnded, is_fast: bool
+    ) -> None:
+        """Learn from the end of an attempt what it says of its server."""
+        self._ranking.apply_report(server, event.report, event.latency_us)
+        if request is not None and is_fast and event.result in SUSPECT_RESULTS:
+            request.suspected_outliers.append(server)
+        elif is_fast and event.result is AttemptResult.TIMEOUT:
+            return  # the request had no time left at any server
+        elif event.result in OUTLIER_RESULTS:
+            self._ejection.eject_server(server)
+        elif event.result is AttemptResult.OVERLOADED:
+            self._ranking.mark_full(server)
+
+    def _count_failure(self, request: Request, result: AttemptResult, is_fast: bool) -> None:
+        """Have the circuit breaker count a failed set-up, unless the request may be at fault."""
+        if result not in SHARED_FAILURES or request.is_established:
+            return
+        is_first_error = result is AttemptResult.ERROR and request.attempt_count == 1
+        if is_first_error or not is_fast:
+            self._breaker.record_failure()
+
+    def _end_attempt(self, request: Request, event: AttemptEnded) -> None:
+        if request.is_established:
+            self._connections.remove_connection(request)
+        server = request.server
+        if server is not None:
+            self._ranking.apply_load_change(server, -request.load)
+            self._retry_policy.record_end(request, server, event.result, event.latency_us)
+        request.end_attempt()
--- /dev/null
+++ b/larchhaven/routing/endpoint_list.py
@@ -0,0 +1,174 @@
+"""The endpoint list: watch events, polls after a failure, and administrative ejection."""
+
+from __future__ import annotations
+
+import random
+from dataclasses import replace
+
+from larchhaven.routing.actions import WatchEndpoints
+from larchhaven.routing.events import (
+    AdministrativeEjection,
+    Endpoint,
+    EndpointListKind,
+    EndpointListUpdate,
+    ServerState,
+)
+from larchhaven.routing.hashing import hash_server_id
+from larchhaven.routing.health_checks import HealthChecks
+from larchhaven.routing.load_estimate import LoadEstimate
+from larchhaven.routing.migration import Migration
+from larchhaven.routing.outlier_ejection import OutlierEjection
+from larchhaven.routing.ranking import Ranking
+from larchhaven.routing.scheduler import Scheduler
+from larchhaven.routing.server import Server
+from larchhaven.routing.settings import RoutingSettings
+from larchhaven.routing.slow_start import SlowStart
+
+MIN_BACKOFF_FRACTION = 0.1  # of the time within which a list has to be polled
+MAX_JITTER_FRACTION = 0.5  # of that time: the first poll is out by then
+POLL_INTERVAL_PER_PROXY_US = 125_000  # what the endpoint service needs to answer any proxy at all
+BACKOFF_JITTER_FROM = 1 / 3  # of the backoff
+MIN_WEIGHT = 1e-3
+
+
+class PollBackoff:
+    """When the list is asked for: at the start, and again after failures, ever later."""
+
+    def __init__(self, settings: RoutingSettings, scheduler: Scheduler, rng: random.Random) -> None:
+        self._scheduler = scheduler
+        self._rng = rng
+        # A pushed list counts as known at once, so that drains limit how old it may get.
+        if settings.subscribes_to_endpoints:
+            self._max_backoff_us = settings.poll_deadline_us
+        else:
+            self._max_backoff_us = settings.drain_grace_us // 2
+        min_us = int(MIN_BACKOFF_FRACTION * self._max_backoff_us)
+        max_us = int(MAX_JITTER_FRACTION * self._max_backoff_us)
+        wanted_us = POLL_INTERVAL_PER_PROXY_US * settings.proxy_count
+        self._jitter_window_us = sorted((min_us, max_us, wanted_us))[1]
+        self._backoff_us = 0
+
+    def start_first_poll(self) -> None:
+        """Open the watch at a random time in the jitter window."""
+        delay_us = self._rng.random() * self._jitter_window_us
+        self._scheduler.start_timer(delay_us, self._open_watch)
+
+    def retry_later(self) -> None:
+        """Open the watch again after a backoff that doubles with each failure."""
+        self._backoff_us = max(2 * self._backoff_us, self._jitter_window_us)
+        self._backoff_us = min(self._backoff_us, self._max_backoff_us)
+        delay_us = self._backoff_us * self._rng.uniform(BACKOFF_JITTER_FROM, 1)
+        self._scheduler.start_timer(delay_us, self._open_watch)
+
+    def reset(self) -> None:
+        """Note that a list came."""
+        self._backoff_us = 0
+
+    def _open_watch(self) -> None:
+        self._scheduler.emit(WatchEndpoints())
+
+
+class EndpointList:
+    """Keeps the servers as the list, and the operators, want them.
+
+    Attributes:
+        ejected_server_ids: Servers that operators have taken out, whatever the list says.
+    """
+
+    def __init__(
+        self,
+        servers: dict[str, Server],
+        servers_by_hash: dict[bytes, Server],
+        scheduler: Scheduler,
+        rng: random.Random,
+        backoff: PollBackoff,
+        load_estimate: LoadEstimate,
+        slow_start: SlowStart,
+        ejection: OutlierEjection,
+        ranking: Ranking,
+        health_checks: HealthChecks,
+        migration: Migration,
+    ) -> None:
+        self.ejected_server_ids: set[str] = set()
+        self._servers = servers
+        self._servers_by_hash = servers_by_hash
+        self._scheduler = scheduler
+        self._rng = rng
+        self._backoff = backoff
+        self._load_estimate = load_estimate
+        self._slow_start = slow_start
+        self._ejection = ejection
+        self._ranking = ranking
+        self._health_checks = health_checks
+        self._migration = migration
+
+    def on_endpoint_list_update(self, event: EndpointListUpdate) -> None:
+        """Apply a watch event, or poll again after one that failed."""
+        if event.kind is EndpointListKind.FAILED:
+            self._backoff.retry_later()
+            return
+        self._backoff.reset()
+        if event.kind is not EndpointListKind.CHANGES:
+            self._remove_all_but({endpoint.server_id for endpoint in event.endpoints})
+        for endpoint in event.endpoints:
+            self._apply_endpoint(endpoint)
+
+    def on_administrative_ejection(self, event: AdministrativeEjection) -> None:
+        """Have a server drain whatever the list says, or return as one that starts now."""
+        server = self._servers.get(event.server_id)
+        returns = not event.is_ejected and event.server_id in self.ejected_server_ids
+        if event.is_ejected:
+            self.ejected_server_ids.add(event.server_id)
+        else:
+            self.ejected_server_ids.discard(event.server_id)
+        if server is None:
+            return
+        if returns:
+            self._ejection.reset(server)
+            server.slow_until_us = 0
+            server.full_until_us = 0
+            server.endpoint = replace(server.endpoint, started_at_us=self._scheduler.now_us)
+            self._health_checks.check_returning_server(server)
+        self._apply_endpoint(server.endpoint)
+
+    def _remove_all_but(self, listed_ids: set[str]) -> None:
+        gone = [each.endpoint for each in self._servers.values() if each.id not in listed_ids]
+        for endpoint in gone:
+            self._apply_endpoint(replace(endpoint, state=ServerState.REMOVED))
+
+    def _apply_endpoint(self, endpoint: Endpoint) -> None:
+        server = self._servers.get(endpoint.server_id) or self._add_server(endpoint)
+        server.endpoint = endpoint
+        self._apply_state(server, endpoint)
+        if server.state is ServerState.REMOVED:
+            self._load_estimate.forget_server(server)
+        weight = max(endpoint.weight, MIN_WEIGHT)
+        if server.weight != weight:
+            self._load_estimate.forget_report(server)
+            server.weight = weight
+        if endpoint.started_at_us > server.started_at_us:
+            server.started_at_us = endpoint.started_at_us
+            self._load_estimate.forget_server(server)
+            # With jitter, as not all proxies are to send their first connection together.
+            self._slow_start.begin_warm_up(server, self._rng.random())
+        self._ranking.reorder_server(server)
+
+    def _apply_state(self, server: Server, endpoint: Endpoint) -> None:
+        state = endpoint.state
+        if state is ServerState.READY and server.id in self.ejected_server_ids:
+            state = ServerState.DRAINING
+        begins_to_drain = state is ServerState.DRAINING and server.state is not ServerState.DRAINING
+        if state is not ServerState.READY and server.state is ServerState.READY:
+            server.unready_since_us = self._scheduler.now_us
+        server.state = state
+        server.zone = endpoint.zone
+        server.cell = endpoint.cell
+        if begins_to_drain:
+            self._migration.drain_server(server)
+
+    def _add_server(self, endpoint: Endpoint) -> Server:
+        server_hash = hash_server_id(endpoint.server_id)
+        server = Server(endpoint.server_id, self._rng.random(), server_hash, endpoint)
+        self._servers[server.id] = server
+        self._servers_by_hash[server_hash] = server
+        return server
--- /dev/null
+++ b/larchhaven/routing/hashing.py
@@ -0,0 +1,23 @@
+"""Short hashes that stand for keys and server ids in the sticky table and in gossip."""
+
+from __future__ import annotations
+
+from zlib import crc32
+
+KEY_HASH_BYTES = 4
+SERVER_HASH_BYTES = 2
+
+
+def hash_key(affinity_key: int) -> bytes:
+    """Return the short hash of a connection's affinity key."""
+    return crc32(str(affinity_key).encode()).to_bytes(4, "big")[:KEY_HASH_BYTES]
+
+
+def hash_server_id(server_id: str) -> bytes:
+    """Return the short hash of a server's id, the same at all proxies."""
+    return crc32(server_id.encode()).to_bytes(4, "big")[:SERVER_HASH_BYTES]
+
+
+def hash_group(affinity_group: int) -> int:
+    """Return the hash of an affinity group, the same at all proxies."""
+    return crc32(str(affinity_group).encode())
--- /dev/null
+++ b/larchhaven/routing/migration.py
@@ -0,0 +1,180 @@
+"""Migration of established connections: drains, the shutdown of the proxy, and rebalancing."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Iterable, Mapping
+from dataclasses import dataclass
+from functools import partial
+
+from larchhaven.routing.actions import MigrateConnection
+from larchhaven.routing.arrival_statistics import ArrivalStatistics
+from larchhaven.routing.connections import ConnectionTable
+from larchhaven.routing.events import ProxyDraining, ServerState
+from larchhaven.routing.health_checks import HealthChecks
+from larchhaven.routing.load_estimate import REPORT_LAG_US, LoadEstimate
+from larchhaven.routing.request import Request, RequestState
+from larchhaven.routing.scheduler import Scheduler
+from larchhaven.routing.server import Server
+from larchhaven.routing.settings import RoutingSettings
+
+
+@dataclass(frozen=True, slots=True)
+class RebalancingLimits:
+    """When connections are moved off an overloaded server, and how many.
+
+    Attributes:
+        from_ratio: Load over capacity above which a server is rebalanced.
+        target_ratio: It is brought down to this, or to the mean of the fleet if that is higher.
+        budget_per_request: What a request may spend on migrations, of its value.
+        cool_down_lags: Pause between two rebalancings of a server, in lags of reports.
+    """
+
+    from_ratio: float = 0.9
+    target_ratio: float = 0.75
+    budget_per_request: float = 0.01
+    cool_down_lags: int = 3  # migrated clients reconnect only after a while
+
+
+@dataclass(frozen=True, slots=True)
+class DrainPace:
+    """How fast the connections of a draining server are moved.
+
+    Attributes:
+        max_arrival_multiple: At most so many times as fast as new connections come.
+        max_grace_multiple: But within so many times the drain grace.
+    """
+
+    max_arrival_multiple: float = 4.0
+    max_grace_multiple: float = 2.0
+
+
+REBALANCING = RebalancingLimits()
+DRAIN_PACE = DrainPace()
+SHUTDOWN_FRACTION = 0.8  # of the time left to a proxy, within which its connections are moved
+
+
+class Migration:
+    """Ends established connections politely, so that their clients reconnect elsewhere.
+
+    Attributes:
+        credit: Migrations that rebalancing may still spend; arrivals earn it.
+    """
+
+    def __init__(
+        self,
+        settings: RoutingSettings,
+        scheduler: Scheduler,
+        rng: random.Random,
+        arrivals: ArrivalStatistics,
+        load_estimate: LoadEstimate,
+        health_checks: HealthChecks,
+        connections: ConnectionTable,
+        requests: Mapping[int, Request],
+    ) -> None:
+        self.credit = 0.0
+        self._drain_grace_us = settings.drain_grace_us
+        budget = REBALANCING.budget_per_request
+        self._credit_per_request = min(budget / max(settings.costs.migration, budget), 1.0)
+        self._scheduler = scheduler
+        self._rng = rng
+        self._arrivals = arrivals
+        self._load_estimate = load_estimate
+        self._health_checks = health_checks
+        self._connections = connections
+        self._requests = requests
+        self._shutdown_by_us = 0  # all is to be migrated by then; 0 unless the proxy drains
+
+    def record_arrival(self) -> None:
+        """Add what a request may spend to the credit."""
+        self.credit += self._credit_per_request
+
+    def migrate(self, request: Request) -> None:
+        """Migrate a connection that is established and not closing yet."""
+        if request.state is RequestState.ESTABLISHED:
+            self._scheduler.emit(MigrateConnection(request.id))
+            request.close()
+
+    def on_connection_established(self, request: Request) -> None:
+        """Migrate a new connection too if its server or this proxy drains."""
+        server = request.server
+        if server is not None and server.state is ServerState.DRAINING:
+            self.drain_connections(server, [request])
+        if self._shutdown_by_us:
+            self._migrate_before_shutdown(request)
+
+    def on_proxy_draining(self, event: ProxyDraining) -> None:
+        """Migrate every connection in time, spread evenly so that servers are not flooded."""
+        self._shutdown_by_us = 0
+        if event.within_us:
+            within_us = int(SHUTDOWN_FRACTION * event.within_us)
+            self._shutdown_by_us = self._scheduler.now_us + within_us
+            for request in self._requests.values():
+                self._migrate_before_shutdown(request)
+
+    def drain_server(self, server: Server) -> None:
+        """Migrate all connections of a server that begins to drain."""
+        self.drain_connections(server, list(self._connections.on_server(server).values()))
+
+    def drain_connections(self, server: Server, requests: Iterable[Request]) -> None:
+        """Migrate connections before a draining server cuts them, each at a time of its own.
+
+        They take the grace of the drain, or longer if the servers left would be flooded.
+        """
+        grace_us = self._drain_grace_us
+        max_rate = DRAIN_PACE.max_arrival_multiple * self._arrivals.arrivals_per_us()
+        paced_us = max(len(self._connections.on_server(server)) / max_rate, grace_us)
+        spread_us = min(paced_us, DRAIN_PACE.max_grace_multiple * grace_us)
+        for request in requests:
+            delay_us = self._rng.random() * spread_us
+            self._scheduler.start_timer(delay_us, partial(self._migrate_if_draining, request))
+
+    def rebalance_server(self, server: Server) -> None:
+        """Migrate this proxy's part of an overloaded server's excess, the heaviest first."""
+        ratio = server.reported_ratio or 0.0
+        target = max(self._load_estimate.mean_ratio(), REBALANCING.target_ratio)
+        connections = self._connections.on_server(server)
+        if not target < REBALANCING.from_ratio < ratio or not connections:
+            return
+        if server.migrated_until_us > self._scheduler.now_us:
+            return
+        self._begin_cool_down(server)
+        cool_down_us = server.next_rebalance_at_us - self._scheduler.now_us
+        self._scheduler.start_timer(cool_down_us, partial(self._check_result, server))
+        server.migrated_until_us = server.next_rebalance_at_us
+        excess = (1 - target / ratio) * sum(request.load for request in connections.values())
+        for request in sorted(connections.values(), key=lambda each: -each.load):
+            if excess <= 0 or self.credit < 1:
+                break
+            if self._rng.random() * request.load < excess:
+                self.credit -= 1
+                self.migrate(request)
+            excess -= request.load
+
+    def check_overload(self, server: Server) -> None:
+        """Check a server whose messages are very slow: its report says how much has to move."""
+        is_due = server.next_rebalance_at_us <= self._scheduler.now_us
+        if is_due and self._health_checks.check_for_free(server):
+            self._begin_cool_down(server)
+
+    def _begin_cool_down(self, server: Server) -> None:
+        jitter = 0.5 + self._rng.random()
+        cool_down_us = int(REBALANCING.cool_down_lags * REPORT_LAG_US * jitter)
+        server.next_rebalance_at_us = self._scheduler.now_us + cool_down_us
+
+    def _check_result(self, server: Server) -> None:
+        """See whether the migrations were enough, unless a report or messages have shown it."""
+        now_us = self._scheduler.now_us
+        if now_us - server.reported_at_us > REPORT_LAG_US and server.slow_until_us <= now_us:
+            self._health_checks.spend_check(server)
+
+    def _migrate_before_shutdown(self, request: Request) -> None:
+        time_left_us = max(self._shutdown_by_us - self._scheduler.now_us, 0)
+        delay_us = self._rng.random() * time_left_us
+        self._scheduler.start_timer(delay_us, partial(self._migrate_if_draining, request))
+
+    def _migrate_if_draining(self, request: Request) -> None:
+        server = request.server
+        server_drains = server is not None and server.state is ServerState.DRAINING
+        if self._shutdown_by_us or server_drains:
+            self.migrate(request)
--- /dev/null
+++ b/larchhaven/routing/outlier_ejection.py
@@ -0,0 +1,53 @@
+"""Outlier ejection: a server that fails gets nothing new for a while, longer each time."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Sequence
+
+from larchhaven.routing.events import AttemptResult
+from larchhaven.routing.scheduler import Scheduler
+from larchhaven.routing.server import EJECTION_RESET_US, RankingEntry, Server
+
+BASE_EJECTION_US = 2_000_000
+MAX_EJECTION_US = 30_000_000
+MAX_EJECTED_FRACTION = 0.5  # with more the cause is shared, and ejections are not heeded
+
+OUTLIER_RESULTS = (
+    AttemptResult.ERROR,
+    AttemptResult.TIMEOUT,
+    AttemptResult.RESET,
+    AttemptResult.UNREACHABLE,
+)
+# If they come fast, the request may be at fault: the server is only suspected.
+SUSPECT_RESULTS = (AttemptResult.ERROR, AttemptResult.RESET)
+
+
+class OutlierEjection:
+    """Ejects servers, with jitter so that not all proxies come back to one at once."""
+
+    def __init__(self, scheduler: Scheduler, rng: random.Random) -> None:
+        self._scheduler = scheduler
+        self._rng = rng
+
+    def eject_server(self, server: Server) -> None:
+        """Eject a server that is not ejected yet."""
+        now_us = self._scheduler.now_us
+        if server.ejected_until_us > now_us:
+            return
+        if now_us < server.ejected_until_us + EJECTION_RESET_US:
+            server.ejection_us = min(2 * server.ejection_us, MAX_EJECTION_US)
+        else:
+            server.ejection_us = BASE_EJECTION_US
+        jitter = 0.5 + self._rng.random()
+        server.ejected_until_us = now_us + int(server.ejection_us * jitter)
+
+    def reset(self, server: Server) -> None:
+        """Have a server count as one that was never ejected."""
+        server.ejected_until_us = self._scheduler.now_us - EJECTION_RESET_US
+
+    def is_heeded(self, ranking: Sequence[RankingEntry]) -> bool:
+        """Return whether few enough of the ready servers are ejected; else the cause is shared."""
+        now_us = self._scheduler.now_us
+        ejected = sum(entry[2].ejected_until_us > now_us for entry in ranking)
+        return ejected <= MAX_EJECTED_FRACTION * len(ranking)
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -19,7 +19,7 @@
     StartAttempt,
     StartTimer,
 )
-from larchhaven.routing.balancer import RECENT_MOST, Balancer
+from larchhaven.routing.balancer import Balancer
 from larchhaven.routing.events import (
     AdministrativeEjection,
     AttemptEnded,
@@ -43,6 +43,7 @@
     TimerFired,
 )
 from larchhaven.routing.gossip_messages import GossipMessage, ProxyStarted
+from larchhaven.routing.server import MAX_UNREPORTED_CHANGES
 from larchhaven.routing.settings import OperationCosts, RequestClass, Tenant
 from tests.world import PLAIN, SECOND, START, arrival, balancer, ended, entries, fleet, of, report
 
@@ -339,7 +340,7 @@
     """Guards against clients that wait at a hung server, and against new ones sent after them."""
     b = balancer(4)
     connected(b, 1)
-    server = next(s.id for s in b.fleet.values() if s.conns)
+    server = next(s.id for s in b.servers.values() if b.connections.on_server(s))
     assert of(
         MigrateConnection, b.handle(START + 5, [ServerUnresponsive(0, 0, server, 4_000_000)])
     ) == [MigrateConnection(0)]
@@ -356,7 +357,7 @@
     connected(b, 10)
     b.handle(START + 50, [arrival(10, load=0.01)])
     actions = b.handle(START + 100, [ProxyDraining(3_000_000)])
-    server = b.conns[10].server
+    server = b.requests[10].server
     assert server is not None
     actions = [*actions, *b.handle(START + 101, [ConnectionEstablished(10, 0, server.id, 500)])]
     done = timers_until(b, actions, START + 100, START + 100 + 2_700_000)
@@ -416,7 +417,7 @@
         now += 1000
         sends = of(StartAttempt, b.handle(now, [ended(1, attempt, server, result)]))
         server = sends[0].server_id if sends else server
-    assert [s for s in b.fleet.values() if s.ejected_until > now] == []
+    assert [s for s in b.servers.values() if s.ejected_until_us > now] == []
     assert len(of(StartAttempt, b.handle(now + 1, [arrival(2), arrival(3)]))) == 2
 
 
@@ -426,9 +427,9 @@
     second = of(StartAttempt, b.handle(START + 1000, [ended(1, 0, first, AttemptResult.ERROR)]))[
         0
     ].server_id
-    assert b.fleet[first].ejected_until <= START + 1000
+    assert b.servers[first].ejected_until_us <= START + 1000
     b.handle(START + 2000, [ConnectionEstablished(1, 1, second, 500)])
-    assert b.fleet[first].ejected_until > START + 2000 >= b.fleet[second].ejected_until
+    assert b.servers[first].ejected_until_us > START + 2000 >= b.servers[second].ejected_until_us
 
 
 def test_request_without_time_proves_nothing_of_its_server() -> None:
@@ -436,7 +437,7 @@
     b = balancer(2)
     server = of(StartAttempt, b.handle(START, [arrival(1, budget_us=20_000)]))[0].server_id
     b.handle(START + 20_000, [AttemptEnded(1, 0, server, AttemptResult.TIMEOUT, 20_000, False)])
-    assert b.fleet[server].ejected_until <= START
+    assert b.servers[server].ejected_until_us <= START
 
 
 FLOW = replace(arrival(9), affinity_key=0x7F3A9C21E0B4D655, is_mid_flow=True)
@@ -524,7 +525,7 @@
     assert len(messages) == 3
     assert max(len(encode(message.message)) for message in messages) <= 256
     second.handle(START + 4, messages)
-    assert len(second.holders) == 99
+    assert len(second.sticky_table) == 99
 
 
 def test_one_jammed_server_makes_nobody_refuse_what_the_others_can_take() -> None:
@@ -541,13 +542,12 @@
 def test_server_that_fails_again_soon_stays_out_for_longer() -> None:
     """Guards against a sick server that was let in every two seconds, as one connection had stood between."""
     b = balancer(3)
-    server, now, spans = b.fleet["s0"], START, []
+    server, now, spans = b.servers["s0"], START, []
     for pause in (0, 1_000_000, 1_000_000, 30_000_000):
-        now = max(server.ejected_until, now) + pause
+        now = max(server.ejected_until_us, now) + pause
         b.handle(now, [HealthCheckCompleted("s0", AttemptResult.TIMEOUT, 500_000)])
-        spans.append(server.eject_span)
-        conn = b._admit(arrival(now))
-        conn.out, conn.server = 0, server
+        spans.append(server.ejection_us)
+        b.placement.add_request(arrival(now)).begin_attempt(server)
         b.handle(now, [ConnectionEstablished(now, 0, "s0", 500)])
     assert spans == [2_000_000, 4_000_000, 8_000_000, 2_000_000]
 
@@ -695,9 +695,9 @@
     for i in range(40):  # what an arrival is worth is ranked among others
         b.handle(START, [RequestArrived(i, 0, 1_200_000, load=0.001), ClientDisconnected(i)])
     for i in range(4):
-        b.fleet[f"s{i}"].full_until = START + 2_000_000
-    for server in b.fleet.values():
-        b._reorder(server)
+        b.servers[f"s{i}"].full_until_us = START + 2_000_000
+    for server in b.servers.values():
+        b.ranking.reorder_server(server)
     assert of(RejectRequest, b.handle(START + 1, [arrival(99, load=0.002)]))
 
 
@@ -763,7 +763,7 @@
         given = RequestArrived(request, 0, 1_200_000, tenant_index=tenant, load=0.0001)
         for sent in of(StartAttempt, b.handle(START, [given])):
             b.handle(START, [ConnectionEstablished(sent.request_id, 0, sent.server_id, 500)])
-    assert b.open[1] < 20 <= b.open[0]
+    assert b.connections.count_by_tenant[1] < 20 <= b.connections.count_by_tenant[0]
     b.handle(START, [report(i, 0.62) for i in range(4)])
     late = [
         RequestArrived(100 + tenant, 0, 1_200_000, tenant_index=tenant, load=0.0001)
@@ -773,7 +773,7 @@
     stranger = RequestArrived(102, 0, 1_200_000, tenant_index=2, load=0.0001)
     assert [r.request_id for r in of(RejectRequest, b.handle(START + 1, [stranger]))] == [102]
     b.handle(START + 2, [ended(i, 0, "s0", AttemptResult.OK, finished=True) for i in range(40)])
-    assert not +b.open
+    assert not +b.connections.count_by_tenant
 
 
 @pytest.mark.parametrize(
@@ -788,7 +788,7 @@
     b = balancer(2)
 
     def unseen() -> float:
-        return sum(server.own for server in b.fleet.values())
+        return sum(server.unreported_load for server in b.servers.values())
 
     sent = of(StartAttempt, b.handle(START, [arrival(i, load=0.01) for i in range(20)]))
     b.handle(
@@ -815,7 +815,7 @@
     actions = b.handle(
         START + 2, [AdministrativeEjection("s0", True), AdministrativeEjection("s0", True)]
     )
-    entry = next(e for e in (s.listed for s in b.fleet.values()) if e.server_id == "s0")
+    entry = next(e for e in (s.endpoint for s in b.servers.values()) if e.server_id == "s0")
     gone = replace(entry, state=ServerState.REMOVED)
     b.handle(START + 3, [EndpointListUpdate(EndpointListKind.CHANGES, 2, (gone,))])
     b.handle(
@@ -824,7 +824,7 @@
     )
     again = of(StartAttempt, b.handle(START + 5, [arrival(100 + i, load=0.01) for i in range(20)]))
     assert {send.server_id for send in again} == {"s1"}
-    assert b.avoided(START + 5) == 1
+    assert b.count_unavailable_servers(START + 5) == 1
     timers = [TimerFired(timer.timer_id) for timer in of(StartTimer, actions)]
     moved = {move.request_id for move in of(MigrateConnection, b.handle(START + 6_000_000, timers))}
     assert moved == {send.request_id for send in sent if send.server_id == "s0"}
@@ -845,11 +845,11 @@
         START + 2, [AdministrativeEjection("s0", False), AdministrativeEjection("s0", False)]
     )
     assert [probe.server_id for probe in of(CheckHealth, actions)] == ["s0"]
-    server = b.fleet["s0"]
-    assert server.ratio is None
-    assert server.ejected_until <= START
-    assert server.warm_at > START + 1_000_000
-    assert b.avoided(START + 2) == 0
+    server = b.servers["s0"]
+    assert server.reported_ratio is None
+    assert server.ejected_until_us <= START
+    assert server.warm_at_us > START + 1_000_000
+    assert b.count_unavailable_servers(START + 2) == 0
     late = START + 5_000_000
     b.handle(late, [arrival(i, load=0.01) for i in range(10)])
     sent = of(StartAttempt, b.handle(late + 1, [report(0, 0.0), report(1, 0.1)]))
@@ -880,14 +880,18 @@
     new.handle(START, [])
     told = of(SendGossip, old.handle(START + 3, [GossipReceived(0, ProxyStarted())]))
     new.handle(START + 3, [GossipReceived(0, tell.message) for tell in told] * 2)
-    for name in ("mean_load", "move_credit", "class_load"):
-        assert getattr(new, name) == getattr(old, name) != getattr(balancer(2), name)
-    assert len(new.arrivals) == 12
+    fresh = balancer(2)
+    assert new.arrivals.mean_load == old.arrivals.mean_load != fresh.arrivals.mean_load
+    assert new.migration.credit == old.migration.credit != fresh.migration.credit
+    assert new.arrivals.class_loads == old.arrivals.class_loads != fresh.arrivals.class_loads
+    assert new.arrivals.arrival_count == 12
     new.handle(
         START + 4,
         [GossipReceived(1, zeroed(tell.message)) for tell in told],
     )
-    assert new.mean_load == old.mean_load  # it is between the processes of one instance alone
+    assert (
+        new.arrivals.mean_load == old.arrivals.mean_load
+    )  # it is between the processes of one instance alone
 
 
 def test_connection_that_was_taken_over_is_known_and_moved_like_any_other() -> None:
@@ -920,10 +924,10 @@
 def test_jammed_server_is_looked_at_again_although_nobody_arrives() -> None:
     """Guards clients on a server that stayed jammed for ten seconds: only arrivals had it probed."""
     b = balancer(3, can_check_health=True)
-    sent = [b._admit(arrival(i, load=0.1)) for i in range(8)]
-    for conn in sent:
-        conn.out, conn.server = 0, b.fleet["s0"]
-    b.handle(START, [ConnectionEstablished(conn.id, 0, "s0", 500) for conn in sent])
+    sent = [b.placement.add_request(arrival(i, load=0.1)) for i in range(8)]
+    for request in sent:
+        request.begin_attempt(b.servers["s0"])
+    b.handle(START, [ConnectionEstablished(request.id, 0, "s0", 500) for request in sent])
     actions = b.handle(START + 1, [report(1, 0.2), report(2, 0.2), report(0, 1.3)])
     timers = [TimerFired(timer.timer_id) for timer in of(StartTimer, actions)]
     again = of(CheckHealth, b.handle(START + 4_000_000, timers))
@@ -950,9 +954,9 @@
         assert of(StartAttempt, made.handle(now, [arrival(request)]))
         made.handle(now, [ConnectionEstablished(request, 0, "s0", 1000)])
         made.handle(now, [ended(request, 0, "s0", AttemptResult.OK, finished=True)])
-    server = made.fleet["s0"]
-    assert len(server.recent) == RECENT_MOST
-    assert abs(server.own) < 1e-6
+    server = made.servers["s0"]
+    assert len(server.unreported_changes) == MAX_UNREPORTED_CHANGES
+    assert abs(server.unreported_load) < 1e-6
 
 
 @pytest.mark.parametrize("grace", [300_000, 500_000, 3_000_000])
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -401,7 +401,7 @@
         for tell in of(SendGossip, told):
             assert tell.peer_index is not None
             tier[tell.peer_index].handle(START + 1, [GossipReceived(key % 40, tell.message)])
-    before = [sum(tag in b.holders for b in tier) for tag in (_tag(key) for key in keys)]
+    before = [sum(tag in b.sticky_table for b in tier) for tag in (_tag(key) for key in keys)]
     assert min(before) >= 4
     for i in range(40):
         tier[i], asked = started(i)
@@ -417,7 +417,7 @@
             )
             for answer in answers:
                 tier[i].handle(START + 2, [GossipReceived(ask.peer_index, answer.message)])
-    assert all(sum(_tag(key) in b.holders for b in tier) >= 3 for key in keys)
+    assert all(sum(_tag(key) in b.sticky_table for b in tier) >= 3 for key in keys)
 
 
 def _tag(key: int) -> bytes:
