--- a/larchhaven/routing/admission.py
+++ b/larchhaven/routing/admission.py
@@ -8,6 +8,7 @@
 from dataclasses import dataclass
 from itertools import accumulate
 
+from larchhaven.routing.arrival_statistics import MIN_LOAD_CORES
 from larchhaven.routing.live_peers import LivePeers
 from larchhaven.routing.load_estimate import LoadEstimate
 from larchhaven.routing.ranking import Ranking
@@ -16,7 +17,6 @@
 from larchhaven.routing.settings import RoutingSettings
 
 PRIORITY_WINDOW = 32  # arrivals among which the priority of the next is ranked
-MIN_LOAD_CORES = 1e-6
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,6 +42,7 @@
 
     def __init__(
         self,
+        *,
         settings: RoutingSettings,
         live_peers: LivePeers,
         load_estimate: LoadEstimate,
--- a/larchhaven/routing/arrival_statistics.py
+++ b/larchhaven/routing/arrival_statistics.py
@@ -9,6 +9,7 @@
 
 INITIAL_LOAD_CORES = 0.04  # of a connection, before any load is reported
 SAMPLE_WEIGHT = 0.05  # of a new sample in the moving means
+MIN_LOAD_CORES = 1e-6  # a load that is divided by counts as this at least
 ARRIVAL_WINDOW_US = 5_000_000  # several report lags, so that bursts show
 
 
--- a/larchhaven/routing/attempts.py
+++ b/larchhaven/routing/attempts.py
@@ -45,6 +45,7 @@
 
     def __init__(
         self,
+        *,
         settings: RoutingSettings,
         scheduler: Scheduler,
         requests: Mapping[int, Request],
--- a/larchhaven/routing/endpoint_list.py
+++ b/larchhaven/routing/endpoint_list.py
@@ -77,6 +77,7 @@
 
     def __init__(
         self,
+        *,
         servers: dict[str, Server],
         servers_by_hash: dict[bytes, Server],
         scheduler: Scheduler,
@@ -125,8 +126,7 @@
             return
         if returns:
             self._ejection.reset(server)
-            server.slow_until_us = 0
-            server.full_until_us = 0
+            self._ranking.clear_penalties(server)
             server.endpoint = replace(server.endpoint, started_at_us=self._scheduler.now_us)
             self._health_checks.check_returning_server(server)
         self._apply_endpoint(server.endpoint)
--- a/larchhaven/routing/events.py
+++ b/larchhaven/routing/events.py
@@ -34,7 +34,7 @@
 
     OK = auto()
     ERROR = auto()
-    OVERLOADED = auto()  # the server was full and turned it away
+    OVERLOADED = auto()  # the server was full and rejected it
     TIMEOUT = auto()
     UNREACHABLE = auto()
     RESET = auto()
--- a/larchhaven/routing/migration.py
+++ b/larchhaven/routing/migration.py
@@ -63,6 +63,7 @@
 
     def __init__(
         self,
+        *,
         settings: RoutingSettings,
         scheduler: Scheduler,
         rng: random.Random,
--- a/larchhaven/routing/peer_gossip.py
+++ b/larchhaven/routing/peer_gossip.py
@@ -25,6 +25,7 @@
 
     def __init__(
         self,
+        *,
         proxy_index: int,
         scheduler: Scheduler,
         requests: Mapping[int, Request],
--- a/larchhaven/routing/placement.py
+++ b/larchhaven/routing/placement.py
@@ -34,6 +34,7 @@
 
     def __init__(
         self,
+        *,
         settings: RoutingSettings,
         scheduler: Scheduler,
         rng: random.Random,
--- a/larchhaven/routing/ranking.py
+++ b/larchhaven/routing/ranking.py
@@ -43,10 +43,15 @@
 
 
 class Ranking:
-    """The ready servers, lowest ratio first."""
+    """The ready servers, lowest ratio first.
+
+    Attributes:
+        entries: Ratio, tie-break and server of each, in order.
+    """
 
     def __init__(
         self,
+        *,
         settings: RoutingSettings,
         scheduler: Scheduler,
         servers: Mapping[str, Server],
@@ -64,6 +69,7 @@
         self._live_peers = live_peers
         self._arrivals = arrivals
         self._load_estimate = load_estimate
+        self._load_ratio = load_estimate.load_ratio  # called for each change: saves a look-up
         self._ejection = ejection
         self._retry_policy = retry_policy
         self._ranked_at_us = 0
@@ -101,6 +107,11 @@
         server.slow_until_us = self._scheduler.now_us + SLOW_OR_FULL_US if is_slow else 0
         self.reorder_server(server)
 
+    def clear_penalties(self, server: Server) -> None:
+        """Have a server count as neither slow nor full; its place stays until it is reordered."""
+        server.slow_until_us = 0
+        server.full_until_us = 0
+
     def near_ties(self, request: Request, *, for_health_check: bool = False) -> Candidates:
         """Return the servers that a request may be placed on, and the share of each.
 
@@ -150,8 +161,7 @@
         """Return its load, the cost of crossing zones, and a penalty while it is slow or full."""
         cross_zone = self._cross_zone_cost if server.zone != self._zone else 0.0
         penalized = max(server.slow_until_us, server.full_until_us) > self._scheduler.now_us
-        load_ratio = self._load_estimate.load_ratio(server)
-        return load_ratio + cross_zone + FULL_PENALTY_RATIO * penalized
+        return self._load_ratio(server) + cross_zone + FULL_PENALTY_RATIO * penalized
 
     def _rank_all(self) -> None:
         self._ranked_at_us = self._scheduler.now_us
--- a/larchhaven/routing/request.py
+++ b/larchhaven/routing/request.py
@@ -42,13 +42,14 @@
     """A request, and the connection it becomes.
 
     The methods are its transitions; an event that means nothing in a state leaves it as it is.
+    The module named behind an attribute is the only other one that changes it.
 
     Attributes:
         id: Its number.
         class_index: Its class, by index into the settings.
         request_class: What is promised for that class.
         deadline_us: When its final answer is due.
-        load: Load of its connection, in cores; an estimate until it is reported.
+        load: Load of its connection, in cores; an estimate until reported (``attempts``).
         key_hash: Short hash of its affinity key; empty if it has none.
         is_mid_flow: Whether its connection was established through another proxy.
         group_hash: Hash of its affinity group, if it has one.
@@ -58,13 +59,15 @@
         attempt_count: Attempts begun so far.
         attempt_in_flight: The number of the attempt in flight, if there is one.
         server: Where the last attempt went.
-        first_executed_on: Where an attempt may have been executed first, if one may have been.
-        first_executed_at_us: When that was.
-        tried_servers: Servers at which an attempt failed.
-        suspected_outliers: Servers that failed fast; the request may be at fault instead.
-        pending_checks: Health checks that it waits for.
-        checked_servers: Servers that were checked for it.
-        wait_count: Waits begun or ended, so that a stale timer does not end a later one.
+        first_executed_on: Where an attempt may have been executed first, if one may (``retries``).
+        first_executed_at_us: When that was (``retries``).
+        tried_servers: Servers at which an attempt failed (``retries``).
+        suspected_outliers: Servers that failed fast; the request may be at fault instead
+            (``attempts``).
+        pending_checks: Health checks that it waits for (``health_checks``).
+        checked_servers: Servers that were checked for it (``health_checks``).
+        wait_count: Waits begun or ended, so that a stale timer does not end a later one
+            (``placement``).
     """
 
     id: int
--- a/larchhaven/routing/retries.py
+++ b/larchhaven/routing/retries.py
@@ -65,7 +65,7 @@
         return server.cell == first.cell
 
     def final_answer(self, request: Request) -> RejectRequest | FailRequest:
-        """Return the answer to a request that gets no more attempts: a rejection invites retries."""
+        """Return the answer to a request without further attempts: a rejection invites retries."""
         request_class = request.request_class
         client_may_retry = request_class.idempotency is Idempotency.ALWAYS or (
             request_class.idempotency is Idempotency.WITH_KEY
--- a/larchhaven/routing/settings.py
+++ b/larchhaven/routing/settings.py
@@ -1,4 +1,4 @@
-"""What a proxy is told at its start: the settings that the decisions go by.
+"""The settings that the decisions of a proxy go by, as given at its start.
 
 Durations are microseconds, loads are standard cores (seconds of work per second).
 """
@@ -107,7 +107,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingSettings:
-    """What a proxy is told at its start; everything else it has to observe.
+    """What is given to a proxy at its start; everything else it has to observe.
 
     Attributes:
         classes: The classes of request, by index.
--- a/larchhaven/routing/slow_start.py
+++ b/larchhaven/routing/slow_start.py
@@ -4,7 +4,7 @@
 
 import math
 
-from larchhaven.routing.arrival_statistics import ArrivalStatistics
+from larchhaven.routing.arrival_statistics import MIN_LOAD_CORES, ArrivalStatistics
 from larchhaven.routing.live_peers import LivePeers
 from larchhaven.routing.scheduler import Scheduler
 from larchhaven.routing.server import Server
@@ -12,7 +12,6 @@
 
 # All proxies together fill a cold server at this fraction of the multiple at which it collapses.
 FILL_FRACTION = 0.8
-MIN_LOAD_CORES = 1e-6
 MIN_GROWTH = 1e-9
 
 
