--- a/larchhaven/routing/health_checks.py
+++ b/larchhaven/routing/health_checks.py
@@ -67,7 +67,8 @@
         servers, shares = self._ranking.near_ties(request, for_health_check=True)
         count = 0
         if self._may_wait(request, max_wait_us):
-            count = min(int(self._credit), len(servers))
+            # The credit is below zero after checks that were begun whatever it was.
+            count = max(min(int(self._credit), len(servers)), 0)
         # Twice as many draws as checks, less those drawn twice.
         drawn = self._rng.choices(servers, shares, k=2 * count) if count else []
         now_us = self._scheduler.now_us
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -974,3 +974,19 @@
     for turn in range(6):
         failed = made.handle(START + turn * SECOND, [EndpointListUpdate(EndpointListKind.FAILED)])
         assert [action.delay_us <= grace // 2 for action in of(StartTimer, failed)] == [True]
+
+
+def test_arrival_is_held_where_no_server_is_left_and_checks_were_begun_beyond_the_credit() -> None:
+    """Guards the process: servers that operators called back were checked at once, on credit.
+
+    With two checks owed and no server to choose from, the draw among none raised IndexError.
+    """
+    b = balancer(2, can_check_health=True)
+    for _ in range(10):
+        for server in ("s0", "s1"):
+            b.handle(START + 1, [AdministrativeEjection(server, True)])
+            b.handle(START + 1, [AdministrativeEjection(server, False)])
+    actions = b.handle(START + 2, [fleet(2, state=ServerState.DRAINING), arrival(1)])
+    assert len(of(StartTimer, actions)) == 1
+    assert of(StartAttempt, actions) == []
+    assert of(RejectRequest, actions) == []
