--- a/larchhaven/net/control/dispatcher.py
+++ b/larchhaven/net/control/dispatcher.py
@@ -7,7 +7,6 @@
 
 from __future__ import annotations
 
-import itertools
 from collections.abc import Callable
 from dataclasses import replace
 from functools import partial
@@ -193,7 +192,7 @@
 
     def count_unavailable_servers(self) -> int:
         """Count the listed servers that get nothing new at present."""
-        return self._balancer.avoided(self._loop.now_us)
+        return self._balancer.count_unavailable_servers(self._loop.now_us)
 
     def set_administrative_ejection(self, server_id: str, is_ejected: bool) -> None:
         """Have a server taken out, or let it serve again."""
@@ -215,13 +214,11 @@
 
     def evict_sticky_entries(self, count: int) -> None:
         """Forget the holders told longest ago: their connections set up anew if they come mid-flow."""
-        holders = self._balancer.holders
-        for tag in list(itertools.islice(holders, count)):
-            del holders[tag]
+        self._balancer.sticky_table.forget_oldest(count)
 
     def count_sticky_entries(self) -> int:
         """Count the connections whose holder is remembered."""
-        return len(self._balancer.holders)
+        return len(self._balancer.sticky_table)
 
     # Events
 
@@ -447,7 +444,7 @@
             request.client.read_available()
         if request is None or self._requests.get(request_id) is not request:
             return False  # the client has just left
-        return self._open(request.server_id) and self._balancer.may_begin(
+        return self._open(request.server_id) and self._balancer.may_start_attempt(
             self._loop.now_us, request_id
         )
 
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -20,6 +20,7 @@
     "net/control/membership_report.py",
     "net/control/membership_switch.py",
     "net/control/membership_transport.py",
+    "routing",
     "simulator",
 )
 PURE = ("routing", "gossip", "membership", "memory")
