--- /dev/null
+++ b/tests/routing/test_admission.py
@@ -0,0 +1,222 @@
+"""Load is shed before servers are overloaded, the least priority first."""
+
+from __future__ import annotations
+
+import pytest
+
+from larchhaven.routing.actions import CheckHealth, RejectRequest, StartAttempt
+from larchhaven.routing.events import (
+    AttemptResult,
+    ClientDisconnected,
+    ConnectionEstablished,
+    Endpoint,
+    EndpointListKind,
+    EndpointListUpdate,
+    HealthCheckCompleted,
+    LoadReport,
+    MessageDelayObserved,
+    RequestArrived,
+)
+from larchhaven.routing.settings import OperationCosts, RequestClass, Tenant
+from tests.routing.builders import (
+    START_US,
+    actions_of,
+    attempt_ended,
+    chosen_servers,
+    load_report,
+    make_balancer,
+    rejected_requests,
+    request_arrived,
+)
+
+
+def test_full_fleet_rejects_the_least_priority_for_its_load_first() -> None:
+    """Guards against an overload of the whole fleet: once all was placed however full it was."""
+    low = RequestClass(latency_objective_us=300_000, deadline_us=1_200_000, priority_weight=1.0)
+    high = RequestClass(latency_objective_us=300_000, deadline_us=1_200_000, priority_weight=5.0)
+    balancer = make_balancer(4, classes=(low, high), weighs_priority_by_load=True)
+    balancer.handle(START_US, [load_report(i, 0.2) for i in range(4)])
+    for request in range(20):
+        actions = balancer.handle(
+            START_US + 1, [RequestArrived(request, request % 2, 1_200_000, load=0.001)]
+        )
+        assert actions_of(RejectRequest, actions) == []
+    balancer.handle(START_US + 2, [load_report(i, 0.62) for i in range(4)])
+    rejected = [
+        actions_of(
+            RejectRequest,
+            balancer.handle(START_US + 3, [RequestArrived(100 + n, n, 1_200_000, load=0.001)]),
+        )
+        for n in (0, 1)
+    ]
+    assert [len(r) for r in rejected] == [1, 0]
+
+
+def test_cost_of_crossing_zones_makes_no_server_look_full() -> None:
+    """Guards admission where crossing is expensive: idle servers elsewhere once seemed full."""
+    balancer = make_balancer(0, zone_count=2, costs=OperationCosts(cross_zone=0.8))
+    servers = [Endpoint(f"s{i}", zone=int(i > 0)) for i in range(5)]
+    balancer.handle(START_US, [EndpointListUpdate(EndpointListKind.COMPLETE, 2, tuple(servers))])
+    balancer.handle(START_US, [load_report(0, 0.7), *(load_report(i, 0.1) for i in range(1, 5))])
+    for i in range(40):  # priorities are ranked among those before
+        balancer.handle(
+            START_US, [RequestArrived(i, 0, 1_200_000, load=0.001), ClientDisconnected(i)]
+        )
+    assert (
+        actions_of(RejectRequest, balancer.handle(START_US + 1, [request_arrived(99, load=0.002)]))
+        == []
+    )
+    balancer.handle(START_US + 2, [load_report(i, 0.9) for i in range(5)])
+    assert actions_of(
+        RejectRequest, balancer.handle(START_US + 3, [request_arrived(100, load=0.002)])
+    )
+
+
+def test_rejections_end_when_the_overload_is_over() -> None:
+    """Guards against rejections that feed themselves: they led to no checks, old reports stood."""
+    balancer = make_balancer(3, can_check_health=True)
+    balancer.handle(START_US, [load_report(i, 0.95) for i in range(3)])
+    checked: set[str] = set()
+    for request in range(9):
+        now = START_US + (request + 1) * 100_000
+        actions = balancer.handle(now, [request_arrived(request)])
+        assert len(actions_of(RejectRequest, actions)) == 1
+        for check in actions_of(CheckHealth, actions):
+            checked.add(check.server_id)
+            balancer.handle(
+                now + 1,
+                [
+                    HealthCheckCompleted(
+                        check.server_id, AttemptResult.OK, 1, LoadReport(load_ratio=0.95)
+                    )
+                ],
+            )
+    assert checked == {"s0", "s1", "s2"}
+    balancer.handle(START_US + 2_000_000, [load_report(i, 0.2) for i in range(3)])
+    assert (
+        actions_of(RejectRequest, balancer.handle(START_US + 2_000_001, [request_arrived(99)]))
+        == []
+    )
+
+
+def test_fleet_is_as_full_as_its_capacity_not_as_its_servers() -> None:
+    """Guards against rejections because small servers are full: all once counted alike."""
+    balancer = make_balancer(0)
+    small = [Endpoint(f"s{i}", weight=0.5) for i in range(3)]
+    balancer.handle(
+        START_US,
+        [EndpointListUpdate(EndpointListKind.COMPLETE, 2, (*small, Endpoint("s3", weight=8.0)))],
+    )
+    balancer.handle(
+        START_US,
+        [load_report(0, 0.95), load_report(1, 0.95), load_report(2, 0.95), load_report(3, 0.2)],
+    )
+    assert actions_of(RejectRequest, balancer.handle(START_US + 1, [request_arrived(1)])) == []
+
+
+def test_one_overloaded_server_causes_no_rejection_of_what_the_others_can_take() -> None:
+    """Guards against rejections by the mean: one overload once had half of all rejected."""
+    balancer = make_balancer(5)
+    balancer.handle(START_US, [load_report(0, 2.0), *(load_report(i, 0.45) for i in range(1, 5))])
+    balancer.handle(START_US, [RequestArrived(i, 0, 1_200_000, load=0.001) for i in range(40)])
+    # The least priority for its load.
+    heavy = balancer.handle(START_US + 1, [request_arrived(99, load=0.002)])
+    assert [send.request_id for send in actions_of(StartAttempt, heavy)] == [99]
+    balancer.handle(START_US + 2, [load_report(i, 0.9) for i in range(5)])
+    assert actions_of(
+        RejectRequest, balancer.handle(START_US + 3, [request_arrived(100, load=0.002)])
+    )
+
+
+def test_servers_that_take_nothing_new_do_not_make_the_fleet_look_empty() -> None:
+    """Guards admission where connections run out before load does.
+
+    Ten of fifteen servers were at their cap of connections with ratios of 0.5 to 0.7; by the
+    reports of all the fleet had capacity, and 85% of the attempts were rejected or overloaded the
+    other five.
+    """
+    balancer = make_balancer(6)
+    balancer.handle(START_US, [load_report(i, 0.3 if i < 4 else 0.8) for i in range(6)])
+    for i in range(40):  # priorities are ranked among those before
+        balancer.handle(
+            START_US, [RequestArrived(i, 0, 1_200_000, load=0.001), ClientDisconnected(i)]
+        )
+    for i in range(4):
+        balancer.servers[f"s{i}"].full_until_us = START_US + 2_000_000
+    for server in balancer.servers.values():
+        balancer.ranking.reorder_server(server)
+    assert actions_of(
+        RejectRequest, balancer.handle(START_US + 1, [request_arrived(99, load=0.002)])
+    )
+
+
+def test_messages_that_are_slow_everywhere_cause_no_rejection() -> None:
+    """Guards sites whose messages take long at any load: a penalty on all makes no full fleet."""
+    balancer = make_balancer(3)
+    balancer.handle(START_US, [load_report(i, 0.2) for i in range(3)])
+    balancer.handle(START_US, [MessageDelayObserved(99, 0, f"s{i}", 90_000.0) for i in range(3)])
+    sent = balancer.handle(START_US + 1, [request_arrived(n, load=0.001) for n in range(20)])
+    assert len(actions_of(StartAttempt, sent)) == 20
+    balancer = make_balancer(3)  # without a report nothing else shows an overload
+    balancer.handle(START_US, [MessageDelayObserved(99, 0, f"s{i}", 90_000.0) for i in range(3)])
+    assert (
+        len(
+            actions_of(
+                RejectRequest,
+                balancer.handle(START_US + 1, [request_arrived(n, load=0.001) for n in range(20)]),
+            )
+        )
+        == 20
+    )
+
+
+def test_cold_server_that_is_empty_is_used_while_the_others_are_full() -> None:
+    """Guards a release: by the median all arrivals were rejected beside an empty server."""
+    balancer = make_balancer(4)
+    balancer.handle(START_US, [load_report(i, 0.82) for i in range(3)])
+    for i in range(40):
+        balancer.handle(
+            START_US, [RequestArrived(i, 0, 1_200_000, load=0.001), ClientDisconnected(i)]
+        )
+    assert actions_of(
+        RejectRequest, balancer.handle(START_US + 1, [request_arrived(98, load=0.002)])
+    )
+    balancer.handle(START_US + 2, [load_report(3, 0.1)])
+    assert chosen_servers(balancer.handle(START_US + 3, [request_arrived(99, load=0.002)])) == [
+        "s3"
+    ]
+
+
+@pytest.mark.parametrize("proxy_count", [1, 2])
+def test_traffic_over_a_tenants_quota_is_shed_first(proxy_count: int) -> None:
+    """Guards a tenant within its quota, who must not pay for the surplus of another."""
+    tenants = tuple(
+        Tenant(capacity_fraction=0.5, connection_quota=20.0 * proxy_count) for _ in range(2)
+    )
+    balancer = make_balancer(
+        4, tenants=tenants, over_quota_priority_factor=0.2, proxy_count=proxy_count
+    )
+    balancer.handle(START_US, [load_report(i, 0.2) for i in range(4)])
+    for request in range(
+        40
+    ):  # the first member fills its quota with this proxy's part, the second half
+        tenant = int(request % 3 == 2)
+        given = RequestArrived(request, 0, 1_200_000, tenant_index=tenant, load=0.0001)
+        for sent in actions_of(StartAttempt, balancer.handle(START_US, [given])):
+            balancer.handle(
+                START_US, [ConnectionEstablished(sent.request_id, 0, sent.server_id, 500)]
+            )
+    assert balancer.connections.count_by_tenant[1] < 20 <= balancer.connections.count_by_tenant[0]
+    balancer.handle(START_US, [load_report(i, 0.62) for i in range(4)])
+    late = [
+        RequestArrived(100 + tenant, 0, 1_200_000, tenant_index=tenant, load=0.0001)
+        for tenant in (0, 1)
+    ]
+    assert rejected_requests(balancer.handle(START_US + 1, late)) == [100]
+    stranger = RequestArrived(102, 0, 1_200_000, tenant_index=2, load=0.0001)
+    assert rejected_requests(balancer.handle(START_US + 1, [stranger])) == [102]
+    balancer.handle(
+        START_US + 2,
+        [attempt_ended(i, 0, "s0", AttemptResult.OK, finished=True) for i in range(40)],
+    )
+    assert not +balancer.connections.count_by_tenant
--- /dev/null
+++ b/tests/routing/test_slow_start.py
@@ -0,0 +1,99 @@
+"""A server that has just started is filled no faster than it warms up."""
+
+from __future__ import annotations
+
+import random
+from dataclasses import replace
+
+import pytest
+
+from larchhaven.routing.actions import StartAttempt
+from larchhaven.routing.balancer import Balancer
+from larchhaven.routing.events import (
+    AttemptResult,
+    Endpoint,
+    EndpointListKind,
+    EndpointListUpdate,
+    HealthCheckCompleted,
+    LoadReport,
+)
+from tests.routing.builders import (
+    BASIC_SETTINGS,
+    SECOND_US,
+    START_US,
+    actions_of,
+    load_report,
+    make_balancer,
+    request_arrived,
+)
+
+
+def test_cold_server_is_filled_as_the_collapse_multiple_allows() -> None:
+    """Guards other deployments: a pace fitted to one multiple left servers idle at another."""
+    sent = []
+    for multiple in (2.0, 4.0):
+        balancer = make_balancer(
+            0, slow_start_us=10_000_000, slow_start_initial_fraction=0.5, collapse_multiple=multiple
+        )
+        started = Endpoint("s0", weight=4.0, started_at_us=START_US)
+        balancer.handle(START_US, [EndpointListUpdate(EndpointListKind.COMPLETE, 2, (started,))])
+        made = [
+            balancer.handle(START_US + n * 10_000, [request_arrived(n, load=0.04)])
+            for n in range(200)
+        ]
+        sent.append(sum(len(actions_of(StartAttempt, actions)) for actions in made))
+    assert 1.8 * sent[0] <= sent[1] <= 2.2 * sent[0], sent
+
+
+def test_cold_servers_take_their_part_while_the_warm_ones_are_near_full() -> None:
+    """Guards a release of the servers: clients of all that drained went to the one still warm."""
+    taken = 0
+    for seed in range(20):
+        balancer = make_balancer(1, seed, proxy_count=2)
+        new = Endpoint("new", started_at_us=START_US)
+        balancer.handle(START_US, [EndpointListUpdate(EndpointListKind.CHANGES, 2, (new,))])
+        for step in range(50):
+            now = START_US + 1 + step * 100_000
+            actions = balancer.handle(now, [load_report(0, 0.5), request_arrived(step, load=0.1)])
+            taken += sum(send.server_id == "new" for send in actions_of(StartAttempt, actions))
+    assert taken / 20 >= 2  # about a quarter of its capacity in the first half of its warm-up
+
+
+@pytest.mark.parametrize("proxy_count", [1, 40, 250])
+def test_cold_server_is_filled_slowly_by_all_proxies_together(proxy_count: int) -> None:
+    """Guards slow start: many proxies must not all send their first connection at once."""
+    sent = []
+    listed = (
+        *(Endpoint(f"s{i}", weight=2.0) for i in range(4)),
+        Endpoint("new", weight=2.0, started_at_us=START_US),
+    )
+    rate = 20 / proxy_count  # arrivals a second at each
+    for index in range(proxy_count):
+        balancer = Balancer(
+            replace(BASIC_SETTINGS, proxy_count=proxy_count, proxy_index=index), index
+        )
+        balancer.handle(START_US, [EndpointListUpdate(EndpointListKind.COMPLETE, 1, listed)])
+        balancer.handle(
+            START_US,
+            [
+                HealthCheckCompleted(f"s{i}", AttemptResult.OK, 1, LoadReport(load_ratio=0.3))
+                for i in range(4)
+            ],
+        )
+        rng, now, request = random.Random(index), START_US + 1, 0
+        while (
+            now := now + int(rng.expovariate(rate) * SECOND_US)
+        ) < START_US + BASIC_SETTINGS.slow_start_us:
+            request += 1
+            for send in actions_of(
+                StartAttempt, balancer.handle(now, [request_arrived(request, load=0.02)])
+            ):
+                if send.server_id == "new":
+                    sent.append(now)
+    # It can hold 50 connections of the initial load, and warms up meanwhile.
+    for begin in range(START_US, START_US + BASIC_SETTINGS.slow_start_us, SECOND_US):
+        warmth = 0.3 + 0.7 * (begin - START_US) / BASIC_SETTINGS.slow_start_us
+        inside = sum(begin <= at < begin + BASIC_SETTINGS.collapse_delay_us for at in sent)
+        per_window = 50 * BASIC_SETTINGS.collapse_delay_us / BASIC_SETTINGS.slow_start_us
+        assert inside <= BASIC_SETTINGS.collapse_multiple * warmth * per_window + 2
+    assert len(sent) >= 3
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -19,7 +19,7 @@
 from larchhaven.net.core.event_loop import EventLoop
 from larchhaven.net.core.rate_limited_log import RateLimitedLog
 from larchhaven.routing.events import AttemptResult, Endpoint, EndpointListKind, EndpointListUpdate
-from tests.world import PLAIN
+from tests.routing.builders import BASIC_SETTINGS as PLAIN
 
 
 @dataclass
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -18,8 +18,8 @@
 from larchhaven.net.graceful_shutdown import LOOK_US, Stopping
 from larchhaven.routing.events import Endpoint
 from larchhaven.routing.settings import DeduplicationScope, Idempotency
+from tests.routing.builders import BASIC_SETTINGS as PLAIN
 from tests.test_leaks import LINE, Bench
-from tests.world import PLAIN
 
 PAIR = (Endpoint("s0"), Endpoint("s1"))
 WINDOW_US = 100_000
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -45,7 +45,13 @@
 from larchhaven.routing.gossip_messages import GossipMessage, SharedLoadReports
 from larchhaven.routing.settings import RoutingSettings
 
-from .world import PLAIN, START, arrival, balancer, fleet, of, report
+from .routing.builders import BASIC_SETTINGS as PLAIN
+from .routing.builders import START_US as START
+from .routing.builders import actions_of as of
+from .routing.builders import endpoint_list as fleet
+from .routing.builders import load_report as report
+from .routing.builders import make_balancer as balancer
+from .routing.builders import request_arrived as arrival
 
 
 def load_reports(entries: bytes) -> SharedLoadReports:
--- a/tests/test_leaks.py
+++ b/tests/test_leaks.py
@@ -35,7 +35,7 @@
 from larchhaven.net.text_protocol.upstream_attempt import TextExecution
 from larchhaven.routing.events import Endpoint, EndpointListKind, EndpointListUpdate
 from larchhaven.routing.settings import RoutingSettings
-from tests.world import PLAIN
+from tests.routing.builders import BASIC_SETTINGS as PLAIN
 
 BUFFERS = 12
 SERVERS = (Endpoint("s0"),)
