--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -19,7 +19,7 @@
 from larchhaven.net.core.event_loop import EventLoop
 from larchhaven.net.core.rate_limited_log import RateLimitedLog
 from larchhaven.routing.events import AttemptResult, Endpoint, EndpointListKind, EndpointListUpdate
-from tests.world import PLAIN
+from tests.routing.builders import BASIC_SETTINGS
 
 
 @dataclass
@@ -75,7 +75,7 @@
 @pytest.fixture
 def dispatcher(world: World) -> Dispatcher:
     loop = EventLoop()
-    made = Dispatcher(loop, RateLimitedLog(loop), PLAIN, 1, Metrics.for_classes(["chat"]))
+    made = Dispatcher(loop, RateLimitedLog(loop), BASIC_SETTINGS, 1, Metrics.for_classes(["chat"]))
     nothing: Any = lambda *_: None  # noqa: E731
     made.attach_transport(Transport(world, world.begin, *[nothing] * 7))
     made.queue_event(EndpointListUpdate(EndpointListKind.COMPLETE, 1, (Endpoint("s0"),)))
@@ -93,7 +93,7 @@
     assert dispatcher.attempts.may_send_request(token)
     world.told = dispatcher._loop.now_us
     assert dispatcher.attempts.may_send_request(token)
-    world.told = dispatcher._loop.now_us - PLAIN.drain_grace_us + DRAIN_GRACE_MARGIN_US
+    world.told = dispatcher._loop.now_us - BASIC_SETTINGS.drain_grace_us + DRAIN_GRACE_MARGIN_US
     assert not dispatcher.attempts.may_send_request(token)
     assert not dispatcher.attempts.may_send_request(token + 1)
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -33,7 +33,15 @@
     TimerFired,
 )
 from tests.gossip.test_shared_health_checks import large_fleet_settings
-from tests.world import PLAIN, START, arrival, balancer, fleet, of, report
+from tests.routing.builders import (
+    BASIC_SETTINGS,
+    START_US,
+    actions_of,
+    endpoint_list,
+    load_report,
+    make_balancer,
+    request_arrived,
+)
 
 SERVE_US, WAIT_MOST_US = 133_000, 2_000_000
 
@@ -44,13 +52,13 @@
 
     A call that has waited too long fails, and its turn is used up all the same.
     """
-    settings = replace(PLAIN, proxy_count=count, subscribes_to_endpoints=True)
+    settings = replace(BASIC_SETTINGS, proxy_count=count, subscribes_to_endpoints=True)
     tier = [Balancer(replace(settings, proxy_index=i), seed=i) for i in range(count)]
     queue: list[tuple[int, int, int, Event]] = [
-        (START, i, i, EndpointListUpdate(EndpointListKind.CACHED)) for i in range(count)
+        (START_US, i, i, EndpointListUpdate(EndpointListKind.CACHED)) for i in range(count)
     ]
-    free_at, told, failed, order = START, set(), 0, count
-    while queue and queue[0][0] < START + 20_000_000:
+    free_at, told, failed, order = START_US, set(), 0, count
+    while queue and queue[0][0] < START_US + 20_000_000:
         now, _, i, event = heapq.heappop(queue)
         for action in tier[i].handle(now, [event]):
             order += 1
@@ -77,29 +85,29 @@
     one an instance counts as told what was in the list.
     """
     for count in (1, 3, 40, 182, 1000):
-        settings, late = replace(PLAIN, proxy_count=count, subscribes_to_endpoints=True), 0
+        settings, late = replace(BASIC_SETTINGS, proxy_count=count, subscribes_to_endpoints=True), 0
         for seed in range(40):
             b = Balancer(settings, seed)
-            timer = of(StartTimer, b.handle(START, [EndpointListUpdate(EndpointListKind.CACHED)]))[
-                0
-            ]
-            asked = START + timer.delay_us
-            assert of(WatchEndpoints, b.handle(asked, [TimerFired(timer.timer_id)]))
+            timer = actions_of(
+                StartTimer, b.handle(START_US, [EndpointListUpdate(EndpointListKind.CACHED)])
+            )[0]
+            asked = START_US + timer.delay_us
+            assert actions_of(WatchEndpoints, b.handle(asked, [TimerFired(timer.timer_id)]))
             # After a failed call it is four times as long.
             failed = b.handle(asked + 2_000_000, [EndpointListUpdate(EndpointListKind.FAILED)])
             assert timer.delay_us <= settings.poll_deadline_us
-            assert of(StartTimer, failed)[0].delay_us <= 4 * settings.poll_deadline_us
+            assert actions_of(StartTimer, failed)[0].delay_us <= 4 * settings.poll_deadline_us
             late = max(late, timer.delay_us)
         assert late >= min(100_000 * count, 4_000_000)  # they do not all call at once
 
 
 def test_one_heavy_connection_does_not_look_like_a_full_fleet() -> None:
     """Guards admission: what one of forty had placed was counted forty times, and an idle fleet refused."""
-    b = balancer(10, proxy_count=40)
-    b.handle(START, [report(i, 0.1) for i in range(10)])
-    b.handle(START + 1, [arrival(n, load=0.05) for n in range(4)])
+    b = make_balancer(10, proxy_count=40)
+    b.handle(START_US, [load_report(i, 0.1) for i in range(10)])
+    b.handle(START_US + 1, [request_arrived(n, load=0.05) for n in range(4)])
     worthless = RequestArrived(9, 0, 1_200_000, load=0.4)
-    assert of(RejectRequest, b.handle(START + 2, [worthless])) == []
+    assert actions_of(RejectRequest, b.handle(START_US + 2, [worthless])) == []
 
 
 def test_forty_draw_one_server_for_a_group_and_all_servers_forlarge_fleet_settings() -> None:
@@ -107,15 +115,15 @@
 
     Drawn by CRCs alone, 20 groups once went to three servers of ten.
     """
-    tier = [balancer(10, seed=i, proxy_count=40, proxy_index=i) for i in range(40)]
+    tier = [make_balancer(10, seed=i, proxy_count=40, proxy_index=i) for i in range(40)]
     drawn = Counter[str]()
     for group in range(20):
         one = set()
         for b in tier:
-            b.handle(START, [report(i, 0.3) for i in range(10)])
+            b.handle(START_US, [load_report(i, 0.3) for i in range(10)])
             given = RequestArrived(group, 0, 1_200_000, load=0.01, affinity_group=group)
-            one.add(of(StartAttempt, b.handle(START + 1, [given]))[0].server_id)
-            b.handle(START + 1, [ClientDisconnected(group)])
+            one.add(actions_of(StartAttempt, b.handle(START_US + 1, [given]))[0].server_id)
+            b.handle(START_US + 1, [ClientDisconnected(group)])
         drawn.update(one)
         assert len(one) <= 3  # ratios differ a little by what each has placed itself
     assert len(drawn) >= 8
@@ -126,10 +134,10 @@
     settings = large_fleet_settings(pass_through=True, can_check_health=False)
     tier = [Balancer(replace(settings, proxy_index=i), seed=i) for i in range(40)]
     for b in tier:
-        b.handle(START, [fleet(12)])
+        b.handle(START_US, [endpoint_list(12)])
 
     def tell(sender: int, actions: Sequence[Action], alive: Sequence[int]) -> None:
-        heard = [(sender, action) for action in of(SendGossip, actions)]
+        heard = [(sender, action) for action in actions_of(SendGossip, actions)]
         while heard:
             teller, action = heard.pop()
             to = (
@@ -138,8 +146,9 @@
                 else [action.peer_index]
             )
             for i in set(to) & set(alive):
-                answers = of(
-                    SendGossip, tier[i].handle(START + 2, [GossipReceived(teller, action.message)])
+                answers = actions_of(
+                    SendGossip,
+                    tier[i].handle(START_US + 2, [GossipReceived(teller, action.message)]),
                 )
                 heard += [(i, answer) for answer in answers]
 
@@ -147,10 +156,10 @@
     for key in range(120):
         owner = key % 40
         new = RequestArrived(key, 0, 1_200_000, affinity_key=key, load=0.01)
-        sent = of(StartAttempt, tier[owner].handle(START + 1, [new]))[0]
+        sent = actions_of(StartAttempt, tier[owner].handle(START_US + 1, [new]))[0]
         stands[key] = sent.server_id
         actions = tier[owner].handle(
-            START + 1, [ConnectionEstablished(key, 0, sent.server_id, 100)]
+            START_US + 1, [ConnectionEstablished(key, 0, sent.server_id, 100)]
         )
         tell(owner, actions, range(40))
     alive = [i for i in range(40) if i % 10 in (0, 3, 4)]
@@ -160,21 +169,21 @@
         came = RequestArrived(
             1000 + key, 0, 1_200_000, affinity_key=key, load=0.01, is_mid_flow=True
         )
-        first = tier[taker].handle(START + 3, [came])
-        asked = of(SendGossip, first)
+        first = tier[taker].handle(START_US + 3, [came])
+        asked = actions_of(SendGossip, first)
         assert (
             sum(39 if tell.peer_index is None else 1 for tell in asked) <= 6
         )  # not the whole tier
-        sends = of(StartAttempt, first)
+        sends = actions_of(StartAttempt, first)
         for ask in asked:
             if ask.peer_index in alive:
                 answers = tier[ask.peer_index].handle(
-                    START + 4, [GossipReceived(taker, ask.message)]
+                    START_US + 4, [GossipReceived(taker, ask.message)]
                 )
-                for answer in of(SendGossip, answers):
-                    sends += of(
+                for answer in actions_of(SendGossip, answers):
+                    sends += actions_of(
                         StartAttempt,
-                        tier[taker].handle(START + 5, [GossipReceived(0, answer.message)]),
+                        tier[taker].handle(START_US + 5, [GossipReceived(0, answer.message)]),
                     )
         found += [s.server_id for s in sends if s.request_id == 1000 + key] == [stands[key]]
     assert found >= 78  # with one neighbour that knew: about 36
@@ -190,22 +199,22 @@
 
     def started(i: int) -> tuple[Balancer, list[SendGossip]]:
         b = Balancer(replace(settings, proxy_index=i), seed=i)
-        return b, of(SendGossip, b.handle(START, [fleet(12)]))
+        return b, actions_of(SendGossip, b.handle(START_US, [endpoint_list(12)]))
 
     tier = [started(i)[0] for i in range(40)]
     keys = range(120)
     for key in keys:
         owner = tier[key % 40]
-        sent = of(
+        sent = actions_of(
             StartAttempt,
             owner.handle(
-                START + 1, [RequestArrived(key, 0, 1_200_000, affinity_key=key, load=0.01)]
+                START_US + 1, [RequestArrived(key, 0, 1_200_000, affinity_key=key, load=0.01)]
             ),
         )[0]
-        told = owner.handle(START + 1, [ConnectionEstablished(key, 0, sent.server_id, 100)])
-        for tell in of(SendGossip, told):
+        told = owner.handle(START_US + 1, [ConnectionEstablished(key, 0, sent.server_id, 100)])
+        for tell in actions_of(SendGossip, told):
             assert tell.peer_index is not None
-            tier[tell.peer_index].handle(START + 1, [GossipReceived(key % 40, tell.message)])
+            tier[tell.peer_index].handle(START_US + 1, [GossipReceived(key % 40, tell.message)])
     before = [sum(tag in b.sticky_table for b in tier) for tag in (_tag(key) for key in keys)]
     assert min(before) >= 4
     for i in range(40):
@@ -214,14 +223,15 @@
         for ask in asked:
             assert ask.peer_index is not None
             assert ask.peer_index != i
-            answers = of(
-                SendGossip, tier[ask.peer_index].handle(START + 2, [GossipReceived(i, ask.message)])
+            answers = actions_of(
+                SendGossip,
+                tier[ask.peer_index].handle(START_US + 2, [GossipReceived(i, ask.message)]),
             )
             assert all(
                 len(encode(answer.message)) <= 256 and answer.peer_index == i for answer in answers
             )
             for answer in answers:
-                tier[i].handle(START + 2, [GossipReceived(ask.peer_index, answer.message)])
+                tier[i].handle(START_US + 2, [GossipReceived(ask.peer_index, answer.message)])
     assert all(sum(_tag(key) in b.sticky_table for b in tier) >= 3 for key in keys)
 
 
@@ -232,17 +242,19 @@
 def test_connections_are_kept_by_proxies_that_are_present() -> None:
     """Guards what a connection's keepers are for: who is known to be gone can tell nobody."""
     b = Balancer(large_fleet_settings(pass_through=True, can_check_health=False), seed=1)
-    b.handle(START, [fleet(12)])
+    b.handle(START_US, [endpoint_list(12)])
     absent = frozenset({3, 4, 5, 6, 7, 8})
-    b.handle(START, [LivePeersChanged(frozenset(range(40)) - absent)])
+    b.handle(START_US, [LivePeersChanged(frozenset(range(40)) - absent)])
     told = set()
     for key in range(60):
-        sent = of(
+        sent = actions_of(
             StartAttempt,
-            b.handle(START + 1, [RequestArrived(key, 0, 1_200_000, affinity_key=key, load=0.01)]),
+            b.handle(
+                START_US + 1, [RequestArrived(key, 0, 1_200_000, affinity_key=key, load=0.01)]
+            ),
         )[0]
-        tells = of(
-            SendGossip, b.handle(START + 1, [ConnectionEstablished(key, 0, sent.server_id, 100)])
+        tells = actions_of(
+            SendGossip, b.handle(START_US + 1, [ConnectionEstablished(key, 0, sent.server_id, 100)])
         )
         peers = {tell.peer_index for tell in tells}
         assert 3 <= len(peers) <= 4
@@ -253,15 +265,15 @@
         replace(large_fleet_settings(3, pass_through=True, can_check_health=False), proxy_index=2),
         seed=1,
     )
-    few.handle(START, [fleet(2), LivePeersChanged(frozenset({1, 2}))])
-    sent = of(
+    few.handle(START_US, [endpoint_list(2), LivePeersChanged(frozenset({1, 2}))])
+    sent = actions_of(
         StartAttempt,
-        few.handle(START + 1, [RequestArrived(1, 0, 1_200_000, affinity_key=1, load=0.01)]),
+        few.handle(START_US + 1, [RequestArrived(1, 0, 1_200_000, affinity_key=1, load=0.01)]),
     )[0]
     told_to = [
         t.peer_index
-        for t in of(
-            SendGossip, few.handle(START + 1, [ConnectionEstablished(1, 0, sent.server_id, 9)])
+        for t in actions_of(
+            SendGossip, few.handle(START_US + 1, [ConnectionEstablished(1, 0, sent.server_id, 9)])
         )
     ]
     assert told_to == [1]  # the next one, 0, is gone
@@ -272,17 +284,22 @@
     """What all together send a cold server is the same, however many of them are known to be gone."""
     b = Balancer(large_fleet_settings(can_check_health=False, can_gossip=False), seed=1)
     cold = EndpointListUpdate(
-        EndpointListKind.COMPLETE, 1, (Endpoint("s0", started_at_us=START, weight=100.0),)
+        EndpointListKind.COMPLETE, 1, (Endpoint("s0", started_at_us=START_US, weight=100.0),)
     )
-    b.handle(START, [cold, LivePeersChanged(frozenset(range(present)))])
+    b.handle(START_US, [cold, LivePeersChanged(frozenset(range(present)))])
     sent = 0
     for step in range(1000):
-        now = START + 1 + 5_000 * step
-        sent += len(of(StartAttempt, b.handle(now, [arrival(step, load=0.05)])))
+        now = START_US + 1 + 5_000 * step
+        sent += len(actions_of(StartAttempt, b.handle(now, [request_arrived(step, load=0.05)])))
     whole = Balancer(large_fleet_settings(can_check_health=False, can_gossip=False), seed=1)
-    whole.handle(START, [cold])
+    whole.handle(START_US, [cold])
     usual = sum(
-        len(of(StartAttempt, whole.handle(START + 1 + 5_000 * step, [arrival(step, load=0.05)])))
+        len(
+            actions_of(
+                StartAttempt,
+                whole.handle(START_US + 1 + 5_000 * step, [request_arrived(step, load=0.05)]),
+            )
+        )
         for step in range(1000)
     )
     assert usual > 20
