--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import ast
-import re
+import tomllib
 from collections.abc import Iterator
 from pathlib import Path
 
@@ -82,6 +82,8 @@
         assert not {name for name in names if name.startswith(("larchhaven.net", "larchhaven.sim"))}
 
 
-def test_deploy_file_names_the_package_with_the_decisions() -> None:
-    text = (ROOT / "deploy" / "balancer.toml").read_text(encoding="utf-8")
-    assert re.search(r'^policy = \["larchhaven/routing"\]$', text, re.MULTILINE)
+def test_deploy_file_names_every_module_with_decisions() -> None:
+    deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text(encoding="utf-8"))
+    routing = [str(path.relative_to(ROOT)) for path in modules("routing")]
+    assert deploy["policy"] == routing
+    assert all((ROOT / path).exists() for path in deploy["node"])
