--- a/benchmarks/memory_costs.py
+++ b/benchmarks/memory_costs.py
@@ -1,8 +1,8 @@
-"""How far the account's costs are off on this machine: growth of a real proxy against what it accounts for.
+"""How far the item costs are off on this machine: a real proxy's growth against what it accounts for.
 
     python -m benchmarks.memory_costs [--json]
 
-For each number of standing connections a proxy is started in the lab and all come at once; the figure is the
+For each number of connections a proxy is started in the lab and all connect at once; the figure is the
 part of the growth over the start size that no purpose explains. The target is under a tenth.
 """
 
@@ -10,51 +10,65 @@
 
 import argparse
 import asyncio
-import json
 import resource
-from typing import Any
+
+import msgspec
 
 from larchhaven.lab.site import load, play
 
-COUNTS = (100, 300, 1_000, 2_000)
+CONNECTION_COUNTS = (100, 300, 1_000, 2_000)
+# Each connection has two descriptors in the proxy and two in this process.
+WANTED_DESCRIPTORS = 16_384
+
+
+class Measurement(msgspec.Struct):
+    """Growth of a proxy with so many established connections."""
 
+    connections: int
+    growth_per_connection_bytes: int
+    unaccounted_ratio: float
 
-def measure(count: int) -> dict[str, Any]:
-    """Hold so many connections, and read the account."""
+
+def measure(connections: int) -> Measurement:
+    """Hold so many connections, and read the account of the proxy."""
     scenario, complaints = load(
         f"""seed: 3 seconds: 8 grant {{ memory_mb: 192 sockets: 8192 }}
-        servers {{ count: 10 capacity: {count / 5} setup_ms: 2 }}
+        servers {{ count: 10 capacity: {connections / 5} setup_ms: 2 }}
         terminals {{ class: "chat" stay_seconds: 9999 message_seconds: 1 patience_ms: 10000 }}
-        events {{ at_seconds: 1.5 surge: {count} }}"""
+        events {{ at_seconds: 1.5 surge: {connections} }}"""
     )
     assert not complaints, complaints
     last = asyncio.run(play(scenario)).samples[-1]
-    memory = last.memory
-    return {
-        "standing": last.standing,
-        "growth_each": round(memory["growth"] / max(last.standing, 1)),
-        "unaccounted_share": round(memory["unaccounted"] / max(memory["growth"], 1), 3),
-    }
+    growth_bytes = last.memory["growth"]
+    return Measurement(
+        connections=last.standing,
+        growth_per_connection_bytes=round(growth_bytes / max(last.standing, 1)),
+        unaccounted_ratio=round(last.memory["unaccounted"] / max(growth_bytes, 1), 3),
+    )
+
+
+def raise_descriptor_limit() -> None:
+    """Take as many descriptors as the connections need, as far as the system allows."""
+    _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
+    resource.setrlimit(resource.RLIMIT_NOFILE, (min(hard, WANTED_DESCRIPTORS), hard))
 
 
 def main() -> None:
     """Measure and print."""
-    options = argparse.ArgumentParser(
+    parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawTextHelpFormatter
     )
-    options.add_argument("--json", action="store_true")
-    given = options.parse_args()
-    _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    resource.setrlimit(resource.RLIMIT_NOFILE, (min(hard, 16_384), hard))
-    rows = [measure(count) for count in COUNTS]
-    if given.json:
-        print(json.dumps(rows))
+    parser.add_argument("--json", action="store_true")
+    options = parser.parse_args()
+    raise_descriptor_limit()
+    measurements = [measure(connections) for connections in CONNECTION_COUNTS]
+    if options.json:
+        print(msgspec.json.encode(measurements).decode())
         return
-    for row in rows:
+    for row in measurements:
         print(
-            "{standing} standing: {growth_each} bytes each, {unaccounted_share:.1%} unaccounted".format(
-                **row
-            )
+            f"{row.connections} connections: {row.growth_per_connection_bytes} bytes each,"
+            f" {row.unaccounted_ratio:.1%} unaccounted"
         )
 
 
--- a/larchhaven/cli/check.py
+++ b/larchhaven/cli/check.py
@@ -86,13 +86,13 @@
 
 
 def _sums(reading: Reading, grant: int, sockets: int) -> list[Complaint]:
-    from larchhaven.cli.memory import measured_start
+    from larchhaven.cli.memory import measure_program_bytes
 
     wanted = {
         p: reading.settings.caps[p.key] for p in MemoryPurpose if p.key in reading.settings.caps
     }
     try:
-        plan.make_plan(grant, measured_start(), sockets, wanted)
+        plan.make_plan(grant, measure_program_bytes(), sockets, wanted)
     except plan.MemoryPlanError as error:
         return [Complaint(*reading.memory_at, str(error))]
     return []
--- a/larchhaven/cli/memory.py
+++ b/larchhaven/cli/memory.py
@@ -1,4 +1,4 @@
-"""``larchhaven memory``: the plan of caps for a grant, and the live account of a running proxy."""
+"""``larchhaven memory``: the memory plan for a grant, and the live account of a running proxy."""
 
 from __future__ import annotations
 
@@ -11,111 +11,184 @@
 from larchhaven.cli.calls import CallError, get
 from larchhaven.memory import plan
 from larchhaven.memory.item_costs import REQUEST_BYTES, STREAM_BYTES
-from larchhaven.memory.purposes import PURPOSE_DESCRIPTIONS, MemoryPurpose
+from larchhaven.memory.purposes import PURPOSE_DESCRIPTIONS, MemoryPurpose, caps_by_purpose
 from larchhaven.net.admin.memory_accounting import MemoryState
 
-_MEASURE = """
+EXIT_OK = 0
+EXIT_OVER_LIMIT = 1
+EXIT_UNUSABLE = 2
+
+# A connection has two sockets, each with its end: the client's and the server's.
+STREAMS_PER_CONNECTION = 2
+
+_PRINT_PROGRAM_BYTES = """
 import larchhaven.net.proxy
-from larchhaven.net.admin.memory_accounting import resident
-print(resident())
+from larchhaven.net.admin.process_memory import read_resident_bytes
+print(read_resident_bytes())
 """
 
 
-def measured_start() -> int:
-    """Measure the program's own size on this machine, in bytes, by loading it in a process of its own."""
-    done = subprocess.run(
-        [sys.executable, "-c", _MEASURE], capture_output=True, text=True, check=True
+class PlanOutput(msgspec.Struct):
+    """The memory plan as JSON, all sizes in bytes."""
+
+    grant: int
+    start: int
+    margin: int
+    planned: int
+    short: bool
+    socket_bound: int
+    connections_fit: int
+    caps: dict[str, int]
+
+
+def measure_program_bytes() -> int:
+    """Return the resident size of the program itself, by loading it in a separate process."""
+    completed = subprocess.run(
+        [sys.executable, "-c", _PRINT_PROGRAM_BYTES], capture_output=True, text=True, check=True
     )
-    return int(done.stdout)
+    return int(completed.stdout)
 
 
 def show_plan(
-    grant: float, sockets: int, start: float | None, operator: Path | None, as_json: bool
+    grant_mb: float,
+    sockets: int,
+    program_mb: float | None,
+    operator: Path | None,
+    as_json: bool,
 ) -> int:
-    """Print the plan; return the exit code."""
-    wanted: dict[MemoryPurpose, int] = {}
-    if operator is not None:
-        from larchhaven.operator.read import read_file
-
-        reading = read_file(str(operator))
-        for complaint in reading.complaints:
-            print(complaint.at(str(operator)), file=sys.stderr)
-        if reading.complaints:
-            return 2
-        wanted = {
-            p: reading.settings.caps[p.key] for p in MemoryPurpose if p.key in reading.settings.caps
-        }
-    own = int(start * plan.BYTES_PER_MB) if start is not None else measured_start()
+    """Print the memory plan for a grant.
+
+    Args:
+        grant_mb: The memory granted.
+        sockets: The descriptors granted.
+        program_mb: The program's own size; measured here if None.
+        operator: The operators' file with caps, if any.
+        as_json: Whether to print JSON.
+
+    Returns:
+        The exit code.
+    """
+    operator_caps = _read_caps(operator) if operator is not None else {}
+    if operator_caps is None:
+        return EXIT_UNUSABLE
+    is_given = program_mb is not None
+    program_bytes = _to_bytes(program_mb) if program_mb is not None else measure_program_bytes()
     try:
-        made = plan.make_plan(int(grant * plan.BYTES_PER_MB), own, sockets, wanted)
+        memory_plan = plan.make_plan(_to_bytes(grant_mb), program_bytes, sockets, operator_caps)
     except plan.MemoryPlanError as error:
-        print(f"larchhaven memory: {error}", file=sys.stderr)
-        return 2
-    connection = 2 * STREAM_BYTES + REQUEST_BYTES
-    stand = min(
-        made.caps[MemoryPurpose.CONNECTIONS] // (2 * STREAM_BYTES),
-        made.caps[MemoryPurpose.TABLES] // REQUEST_BYTES,
-        sockets // 2,
-    )
+        return _fail(str(error))
     if as_json:
-        print(
-            msgspec.json.encode(
-                {
-                    "grant": made.grant_bytes,
-                    "start": made.program_bytes,
-                    "margin": made.unplanned_bytes,
-                    "planned": made.planned_bytes,
-                    "short": made.is_below_minimum,
-                    "socket_bound": made.socket_buffer_bytes,
-                    "connections_fit": stand,
-                    "caps": {purpose.key: cap for purpose, cap in made.caps.items()},
-                }
-            ).decode()
-        )
-        return 1 if made.is_below_minimum else 0
-    print(f"{'granted':<14}{_kb(made.grant_bytes)}")
-    print(
-        f"{'program':<14}{_kb(made.program_bytes)}  {'given' if start is not None else 'measured here'}"
+        print(msgspec.json.encode(_plan_output(memory_plan, sockets)).decode())
+    else:
+        _print_plan(memory_plan, sockets, "given" if is_given else "measured here")
+    return EXIT_OVER_LIMIT if memory_plan.is_below_minimum else EXIT_OK
+
+
+def _read_caps(operator: Path) -> dict[MemoryPurpose, int] | None:
+    """Return the caps of an operators' file; print complaints and return None if it has any."""
+    # Loads protobuf, which the other commands do without.
+    from larchhaven.operator.read import read_file
+
+    reading = read_file(str(operator))
+    for complaint in reading.complaints:
+        print(complaint.at(str(operator)), file=sys.stderr)
+    return None if reading.complaints else caps_by_purpose(reading.settings.caps)
+
+
+def _count_connections_that_fit(memory_plan: plan.MemoryPlan, sockets: int) -> int:
+    return min(
+        memory_plan.caps[MemoryPurpose.CONNECTIONS] // (STREAMS_PER_CONNECTION * STREAM_BYTES),
+        memory_plan.caps[MemoryPurpose.TABLES] // REQUEST_BYTES,
+        sockets // STREAMS_PER_CONNECTION,
     )
-    print(f"{'unplanned':<14}{_kb(made.unplanned_bytes)}  what the allocator wastes")
-    for purpose, cap in made.caps.items():
-        print(f"{purpose.key:<14}{_kb(cap)}  {PURPOSE_DESCRIPTIONS[purpose].covers}")
-        print(f"{'':<28}at the cap: {PURPOSE_DESCRIPTIONS[purpose].at_cap}")
+
+
+def _plan_output(memory_plan: plan.MemoryPlan, sockets: int) -> PlanOutput:
+    return PlanOutput(
+        grant=memory_plan.grant_bytes,
+        start=memory_plan.program_bytes,
+        margin=memory_plan.unplanned_bytes,
+        planned=memory_plan.planned_bytes,
+        short=memory_plan.is_below_minimum,
+        socket_bound=memory_plan.socket_buffer_bytes,
+        connections_fit=_count_connections_that_fit(memory_plan, sockets),
+        caps={purpose.key: cap_bytes for purpose, cap_bytes in memory_plan.caps.items()},
+    )
+
+
+def _print_plan(memory_plan: plan.MemoryPlan, sockets: int, program_source: str) -> None:
+    connection_bytes = STREAMS_PER_CONNECTION * STREAM_BYTES + REQUEST_BYTES
+    print(f"{'granted':<14}{_format_kb(memory_plan.grant_bytes)}")
+    print(f"{'program':<14}{_format_kb(memory_plan.program_bytes)}  {program_source}")
+    print(f"{'unplanned':<14}{_format_kb(memory_plan.unplanned_bytes)}  what the allocator wastes")
+    for purpose, cap_bytes in memory_plan.caps.items():
+        description = PURPOSE_DESCRIPTIONS[purpose]
+        print(f"{purpose.key:<14}{_format_kb(cap_bytes)}  {description.covers}")
+        print(f"{'':<28}at the cap: {description.at_cap}")
     print(
-        f"room for some {stand} standing connections, at {connection:,} bytes each; a socket holds at most"
+        f"capacity for some {_count_connections_that_fit(memory_plan, sockets)} established"
+        f" connections, at {connection_bytes:,} bytes each; the kernel buffers at most"
     )
-    print(f"{made.socket_buffer_bytes:,} bytes each way in the system")
-    if made.is_below_minimum:
-        print("the grant is too small: the least that each purpose needs passes it")
-    return 1 if made.is_below_minimum else 0
+    print(f"{memory_plan.socket_buffer_bytes:,} bytes each way for a socket")
+    if memory_plan.is_below_minimum:
+        print("the grant is too small: the least that each purpose needs exceeds it")
 
 
 def show_live(address: str, as_json: bool) -> int:
-    """Print a running proxy's account; return the exit code."""
+    """Print a running proxy's memory account.
+
+    Args:
+        address: HOST:PORT of its management address.
+        as_json: Whether to print JSON.
+
+    Returns:
+        The exit code.
+    """
     try:
         body = get(address, "/v1/memory")
         state = msgspec.json.decode(body, type=MemoryState)
     except (CallError, msgspec.DecodeError) as error:
-        print(f"larchhaven memory: {error}", file=sys.stderr)
-        return 2
-    over = [name for name, line in state.purposes.items() if line.used > line.cap]
+        return _fail(str(error))
     if as_json:
         print(body.decode())
-        return 1 if over or state.resident > state.grant else 0
+    else:
+        _print_state(state)
+    is_any_over_cap = any(usage.is_over_cap for usage in state.purposes.values())
+    is_over_grant = state.resident_bytes > state.grant_bytes
+    return EXIT_OVER_LIMIT if is_any_over_cap or is_over_grant else EXIT_OK
+
+
+def _print_state(state: MemoryState) -> None:
     print(
-        f"resident {_kb(state.resident)} of {_kb(state.grant)} granted, at most {_kb(state.resident_peak)}"
+        f"resident {_format_kb(state.resident_bytes)} of {_format_kb(state.grant_bytes)} granted,"
+        f" peak {_format_kb(state.resident_peak_bytes)}"
     )
     print(
-        f"grown by {_kb(state.growth)} since the start; of that unaccounted {_kb(state.unaccounted)}"
+        f"grown by {_format_kb(state.growth_bytes)} since the start;"
+        f" of that unaccounted {_format_kb(state.unaccounted_bytes)}"
     )
-    print(f"{'purpose':<14}{'used':>12}{'most':>12}{'cap':>12}{'refused':>9}")
-    for name, line in state.purposes.items():
-        mark = "  over its cap" if line.used > line.cap else ""
-        print(f"{name:<14}{_kb(line.used)}{_kb(line.high)}{_kb(line.cap)}{line.refused:>9}{mark}")
-    sockets = state.descriptors
-    print(f"{'descriptors':<14}{sockets.used:>12}{'':>12}{sockets.cap:>12}{sockets.refused:>9}")
-    return 1 if over or state.resident > state.grant else 0
+    print(f"{'purpose':<14}{'used':>12}{'high':>12}{'cap':>12}{'refused':>9}")
+    for name, usage in state.purposes.items():
+        print(
+            f"{name:<14}{_format_kb(usage.used_bytes)}{_format_kb(usage.peak_bytes)}"
+            f"{_format_kb(usage.cap_bytes)}{usage.rejected:>9}"
+            f"{'  over its cap' if usage.is_over_cap else ''}"
+        )
+    descriptors = state.descriptors
+    print(
+        f"{'descriptors':<14}{descriptors.used:>12}{'':>12}{descriptors.cap:>12}"
+        f"{descriptors.rejected:>9}"
+    )
+
+
+def _fail(reason: str) -> int:
+    print(f"larchhaven memory: {reason}", file=sys.stderr)
+    return EXIT_UNUSABLE
+
+
+def _to_bytes(size_mb: float) -> int:
+    return int(size_mb * plan.BYTES_PER_MB)
 
 
-def _kb(size: int) -> str:
-    return f"{size / 1024:>9,.0f} KB"
+def _format_kb(size_bytes: int) -> str:
+    return f"{size_bytes / 1024:>9,.0f} KB"
--- a/larchhaven/memory/__init__.py
+++ b/larchhaven/memory/__init__.py
@@ -1,4 +1,5 @@
-"""Where the proxy's memory goes: an account by purpose, the plan of its caps, and who gives way at a cap.
+"""Memory accounting: usage by purpose, the plan of caps, admission and load shedding.
 
-Pure: no socket, file, clock or log. Sizes are whole bytes; times are microseconds on the caller's clock.
+Pure: no socket, file, clock or log. Sizes are whole bytes; instants and durations are microseconds
+on the caller's clock.
 """
--- a/larchhaven/memory/account.py
+++ b/larchhaven/memory/account.py
@@ -1,8 +1,8 @@
-"""The account: for each purpose a cap, a gauge, a high-water mark and a count of refusals.
+"""The memory account: for each purpose a cap, the usage, its peak and a count of rejections.
 
-A gauge has two sources. What comes and goes one by one is charged and given back (``take``, ``must``,
-``give``); what is easier counted whole is set now and then (``set_part``). Only the first can be refused at
-the moment it is asked for.
+Usage has two sources. Items that come and go one by one are charged and released (``try_charge``,
+``charge``, ``release``). Structures that are easier to count as a whole are sampled now and then
+(``set_sampled_bytes``). Only a charge can be rejected at the moment it is asked for.
 """
 
 from __future__ import annotations
@@ -12,10 +12,19 @@
 
 from larchhaven.memory.purposes import RESIDENT_PURPOSES, MemoryPurpose
 
+_UNBOUNDED_BYTES = 1 << 62
+
 
 @dataclass(frozen=True, slots=True)
 class PurposeUsage:
-    """One purpose at one moment, in bytes and times refused."""
+    """Usage of one purpose at one moment.
+
+    Attributes:
+        cap_bytes: The most that the purpose may use.
+        used_bytes: What it uses now, charged and sampled.
+        peak_bytes: The most it has used so far.
+        rejected: How often something was rejected because of its cap.
+    """
 
     cap_bytes: int
     used_bytes: int
@@ -24,100 +33,114 @@
 
 
 class MemoryAccount:
-    """Who uses how much. ``over`` counts give-backs beyond what was taken: it stays 0 or there is a bug."""
+    """Memory usage by purpose.
+
+    Attributes:
+        excess_releases: Releases of more than was charged; anything but 0 is a bug.
+    """
 
     __slots__ = (
         "_caps",
         "_charged",
-        "_high",
-        "_parts",
-        "_parts_sum",
-        "_refused",
+        "_peak",
+        "_rejected",
+        "_sampled",
+        "_sampled_total",
         "excess_releases",
     )
 
     def __init__(self, caps: Mapping[MemoryPurpose, int]) -> None:
+        # Lists indexed by purpose: charging is on the path of every buffer.
         count = len(MemoryPurpose)
         self._caps = [0] * count
         self._charged = [0] * count
-        self._parts: list[dict[str, int]] = [{} for _ in MemoryPurpose]
-        self._parts_sum = [0] * count
-        self._high = [0] * count
-        self._refused = [0] * count
+        self._sampled: list[dict[str, int]] = [{} for _ in MemoryPurpose]
+        self._sampled_total = [0] * count
+        self._peak = [0] * count
+        self._rejected = [0] * count
         self.excess_releases = 0
         self.set_caps(caps)
 
     @classmethod
     def unbounded(cls) -> MemoryAccount:
-        """Return an account that counts and never refuses."""
-        return cls(dict.fromkeys(MemoryPurpose, 1 << 62))
+        """Return an account that counts and never rejects."""
+        return cls(dict.fromkeys(MemoryPurpose, _UNBOUNDED_BYTES))
 
     def set_caps(self, caps: Mapping[MemoryPurpose, int]) -> None:
-        """Replace caps; what is in use beyond a new cap stays, and nothing more is granted until then."""
-        for purpose, cap in caps.items():
-            self._caps[purpose] = cap
-
-    def try_charge(self, purpose: MemoryPurpose, size: int) -> bool:
-        """Charge if it fits under the cap; else count a refusal and charge nothing."""
-        used = self._charged[purpose] + self._parts_sum[purpose] + size
-        if used > self._caps[purpose]:
-            self._refused[purpose] += 1
+        """Replace caps, in bytes.
+
+        Usage above a new cap stays; nothing more is granted until usage is below the cap.
+        """
+        for purpose, cap_bytes in caps.items():
+            self._caps[purpose] = cap_bytes
+
+    def try_charge(self, purpose: MemoryPurpose, size_bytes: int) -> bool:
+        """Charge an item if it fits under the cap.
+
+        Returns:
+            Whether it was charged; if not, a rejection is counted.
+        """
+        used_bytes = self._charged[purpose] + self._sampled_total[purpose] + size_bytes
+        if used_bytes > self._caps[purpose]:
+            self._rejected[purpose] += 1
             return False
-        self._charged[purpose] += size
-        self._high[purpose] = max(self._high[purpose], used)
+        self._charged[purpose] += size_bytes
+        self._peak[purpose] = max(self._peak[purpose], used_bytes)
         return True
 
-    def charge(self, purpose: MemoryPurpose, size: int) -> None:
-        """Charge what cannot be refused: its room was seen to before, or it is already there."""
-        self._charged[purpose] += size
-        used = self._charged[purpose] + self._parts_sum[purpose]
-        self._high[purpose] = max(self._high[purpose], used)
+    def charge(self, purpose: MemoryPurpose, size_bytes: int) -> None:
+        """Charge an item that cannot be rejected: it was admitted before, or it exists already."""
+        self._charged[purpose] += size_bytes
+        used_bytes = self._charged[purpose] + self._sampled_total[purpose]
+        self._peak[purpose] = max(self._peak[purpose], used_bytes)
 
-    def release(self, purpose: MemoryPurpose, size: int) -> None:
-        """Give back what was charged."""
-        left = self._charged[purpose] - size
-        if left < 0:
+    def release(self, purpose: MemoryPurpose, size_bytes: int) -> None:
+        """Release what was charged."""
+        charged_bytes = self._charged[purpose] - size_bytes
+        if charged_bytes < 0:
             self.excess_releases += 1
-            left = 0
-        self._charged[purpose] = left
+            charged_bytes = 0
+        self._charged[purpose] = charged_bytes
 
     def count_rejection(self, purpose: MemoryPurpose) -> None:
-        """Count a refusal that was decided elsewhere because of this purpose's cap."""
-        self._refused[purpose] += 1
+        """Count a rejection that was decided elsewhere because of this purpose's cap."""
+        self._rejected[purpose] += 1
 
-    def set_sampled_bytes(self, purpose: MemoryPurpose, name: str, size: int) -> None:
-        """Set what one part uses that is counted as a whole."""
-        parts = self._parts[purpose]
-        self._parts_sum[purpose] += size - parts.get(name, 0)
-        parts[name] = size
-        used = self.used_bytes(purpose)
-        self._high[purpose] = max(self._high[purpose], used)
+    def set_sampled_bytes(self, purpose: MemoryPurpose, source: str, size_bytes: int) -> None:
+        """Replace the sample of one source that is counted as a whole."""
+        sampled = self._sampled[purpose]
+        self._sampled_total[purpose] += size_bytes - sampled.get(source, 0)
+        sampled[source] = size_bytes
+        self._peak[purpose] = max(self._peak[purpose], self.used_bytes(purpose))
 
     def used_bytes(self, purpose: MemoryPurpose) -> int:
-        """Return the gauge, in bytes."""
-        return self._charged[purpose] + self._parts_sum[purpose]
+        """Return what the purpose uses, charged and sampled."""
+        return self._charged[purpose] + self._sampled_total[purpose]
 
     def charged_bytes(self, purpose: MemoryPurpose) -> int:
-        """Return the part of the gauge that comes and goes one by one."""
+        """Return the charged part of the usage."""
         return self._charged[purpose]
 
     def cap_bytes(self, purpose: MemoryPurpose) -> int:
-        """Return the cap, in bytes."""
+        """Return the cap."""
         return self._caps[purpose]
 
     def available_bytes(self, purpose: MemoryPurpose) -> int:
-        """Return what is left under the cap; negative after the cap was set under what is in use."""
+        """Return what is left under the cap; negative after the cap was set below the usage."""
         return self._caps[purpose] - self.used_bytes(purpose)
 
     def resident_bytes(self) -> int:
-        """Return what the account says of the process's resident size, the start size not counted."""
+        """Return the part of the process's resident size that the account explains.
+
+        The size of the program itself is not included.
+        """
         return sum(self.used_bytes(purpose) for purpose in RESIDENT_PURPOSES)
 
     def usage(self, purpose: MemoryPurpose) -> PurposeUsage:
-        """Return one purpose as it stands."""
+        """Return the current usage of one purpose."""
         return PurposeUsage(
-            self._caps[purpose],
-            self.used_bytes(purpose),
-            self._high[purpose],
-            self._refused[purpose],
+            cap_bytes=self._caps[purpose],
+            used_bytes=self.used_bytes(purpose),
+            peak_bytes=self._peak[purpose],
+            rejected=self._rejected[purpose],
         )
--- a/larchhaven/memory/item_costs.py
+++ b/larchhaven/memory/item_costs.py
@@ -1,21 +1,31 @@
-"""What one item of each kind costs, in bytes."""
+"""What one item of each kind costs, in bytes.
+
+Averages, measured by ``benchmarks/memory_costs.py`` as growth of the resident size over hundreds of
+items on CPython 3.11; the benchmark says how far a figure is off elsewhere.
+``ResidentMemoryMonitor`` watches that together they stay near the truth.
+"""
 
 from __future__ import annotations
 
-# What one item costs, in bytes. Measured by benchmarks/memory_costs.py as growth of the resident size over
-# hundreds of items, on CPython 3.11; the benchmark says how far a figure is off on another.
-STREAM_BYTES = (
-    1_900  # a connection's end with its owner: client, execution, half a relay, or a caller
-)
+# One end of a connection with its protocol: a client, an attempt, one side of a relay, or a caller.
+STREAM_BYTES = 1_900
 TIMER_BYTES = 210
-TIMERS_PER_REQUEST = 3  # that a command has at a time
-# A command in the broker and in the decision module, its id and payload not counted.
+# Timers that a request has at a time.
+TIMERS_PER_REQUEST = 3
+# A request in the request table and in the routing decisions, without its id and payload.
 REQUEST_BYTES = 1_350 + TIMERS_PER_REQUEST * TIMER_BYTES
-BUFFER_OVERHEAD_BYTES = 290  # beside a buffer's bytes
-FIRST_REQUEST_BYTES = 220_000  # what the first commands make the program load and build, once
-SERVER_BYTES = 2_600  # an exam server in the directory, the ranking and the tables beside it
+# Fits a line of the greatest length and the beginning of the next.
+BUFFER_BYTES = 8192
+# What a buffer takes beside its bytes.
+BUFFER_OVERHEAD_BYTES = 290
+# What the first requests make the program load and build, once.
+FIRST_REQUEST_BYTES = 220_000
+# A listed server in the directory, the ranking and the tables beside it.
+SERVER_BYTES = 2_600
+# An entry of the sticky table.
 STICKY_ENTRY_BYTES = 230
-REMEMBERED_SERVER_BYTES = 170  # an exam server that was listed once
+# A server that was listed once.
+REMEMBERED_SERVER_BYTES = 170
 REQUEST_ID_BYTES = 110
+# An event remembered by the rate-limited log.
 LOG_EVENT_BYTES = 260
-"""Each is an average; `Reality` watches that together they stay near the truth."""
--- a/larchhaven/memory/plan.py
+++ b/larchhaven/memory/plan.py
@@ -1,17 +1,18 @@
-"""The plan of caps: what is granted, less what the program needs to start, divided by purpose."""
+"""The memory plan: the grant, less what the program itself needs, divided into caps by purpose."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from larchhaven.memory.item_costs import BUFFER_OVERHEAD_BYTES, STREAM_BYTES
+from larchhaven.errors import LarchhavenError
+from larchhaven.memory.item_costs import BUFFER_BYTES, BUFFER_OVERHEAD_BYTES, STREAM_BYTES
 from larchhaven.memory.purposes import MemoryPurpose
 
 BYTES_PER_MB = 1 << 20
-# What the allocator wastes, and what no purpose covers: this part of the room stays unplanned.
+# Stays unplanned: what the allocator wastes, and what no purpose covers.
 UNPLANNED_RATIO = 0.12
-# The room by purpose, where operators set nothing.
+# Shares of what is planned, where operators set no cap.
 CAP_RATIOS: dict[MemoryPurpose, float] = {
     MemoryPurpose.CONNECTIONS: 0.26,
     MemoryPurpose.TABLES: 0.21,
@@ -23,11 +24,11 @@
     MemoryPurpose.FILES: 0.03,
     MemoryPurpose.KERNEL: 0.14,
 }
-# With less than this a purpose cannot do its work at all: 24 callers, one list, one upgrade, and so on.
+# With less a purpose cannot do its work at all: 64 connections, one endpoint list, one hot restart.
 MIN_CAP_BYTES: dict[MemoryPurpose, int] = {
     MemoryPurpose.CONNECTIONS: 64 * STREAM_BYTES,
     MemoryPurpose.TABLES: 512 << 10,
-    MemoryPurpose.BUFFERS: 64 * (8192 + BUFFER_OVERHEAD_BYTES),
+    MemoryPurpose.BUFFERS: 64 * (BUFFER_BYTES + BUFFER_OVERHEAD_BYTES),
     MemoryPurpose.PROBES: 96 << 10,
     MemoryPurpose.PEERS: 64 << 10,
     MemoryPurpose.MANAGEMENT: 600 << 10,
@@ -35,7 +36,7 @@
     MemoryPurpose.FILES: 32 << 10,
     MemoryPurpose.KERNEL: 256 << 10,
 }
-# Beyond this a purpose has no use for more, and others get it.
+# Beyond this a purpose has no use for more; the other purposes get it.
 MAX_CAP_BYTES: dict[MemoryPurpose, int] = {
     MemoryPurpose.LOG: 64 << 10,
     MemoryPurpose.FILES: 4 * BYTES_PER_MB,
@@ -43,25 +44,82 @@
     MemoryPurpose.PROBES: 16 * BYTES_PER_MB,
     MemoryPurpose.MANAGEMENT: 12 * BYTES_PER_MB,
 }
-# The bounds of what the system may hold for one socket one way; and how many times the cap all could hold
-# together: most sockets are empty, and those that fill up give way.
-MIN_SOCKET_BUFFER_BYTES, MAX_SOCKET_BUFFER_BYTES, KERNEL_OVERCOMMIT_RATIO = 8 << 10, 256 << 10, 4
+# Bounds of what the kernel may buffer for one socket one way.
+MIN_SOCKET_BUFFER_BYTES = 8 << 10
+MAX_SOCKET_BUFFER_BYTES = 256 << 10
+# All sockets together could buffer so many times the cap: most are empty, and full ones are shed.
+KERNEL_OVERCOMMIT_RATIO = 4
 
 
-class MemoryPlanError(Exception):
-    """Caps that cannot be, in one plain sentence."""
+class MemoryPlanError(LarchhavenError):
+    """Base class of errors in the caps that operators ask for; the text is one plain sentence."""
+
+
+class CapTooSmallError(MemoryPlanError):
+    """A cap is below the least that its purpose needs.
+
+    Attributes:
+        purpose: The purpose of the cap.
+        cap_bytes: The cap that was asked for.
+        min_bytes: The least that the purpose needs.
+    """
+
+    def __init__(self, purpose: MemoryPurpose, cap_bytes: int, min_bytes: int) -> None:
+        self.purpose = purpose
+        self.cap_bytes = cap_bytes
+        self.min_bytes = min_bytes
+        super().__init__(
+            f"{purpose.key} has {_format_mb(cap_bytes)} MB,"
+            f" and needs at least {_format_mb(min_bytes)} MB to work"
+        )
+
+
+class CapsExceedGrantError(MemoryPlanError):
+    """The caps, with the least that the other purposes need, do not fit into the grant.
+
+    Attributes:
+        required_bytes: The sum of the caps and of the least that the others need.
+        grant_bytes: The memory that the platform grants.
+        program_bytes: The part of it that the program itself takes.
+        unplanned_bytes: The part of it that stays unplanned.
+    """
+
+    def __init__(
+        self, required_bytes: int, grant_bytes: int, program_bytes: int, unplanned_bytes: int
+    ) -> None:
+        self.required_bytes = required_bytes
+        self.grant_bytes = grant_bytes
+        self.program_bytes = program_bytes
+        self.unplanned_bytes = unplanned_bytes
+        available_bytes = max(grant_bytes - program_bytes - unplanned_bytes, 0)
+        super().__init__(
+            f"the caps need {_format_mb(required_bytes)} MB; of the {_format_mb(grant_bytes)} MB"
+            f" granted {_format_mb(program_bytes)} MB go to the program itself and"
+            f" {_format_mb(unplanned_bytes)} MB stay unplanned, which leaves"
+            f" {_format_mb(available_bytes)} MB"
+        )
 
 
 @dataclass(frozen=True, slots=True)
 class MemoryPlan:
-    """Caps for a grant. All sizes in bytes."""
+    """The caps for a grant.
+
+    Attributes:
+        grant_bytes: The memory that the platform grants.
+        program_bytes: The part of it that the program itself takes.
+        unplanned_bytes: The part of it that stays unplanned.
+        caps: The cap of each purpose, in bytes.
+        socket_buffer_bytes: The size for SO_SNDBUF and SO_RCVBUF.
+        is_below_minimum: Whether the grant is too small for the least that each purpose needs; the
+            caps exceed it then.
+    """
 
     grant_bytes: int
     program_bytes: int
     unplanned_bytes: int
     caps: Mapping[MemoryPurpose, int]
-    socket_buffer_bytes: int  # for SO_SNDBUF and SO_RCVBUF
-    is_below_minimum: bool  # the grant is too small for the least of each purpose: the caps pass it
+    socket_buffer_bytes: int
+    is_below_minimum: bool
 
     @property
     def planned_bytes(self) -> int:
@@ -70,60 +128,94 @@
 
 
 def make_plan(
-    grant: int,
-    start: int,
-    sockets: int,
-    wanted: Mapping[MemoryPurpose, int] | None = None,
+    grant_bytes: int,
+    program_bytes: int,
+    max_sockets: int,
+    operator_caps: Mapping[MemoryPurpose, int] | None = None,
 ) -> MemoryPlan:
-    """Divide a grant; ``wanted`` are the operators' caps, and the other purposes share what is left.
+    """Divide a grant into caps.
+
+    Without operators' caps a grant that is too small gives the least caps: a proxy that serves few
+    is better than none.
+
+    Args:
+        grant_bytes: The memory that the platform grants.
+        program_bytes: The resident size of the program before it serves.
+        max_sockets: The sockets that the platform grants.
+        operator_caps: Caps that operators ask for, in bytes; the other purposes share the rest.
 
-    Raise PlanError if the operators' caps and the least that the others need do not fit into the grant.
-    Without caps of the operators a grant that is too small gives the least caps, marked as ``short``: a proxy
-    that serves few is better than none.
+    Raises:
+        CapTooSmallError: A cap of the operators is below the least that its purpose needs.
+        CapsExceedGrantError: Their caps and the least that the others need exceed the grant.
     """
-    wanted = dict(wanted or {})
-    spare = grant - start
-    margin = int(max(spare, 0) * UNPLANNED_RATIO)
-    room = spare - margin
-    for purpose, cap in wanted.items():
-        if cap < MIN_CAP_BYTES[purpose]:
-            raise MemoryPlanError(
-                f"{purpose.key} has {_mb(cap)} MB, and needs at least {_mb(MIN_CAP_BYTES[purpose])} MB to work"
-            )
-    least = sum(wanted.get(p, MIN_CAP_BYTES[p]) for p in MemoryPurpose)
-    if least > room and wanted:
-        raise MemoryPlanError(
-            f"the caps need {_mb(least)} MB; of the {_mb(grant)} MB granted {_mb(start)} MB go to the program"
-            f" itself and {_mb(margin)} MB stay unplanned, which leaves {_mb(max(room, 0))} MB"
-        )
-    caps = dict(wanted)
-    free = [p for p in MemoryPurpose if p not in wanted]
-    left = room - sum(wanted.values())
-    # Those whose share is under their least or over their most are settled first, the others by their shares.
-    while free:
-        total = sum(CAP_RATIOS[p] for p in free)
-        shares = {p: int(max(left, 0) * CAP_RATIOS[p] / total) for p in free}
-        settled = {p: MIN_CAP_BYTES[p] for p in free if shares[p] < MIN_CAP_BYTES[p]}
+    requested = dict(operator_caps or {})
+    _check_minimums(requested)
+    headroom_bytes = grant_bytes - program_bytes
+    unplanned_bytes = int(max(headroom_bytes, 0) * UNPLANNED_RATIO)
+    available_bytes = headroom_bytes - unplanned_bytes
+    required_bytes = sum(requested.get(p, MIN_CAP_BYTES[p]) for p in MemoryPurpose)
+    if required_bytes > available_bytes and requested:
+        raise CapsExceedGrantError(required_bytes, grant_bytes, program_bytes, unplanned_bytes)
+    caps = _divide(available_bytes, requested)
+    return MemoryPlan(
+        grant_bytes=grant_bytes,
+        program_bytes=program_bytes,
+        unplanned_bytes=unplanned_bytes,
+        caps=caps,
+        socket_buffer_bytes=_choose_socket_buffer_bytes(caps[MemoryPurpose.KERNEL], max_sockets),
+        is_below_minimum=sum(caps.values()) > max(available_bytes, 0),
+    )
+
+
+def _check_minimums(requested: Mapping[MemoryPurpose, int]) -> None:
+    """Raise CapTooSmallError for a cap below the least that its purpose needs."""
+    for purpose, cap_bytes in requested.items():
+        if cap_bytes < MIN_CAP_BYTES[purpose]:
+            raise CapTooSmallError(purpose, cap_bytes, MIN_CAP_BYTES[purpose])
+
+
+def _divide(
+    available_bytes: int, requested: Mapping[MemoryPurpose, int]
+) -> dict[MemoryPurpose, int]:
+    """Return the caps: those requested, and for each other purpose its share of the rest.
+
+    Purposes whose share is below their least or above their most are settled first, so that the
+    others share what is then left.
+    """
+    caps = dict(requested)
+    open_purposes = [purpose for purpose in MemoryPurpose if purpose not in requested]
+    left_bytes = available_bytes - sum(requested.values())
+    while open_purposes:
+        shares = _share_out(left_bytes, open_purposes)
+        settled = {p: MIN_CAP_BYTES[p] for p in open_purposes if shares[p] < MIN_CAP_BYTES[p]}
         if not settled:
             settled = {
-                p: most for p in free if shares[p] > (most := MAX_CAP_BYTES.get(p, shares[p]))
+                p: MAX_CAP_BYTES[p]
+                for p in open_purposes
+                if p in MAX_CAP_BYTES and shares[p] > MAX_CAP_BYTES[p]
             }
         if not settled:
             caps |= shares
             break
         caps |= settled
-        left -= sum(settled.values())
-        free = [p for p in free if p not in settled]
-    bound = caps[MemoryPurpose.KERNEL] * KERNEL_OVERCOMMIT_RATIO // max(sockets, 1)
-    return MemoryPlan(
-        grant,
-        start,
-        margin,
-        {p: caps[p] for p in MemoryPurpose},
-        min(max(bound, MIN_SOCKET_BUFFER_BYTES), MAX_SOCKET_BUFFER_BYTES),
-        sum(caps.values()) > max(room, 0),
-    )
+        left_bytes -= sum(settled.values())
+        open_purposes = [purpose for purpose in open_purposes if purpose not in settled]
+    return {purpose: caps[purpose] for purpose in MemoryPurpose}
+
+
+def _share_out(left_bytes: int, purposes: list[MemoryPurpose]) -> dict[MemoryPurpose, int]:
+    """Divide bytes among purposes in proportion to ``CAP_RATIOS``."""
+    total_ratio = sum(CAP_RATIOS[purpose] for purpose in purposes)
+    return {
+        purpose: int(max(left_bytes, 0) * CAP_RATIOS[purpose] / total_ratio) for purpose in purposes
+    }
+
+
+def _choose_socket_buffer_bytes(kernel_cap_bytes: int, max_sockets: int) -> int:
+    """Return the size for SO_SNDBUF and SO_RCVBUF under a cap of kernel buffers."""
+    share_bytes = kernel_cap_bytes * KERNEL_OVERCOMMIT_RATIO // max(max_sockets, 1)
+    return min(max(share_bytes, MIN_SOCKET_BUFFER_BYTES), MAX_SOCKET_BUFFER_BYTES)
 
 
-def _mb(size: int) -> str:
-    return f"{size / BYTES_PER_MB:.2f}".rstrip("0").rstrip(".")
+def _format_mb(size_bytes: int) -> str:
+    return f"{size_bytes / BYTES_PER_MB:.2f}".rstrip("0").rstrip(".")
--- a/larchhaven/memory/purposes.py
+++ b/larchhaven/memory/purposes.py
@@ -1,13 +1,14 @@
-"""What memory is used for, and what one such use costs."""
+"""The purposes that memory is accounted by, and their descriptions for operators."""
 
 from __future__ import annotations
 
+from collections.abc import Mapping
 from dataclasses import dataclass
 from enum import IntEnum
 
 
 class MemoryPurpose(IntEnum):
-    """What memory is used for; each has a cap of its own, and none takes from another."""
+    """What memory is used for; each purpose has a cap of its own and takes from no other."""
 
     CONNECTIONS = 0
     TABLES = 1
@@ -25,15 +26,22 @@
         return self.name.lower()
 
 
-# Those that are part of the process's resident size; files and kernel buffers are charged beside it.
+# Part of the process's resident size; files and kernel buffers are charged beside it.
 RESIDENT_PURPOSES = tuple(
-    p for p in MemoryPurpose if p not in (MemoryPurpose.FILES, MemoryPurpose.KERNEL)
+    purpose
+    for purpose in MemoryPurpose
+    if purpose not in (MemoryPurpose.FILES, MemoryPurpose.KERNEL)
 )
 
 
 @dataclass(frozen=True, slots=True)
 class PurposeDescription:
-    """One purpose for people: what it covers and what happens at its cap."""
+    """A purpose in words for operators.
+
+    Attributes:
+        covers: What is accounted under the purpose.
+        at_cap: What happens when its cap is reached.
+    """
 
     covers: str
     at_cap: str
@@ -41,37 +49,55 @@
 
 PURPOSE_DESCRIPTIONS: dict[MemoryPurpose, PurposeDescription] = {
     MemoryPurpose.CONNECTIONS: PurposeDescription(
-        "clients, exam servers' ends, and what each connection keeps beside its buffers",
-        "silent, parting and unread clients give way; then newcomers get BUSY, the class worth most last",
+        covers="clients, upstream connections, and what each keeps beside its buffers",
+        at_cap=(
+            "clients without a request line, in lingering close or not reading are shed; then new"
+            " requests get BUSY, the class with the highest weight last"
+        ),
     ),
     MemoryPurpose.TABLES: PurposeDescription(
-        "commands, the decision module, identities, holders, deadlines, the list of exam servers",
-        "the oldest holders are forgotten; then new commands get BUSY; a live command is never forgotten",
+        covers="requests, routing decisions, ids, the sticky table, timers, the endpoint list",
+        at_cap=(
+            "the oldest sticky table entries are evicted; then new requests get BUSY; a live"
+            " request is never evicted"
+        ),
     ),
     MemoryPurpose.BUFFERS: PurposeDescription(
-        "bytes on their way between clients and exam servers",
-        "nothing more is read until a buffer comes back: the other side has to wait",
+        covers="bytes in flight between clients and servers",
+        at_cap="reading stops until a buffer is released: backpressure on the other side",
     ),
     MemoryPurpose.PROBES: PurposeDescription(
-        "kept connections to exam servers for load reports, and their buffers",
-        "a probe is left out, and the decision module hears so",
+        covers="cached connections to servers for health checks, and their buffers",
+        at_cap="a health check is skipped and reported as not sent",
     ),
     MemoryPurpose.PEERS: PurposeDescription(
-        "what other proxies and the other process of an upgrade tell",
-        "further ids of the other process are not kept",
+        covers="state received from other proxies and from the other process of a hot restart",
+        at_cap="further request ids of the other process are not kept",
     ),
     MemoryPurpose.MANAGEMENT: PurposeDescription(
-        "operators' calls and calls to discovery",
-        "the oldest incomplete call is closed; a list of exam servers that is too long is a failed call",
+        covers="operators' calls and calls to discovery",
+        at_cap=(
+            "the oldest incomplete call is closed; an endpoint list that is too long is a failed"
+            " call"
+        ),
     ),
     MemoryPurpose.LOG: PurposeDescription(
-        "kinds of notices remembered", "the kind told longest ago is forgotten"
+        covers="events remembered to limit the rate of log lines",
+        at_cap="the event logged longest ago is forgotten",
     ),
     MemoryPurpose.FILES: PurposeDescription(
-        "files of ours in $TMPDIR", "a suspension is not saved and the caller is told so"
+        covers="the proxy's files in $TMPDIR",
+        at_cap="an administrative ejection is not saved and the caller gets an error",
     ),
     MemoryPurpose.KERNEL: PurposeDescription(
-        "bytes that the system holds for our sockets, both ways",
-        "clients that do not read give way, the longest unread first",
+        covers="bytes in the kernel's socket buffers, both ways",
+        at_cap="clients that do not read are shed, the longest unread first",
     ),
 }
+
+
+def caps_by_purpose(caps_by_key: Mapping[str, int]) -> dict[MemoryPurpose, int]:
+    """Return caps under their purposes, from caps under the keys that operators write."""
+    return {
+        purpose: caps_by_key[purpose.key] for purpose in MemoryPurpose if purpose.key in caps_by_key
+    }
--- a/larchhaven/net/admin/memory_accounting.py
+++ b/larchhaven/net/admin/memory_accounting.py
@@ -1,223 +1,263 @@
-"""Where the memory account meets the system: samples once a second, caps put to use, the account as JSON."""
+"""Memory accounting of the running proxy: samples, caps put into effect, the account as JSON."""
 
 from __future__ import annotations
 
-import os
 from collections.abc import Callable
 from pathlib import Path
 
 import msgspec
 
 from larchhaven.memory.account import MemoryAccount
-from larchhaven.memory.admission import KERNEL_SHARE, KERNEL_UNREAD_US
+from larchhaven.memory.admission import DEFAULT_THRESHOLDS
 from larchhaven.memory.plan import MemoryPlan
 from larchhaven.memory.purposes import MemoryPurpose
 from larchhaven.memory.resident_monitor import ResidentMemoryMonitor
+from larchhaven.net.admin.process_memory import (
+    measure_files_bytes,
+    read_resident_bytes,
+    trim_allocator,
+)
 from larchhaven.net.core.buffer_pool import BufferPool
 from larchhaven.net.core.event_loop import EventLoop
 from larchhaven.net.core.rate_limited_log import RateLimitedLog
 
-SAMPLE_US = 1_000_000
-# While clients do not read, the system's buffers are looked at more often.
-UNREAD_LOOK_US = 250_000
-_PAGE = os.sysconf("SC_PAGE_SIZE")
-# Files of ours in $TMPDIR begin like this; of a folder with very many files so many are looked at.
-FILES_BEGIN = "larchhaven-"
-FILES_MOST = 1_000
+SAMPLE_INTERVAL_US = 1_000_000
+# While clients do not read, kernel buffers are sampled more often.
+UNREAD_CHECK_INTERVAL_US = 250_000
 
+_KERNEL_SOURCE = "sockets"
+_FILES_SOURCE = "files"
 
-def read_resident_bytes() -> int:
-    """Read the resident size of this process in bytes; 0 on a system that does not tell."""
-    try:
-        with open("/proc/self/statm", "rb") as file:
-            return int(file.read().split()[1]) * _PAGE
-    except (OSError, IndexError, ValueError):
-        return 0
 
+class PurposeState(
+    msgspec.Struct,
+    rename={"cap_bytes": "cap", "used_bytes": "used", "peak_bytes": "high", "rejected": "refused"},
+):
+    """The usage of one purpose as operators read it."""
 
-def measure_files_bytes(folder: str) -> int:
-    """Sum the sizes of our files in a folder, in bytes."""
-    size = 0
-    try:
-        with os.scandir(folder) as entries:
-            for _, entry in zip(range(FILES_MOST), entries, strict=False):
-                if entry.name.startswith(FILES_BEGIN):
-                    size += entry.stat(follow_symlinks=False).st_size
-    except OSError:
-        return size  # gone meanwhile, or no such folder
-    return size
+    cap_bytes: int
+    used_bytes: int
+    peak_bytes: int
+    rejected: int
 
+    @property
+    def is_over_cap(self) -> bool:
+        """Whether the purpose uses more than its cap."""
+        return self.used_bytes > self.cap_bytes
 
-def trim_allocator() -> None:
-    """Have the C library return what was freed to the system; elsewhere than on glibc this does nothing."""
-    import ctypes  # half a megabyte, which a proxy without need of it saves
 
-    try:
-        ctypes.CDLL(None).malloc_trim(0)
-    except (OSError, AttributeError):
-        return
+class DescriptorState(msgspec.Struct, rename={"rejected": "refused"}):
+    """The descriptors that clients and their attempts share.
 
-
-class PurposeState(msgspec.Struct):
-    """One purpose as operators read it, in bytes and times refused."""
-
-    cap: int
-    used: int
-    high: int
-    refused: int
-
-
-class DescriptorState(msgspec.Struct):
-    """The descriptors that clients and their executions share; refusals are commands turned away for them."""
+    Attributes:
+        cap: The most that may be open.
+        used: How many are open.
+        rejected: Requests rejected for want of a descriptor.
+    """
 
     cap: int
     used: int
-    refused: int
-
-
-class MemoryState(msgspec.Struct):
-    """The answer to ``GET /v1/memory``, all sizes in bytes."""
-
-    grant: int
-    start: int
-    margin: int
-    planned: int
-    resident: int
-    resident_peak: int
-    growth: int
-    accounted: int
-    unaccounted: int
-    trims: int
-    errors: int  # give-backs that exceeded what was taken
+    rejected: int
+
+
+class MemoryState(
+    msgspec.Struct,
+    rename={
+        "grant_bytes": "grant",
+        "start_bytes": "start",
+        "unplanned_bytes": "margin",
+        "planned_bytes": "planned",
+        "resident_bytes": "resident",
+        "resident_peak_bytes": "resident_peak",
+        "growth_bytes": "growth",
+        "accounted_bytes": "accounted",
+        "unaccounted_bytes": "unaccounted",
+        "trim_count": "trims",
+        "excess_releases": "errors",
+    },
+):
+    """The answer to ``GET /v1/memory``; ``docs/memory.md`` explains the keys."""
+
+    grant_bytes: int
+    start_bytes: int
+    unplanned_bytes: int
+    planned_bytes: int
+    resident_bytes: int
+    resident_peak_bytes: int
+    growth_bytes: int
+    accounted_bytes: int
+    unaccounted_bytes: int
+    trim_count: int
+    excess_releases: int
     purposes: dict[str, PurposeState]
     descriptors: DescriptorState
 
 
 class MemoryAccounting:
-    """Samples the process once a second and keeps the account near the truth."""
+    """Samples the process once a second and keeps the account near the truth.
+
+    Attributes:
+        account: The account.
+        plan: The plan in effect.
+        resident_monitor: The comparison of the account with the resident size.
+        sampled_sources: What is counted as a whole at each sample: a function that returns bytes,
+            by purpose and name of the source.
+    """
 
     def __init__(
         self,
         loop: EventLoop,
-        notices: RateLimitedLog,
+        log: RateLimitedLog,
         account: MemoryAccount,
         plan: MemoryPlan,
         pool: BufferPool,
         folder: str,
     ) -> None:
+        """Create the accounting; ``start`` begins to sample.
+
+        Args:
+            loop: The event loop.
+            log: The log for operators.
+            account: The account to keep.
+            plan: The plan that the account was made from.
+            pool: The buffers and streams of clients.
+            folder: The folder with the proxy's files; empty if there is none.
+        """
         self._loop = loop
-        self._notices = notices
+        self._log = log
         self._pool = pool
         self._folder = folder
         self.account = account
         self.plan = plan
         self.resident_monitor = ResidentMemoryMonitor(plan.grant_bytes)
-        # Counted whole at each sample, by purpose and name.
         self.sampled_sources: dict[tuple[MemoryPurpose, str], Callable[[], int]] = {}
 
     def start(self) -> None:
-        """Take the start size and sample from here on."""
-        self._count()
+        """Record the resident size at the start, and sample from here on."""
+        self._sample_sources()
         self.resident_monitor.start(read_resident_bytes(), self.account.resident_bytes())
         if self.plan.is_below_minimum:
-            self._notices.warning(
-                "memory",
-                f"{self.plan.grant_bytes >> 20} MB are too few: the least caps pass what is granted",
+            self._log.warning(
+                "memory grant below minimum",
+                f"grant_mb={self.plan.grant_bytes >> 20}"
+                f" planned_kb={self.plan.planned_bytes >> 10}",
             )
-        self._loop.call_later(SAMPLE_US, self._sample)
-        self._loop.call_later(UNREAD_LOOK_US, self._look_at_unread)
+        self._loop.call_later(SAMPLE_INTERVAL_US, self._sample_periodically)
+        self._loop.call_later(UNREAD_CHECK_INTERVAL_US, self._check_unread_periodically)
 
     def apply_plan(self, plan: MemoryPlan) -> None:
-        """Put new caps to use; what is in use beyond them stays until it ends."""
+        """Put new caps into effect; usage above them stays until it ends by itself."""
         self.plan = plan
         self._pool.socket_buffer_bytes = plan.socket_buffer_bytes
         self.account.set_caps(plan.caps)
         if self.account.available_bytes(MemoryPurpose.BUFFERS) < 0:
             self._pool.release_spares()
 
-    def _count(self) -> None:
-        for (purpose, name), count in self.sampled_sources.items():
-            self.account.set_sampled_bytes(purpose, name, count())
-        self.account.set_sampled_bytes(MemoryPurpose.KERNEL, "sockets", self._loop.kernel_bytes())
-        if self._folder:
-            self.account.set_sampled_bytes(
-                MemoryPurpose.FILES, "files", measure_files_bytes(self._folder)
-            )
+    def can_write_file(self, path: Path, size_bytes: int) -> bool:
+        """Return whether a file may be written anew; the old one stays beside it for a moment."""
+        self._sample_files(self._folder or str(path.parent))
+        if self.account.available_bytes(MemoryPurpose.FILES) >= size_bytes:
+            return True
+        self.account.count_rejection(MemoryPurpose.FILES)
+        return False
+
+    def state(self, descriptors: DescriptorState) -> MemoryState:
+        """Return the account, sampled just now.
+
+        Args:
+            descriptors: The descriptors in use, which the account does not know.
+        """
+        self._sample()
+        monitor = self.resident_monitor
+        sample = monitor.last_sample
+        return MemoryState(
+            grant_bytes=self.plan.grant_bytes,
+            start_bytes=monitor.start_bytes,
+            unplanned_bytes=self.plan.unplanned_bytes,
+            planned_bytes=self.plan.planned_bytes,
+            resident_bytes=sample.resident_bytes,
+            resident_peak_bytes=monitor.peak_bytes,
+            growth_bytes=sample.growth_bytes,
+            accounted_bytes=sample.growth_bytes - sample.unaccounted_bytes,
+            unaccounted_bytes=sample.unaccounted_bytes,
+            trim_count=monitor.trim_count,
+            excess_releases=self.account.excess_releases,
+            purposes={purpose.key: self._purpose_state(purpose) for purpose in MemoryPurpose},
+            descriptors=descriptors,
+        )
+
+    def _purpose_state(self, purpose: MemoryPurpose) -> PurposeState:
+        usage = self.account.usage(purpose)
+        return PurposeState(
+            cap_bytes=usage.cap_bytes,
+            used_bytes=usage.used_bytes,
+            peak_bytes=usage.peak_bytes,
+            rejected=usage.rejected,
+        )
+
+    # Samples
+
+    def _sample_periodically(self) -> None:
+        self._loop.call_later(SAMPLE_INTERVAL_US, self._sample_periodically)
+        self._sample()
 
     def _sample(self) -> None:
-        self._loop.call_later(SAMPLE_US, self._sample)
-        self._look()
-
-    def _look(self) -> None:
-        """Count, compare with the resident size, and do what that calls for, whoever asked for the look."""
-        self._count()
-        size = read_resident_bytes()
-        if not size:
+        """Sample all sources, compare with the resident size, and act on the advice.
+
+        A sample taken for an operator's call acts on it too: the same advice does not come again.
+        """
+        self._sample_sources()
+        resident_bytes = read_resident_bytes()
+        if not resident_bytes:
             return
         advice = self.resident_monitor.sample(
-            self._loop.now_us, size, self.account.resident_bytes()
+            self._loop.now_us, resident_bytes, self.account.resident_bytes()
         )
         if advice.should_trim:
             self._pool.release_spares()
             trim_allocator()
         if advice.should_warn:
-            last = self.resident_monitor.last_sample
-            self._notices.warning(
+            sample = self.resident_monitor.last_sample
+            self._log.warning(
                 "memory unaccounted",
-                f"{last.unaccounted_bytes >> 10} KB of {last.resident_bytes >> 10} KB"
-                " have no purpose in the account",
+                f"unaccounted_kb={sample.unaccounted_bytes >> 10}"
+                f" resident_kb={sample.resident_bytes >> 10}",
             )
 
-    def _look_at_unread(self) -> None:
-        """Have clients that do not read give way, the longest unread first, before too much is held."""
-        self._loop.call_later(UNREAD_LOOK_US, self._look_at_unread)
-        if not self._pool.unread_since_us:
-            return
-        account = self.account
-        account.set_sampled_bytes(MemoryPurpose.KERNEL, "sockets", self._loop.kernel_bytes())
-        used = account.used_bytes(MemoryPurpose.KERNEL)
-        for stream, since in list(self._pool.unread_since_us.items()):
-            enough = used <= KERNEL_SHARE * account.cap_bytes(MemoryPurpose.KERNEL)
-            if enough or self._loop.now_us < since + KERNEL_UNREAD_US:
-                return
-            used -= stream.kernel_bytes()
-            account.count_rejection(MemoryPurpose.KERNEL)
-            stream.shed()
+    def _sample_sources(self) -> None:
+        for (purpose, source), count_bytes in self.sampled_sources.items():
+            self.account.set_sampled_bytes(purpose, source, count_bytes())
+        self._sample_kernel_buffers()
+        if self._folder:
+            self._sample_files(self._folder)
 
-    def can_write_file(self, path: Path, size: int) -> bool:
-        """Tell whether a file may be written anew at this size; the old one stays beside it for a moment."""
-        account = self.account
-        account.set_sampled_bytes(
-            MemoryPurpose.FILES, "files", measure_files_bytes(self._folder or str(path.parent))
+    def _sample_kernel_buffers(self) -> None:
+        self.account.set_sampled_bytes(
+            MemoryPurpose.KERNEL, _KERNEL_SOURCE, self._loop.kernel_bytes()
         )
-        if account.available_bytes(MemoryPurpose.FILES) >= size:
-            return True
-        account.count_rejection(MemoryPurpose.FILES)
-        return False
 
-    def state(self, descriptors: DescriptorState) -> MemoryState:
-        """Return the account as it stands, counted just now; the resident size is read just now too."""
-        self._look()
-        last = self.resident_monitor.last_sample
-        return MemoryState(
-            grant=self.plan.grant_bytes,
-            start=self.resident_monitor.start_bytes,
-            margin=self.plan.unplanned_bytes,
-            planned=self.plan.planned_bytes,
-            resident=last.resident_bytes,
-            resident_peak=self.resident_monitor.peak_bytes,
-            growth=last.growth_bytes,
-            accounted=last.growth_bytes - last.unaccounted_bytes,
-            unaccounted=last.unaccounted_bytes,
-            trims=self.resident_monitor.trim_count,
-            errors=self.account.excess_releases,
-            purposes=self._purposes(),
-            descriptors=descriptors,
+    def _sample_files(self, folder: str) -> None:
+        self.account.set_sampled_bytes(
+            MemoryPurpose.FILES, _FILES_SOURCE, measure_files_bytes(folder)
         )
 
-    def _purposes(self) -> dict[str, PurposeState]:
-        lines = {purpose.key: self.account.usage(purpose) for purpose in MemoryPurpose}
-        return {
-            key: PurposeState(x.cap_bytes, x.used_bytes, x.peak_bytes, x.rejected)
-            for key, x in lines.items()
-        }
+    # Clients that do not read
+
+    def _check_unread_periodically(self) -> None:
+        self._loop.call_later(UNREAD_CHECK_INTERVAL_US, self._check_unread_periodically)
+        if self._pool.unread_since_us:
+            self._shed_unread_streams()
+
+    def _shed_unread_streams(self) -> None:
+        """Shed clients that do not read, longest unread first, while kernel buffers are high."""
+        self._sample_kernel_buffers()
+        kernel_bytes = self.account.used_bytes(MemoryPurpose.KERNEL)
+        cap_bytes = self.account.cap_bytes(MemoryPurpose.KERNEL)
+        limit_bytes = DEFAULT_THRESHOLDS.kernel_buffers_ratio * cap_bytes
+        unread_before_us = self._loop.now_us - DEFAULT_THRESHOLDS.kernel_unread_us
+        for stream, unread_since_us in list(self._pool.unread_since_us.items()):
+            if kernel_bytes <= limit_bytes or unread_since_us > unread_before_us:
+                return
+            kernel_bytes -= stream.kernel_bytes()
+            self.account.count_rejection(MemoryPurpose.KERNEL)
+            stream.shed()
--- a/larchhaven/net/core/buffer_pool.py
+++ b/larchhaven/net/core/buffer_pool.py
@@ -6,11 +6,9 @@
 from typing import Protocol
 
 from larchhaven.memory.account import MemoryAccount
-from larchhaven.memory.item_costs import BUFFER_OVERHEAD_BYTES
+from larchhaven.memory.item_costs import BUFFER_BYTES, BUFFER_OVERHEAD_BYTES
 from larchhaven.memory.purposes import MemoryPurpose
 
-# Fits a line of the greatest length and the beginning of the next.
-BUFFER_BYTES = 8192
 # Returned buffers that are kept for reuse; the others go back to the allocator.
 MAX_SPARE_BUFFERS = 32
 _CHARGE_BYTES = BUFFER_BYTES + BUFFER_OVERHEAD_BYTES
--- a/larchhaven/net/core/stream.py
+++ b/larchhaven/net/core/stream.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from larchhaven.memory.item_costs import STREAM_BYTES
-from larchhaven.net.core.buffer_pool import BUFFER_BYTES, Buffer, BufferPool
+from larchhaven.memory.item_costs import BUFFER_BYTES, STREAM_BYTES
+from larchhaven.net.core.buffer_pool import Buffer, BufferPool
 from larchhaven.net.core.event_loop import READ, WRITE, EventLoop, TimerHandle
 
 # A stream that was ended here reads on while input comes, so that what it wrote last is not lost to a reset:
--- a/larchhaven/net/proxy.py
+++ b/larchhaven/net/proxy.py
@@ -20,13 +20,10 @@
 from larchhaven.memory.purposes import MemoryPurpose
 from larchhaven.net.admin.administrative_ejection import Suspensions
 from larchhaven.net.admin.http_api import DESCRIPTORS, Management
-from larchhaven.net.admin.memory_accounting import (
-    DescriptorState,
-    MemoryAccounting,
-    read_resident_bytes,
-)
+from larchhaven.net.admin.memory_accounting import DescriptorState, MemoryAccounting
 from larchhaven.net.admin.metrics import Metrics
 from larchhaven.net.admin.operator_file import OperatorFileReader
+from larchhaven.net.admin.process_memory import read_resident_bytes
 from larchhaven.net.configuration import Config, ConfigError, load
 from larchhaven.net.control.connection_limits import ConnectionLimits
 from larchhaven.net.control.dispatcher import Broker, Outside, Wants
--- a/larchhaven/net/text_protocol/listener.py
+++ b/larchhaven/net/text_protocol/listener.py
@@ -6,7 +6,7 @@
 import socket
 from collections.abc import Mapping
 
-from larchhaven.memory.admission import UNREAD_US, ShedCandidate, choose_shed_candidate
+from larchhaven.memory.admission import DEFAULT_THRESHOLDS, ShedCandidate, choose_shed_candidate
 from larchhaven.net.control.connection_limits import ConnectionLimits
 from larchhaven.net.control.dispatcher import Broker, Execution, Wants
 from larchhaven.net.core.buffer_pool import BufferPool
@@ -188,7 +188,7 @@
         self.tenants = tenants
         self.away = False  # clients are sent away; those that come all the same are served
         self._rooms = rooms
-        self.unread_us = UNREAD_US
+        self.unread_us = DEFAULT_THRESHOLDS.unread_us
         pool.on_exhausted = self._relieve
         self._silent_most = max(int(SILENT_SHARE * descriptors), 1)
         # Those that have not brought a first line yet, the oldest first.
@@ -297,14 +297,14 @@
         unread = next(iter(self.pool.unread_since_us.values()), None)
         oldest = next(iter(self._silent), None)
         return choose_shed_candidate(
-            len(self._silent),
-            0 if oldest is None else oldest.since,
-            self._silent_most,
-            len(self.pool.lingering),
-            unread,
-            self.loop.now_us,
-            self._short(),
-            self.unread_us,
+            awaiting_request=len(self._silent),
+            oldest_awaiting_since_us=0 if oldest is None else oldest.since,
+            max_awaiting_request=self._silent_most,
+            lingering=len(self.pool.lingering),
+            unread_since_us=unread,
+            now_us=self.loop.now_us,
+            is_exhausted=self._short(),
+            unread_us=self.unread_us,
         )
 
     def _make_room(self) -> None:
@@ -315,12 +315,12 @@
         """
         while (giver := self._giver()) is not None:
             match giver:
-                case ShedCandidate.PARTING:
+                case ShedCandidate.LINGERING:
                     next(iter(self.pool.lingering)).close_without_reset()
-                case ShedCandidate.UNREAD:
+                case ShedCandidate.NOT_READING:
                     self._rooms.count_shed_client()
                     next(iter(self.pool.unread_since_us)).shed()
-                case ShedCandidate.SILENT:
+                case ShedCandidate.AWAITING_REQUEST:
                     self._rooms.count_shed_client()
                     next(iter(self._silent)).give_way()
 
--- a/tests/test_caps.py
+++ b/tests/test_caps.py
@@ -244,9 +244,9 @@
     watched = accounting.MemoryAccounting(loop, notices, account, made, BufferPool(account), "")
     watched.start()
     state = watched.state(accounting.DescriptorState(1, 0, 0))
-    assert state.trims == len(trims) == 1
+    assert state.trim_count == len(trims) == 1
     assert notices.event_count() == 1
-    assert state.unaccounted == 8 << 20
+    assert state.unaccounted_bytes == 8 << 20
 
 
 def test_notices_remember_no_more_kinds_than_their_cap(capsys: pytest.CaptureFixture[str]) -> None:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -14,7 +14,8 @@
 
 import pytest
 
-from larchhaven.net.core.buffer_pool import BUFFER_BYTES, Buffer
+from larchhaven.memory.item_costs import BUFFER_BYTES
+from larchhaven.net.core.buffer_pool import Buffer
 from larchhaven.net.graceful_shutdown import LOOK_US, Stopping
 from larchhaven.routing import interface as api
 from larchhaven.routing.interface import Effect, Scope
--- a/tests/test_leaks.py
+++ b/tests/test_leaks.py
@@ -21,12 +21,13 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from larchhaven.memory.account import MemoryAccount
+from larchhaven.memory.item_costs import BUFFER_BYTES
 from larchhaven.memory.purposes import MemoryPurpose
 from larchhaven.net.admin.metrics import Metrics
 from larchhaven.net.control.connection_limits import ConnectionLimits
 from larchhaven.net.control.dispatcher import Broker, Execution, Outside, Wants
 from larchhaven.net.core import event_loop as loop_module
-from larchhaven.net.core.buffer_pool import BUFFER_BYTES, BufferPool
+from larchhaven.net.core.buffer_pool import BufferPool
 from larchhaven.net.core.event_loop import EventLoop
 from larchhaven.net.core.rate_limited_log import RateLimitedLog
 from larchhaven.net.core.stream import Stream
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -7,10 +7,10 @@
 from hypothesis import strategies as st
 
 from larchhaven.memory.account import MemoryAccount
-from larchhaven.memory.item_costs import BUFFER_OVERHEAD_BYTES
+from larchhaven.memory.item_costs import BUFFER_BYTES, BUFFER_OVERHEAD_BYTES
 from larchhaven.memory.purposes import MemoryPurpose
 from larchhaven.net.control.endpoint_watch import Directory, HostEntry, HostList, read_address
-from larchhaven.net.core.buffer_pool import BUFFER_BYTES, Buffer, BufferPool
+from larchhaven.net.core.buffer_pool import Buffer, BufferPool
 from larchhaven.net.core.slot_table import SlotTable
 from larchhaven.net.text_protocol import codec as lines
 from larchhaven.routing import interface as api
