--- a/larchhaven/memory/admission.py
+++ b/larchhaven/memory/admission.py
@@ -62,6 +62,14 @@
         return self.used + self.needed <= self.total - int(self.total * reserve_ratio)
 
 
+def find_first_exhausted(capacities: Sequence[Capacity], reserve_ratio: float) -> int | None:
+    """Return the index of the first capacity without room beside the reserve, if there is one."""
+    for index, capacity in enumerate(capacities):
+        if not capacity.fits(reserve_ratio):
+            return index
+    return None
+
+
 class Admission:
     """Decides whether a new request of a class is admitted.
 
@@ -82,10 +90,7 @@
     def find_exhausted(self, request_class: int, capacities: Sequence[Capacity]) -> int | None:
         """Return the index of the first capacity without room for a request; None admits it."""
         reserve_ratio = 0.0 if self._may_use_reserve(request_class) else self.reserve_ratio
-        for index, capacity in enumerate(capacities):
-            if not capacity.fits(reserve_ratio):
-                return index
-        return None
+        return find_first_exhausted(capacities, reserve_ratio)
 
     def _may_use_reserve(self, request_class: int) -> bool:
         if not 0 <= request_class < len(self._priority_weights):
--- a/larchhaven/net/admin/metrics.py
+++ b/larchhaven/net/admin/metrics.py
@@ -1,4 +1,4 @@
-"""The proxy in figures: whole numbers, counted where things happen, from the start of the process."""
+"""The proxy's metrics: whole numbers, counted where things happen, from the process's start."""
 
 from __future__ import annotations
 
@@ -6,44 +6,58 @@
 
 import msgspec
 
-# Keys of the JSON that operators read, where they differ from the fields.
-_JSON_KEYS = {
-    "active_requests": "pending",
-    "listed_servers": "members",
-    "unavailable_servers": "members_unavailable",
-    "invalid_peer_messages": "strange_messages",
-}
-
 
 class RequestOutcomes(msgspec.Struct):
-    """What became of the commands of one class; a command has one outcome, or none if its client left."""
+    """What became of the requests of one class.
+
+    A request has one outcome, or none if its client left.
+    """
 
     completed: int = 0
     rejected: int = 0
     failed: int = 0
 
 
-class Metrics(msgspec.Struct, rename=_JSON_KEYS):
-    """What operators read, in the form in which they read it."""
+class Metrics(
+    msgspec.Struct,
+    rename={
+        "active_requests": "pending",
+        "listed_servers": "members",
+        "unavailable_servers": "members_unavailable",
+        "invalid_peer_messages": "strange_messages",
+    },
+):
+    """What operators read, under the names in which they read it.
+
+    Attributes:
+        downstream_requests: The outcomes of requests by the name of their class.
+        upstream_requests: Attempts whose request line was sent completely.
+        active_requests: Requests accepted whose connection has not ended.
+        listed_servers: Servers on the endpoint list.
+        unavailable_servers: Those of them that get no new requests at present.
+        config_reloads: Reloads of the configuration or of the operators' file.
+        config_reload_errors: Reloads that failed and changed nothing.
+        invalid_peer_messages: Messages of other proxies, or entries in them, that were unusable.
+    """
 
     downstream_requests: dict[str, RequestOutcomes]
-    upstream_requests: int = 0  # executions whose first line was written to its last byte
-    active_requests: int = 0  # commands taken whose connection has not ended
+    upstream_requests: int = 0
+    active_requests: int = 0
     listed_servers: int = 0
     unavailable_servers: int = 0
     config_reloads: int = 0
     config_reload_errors: int = 0
-    invalid_peer_messages: int = 0  # of other proxies, or entries in them, that could not be used
+    invalid_peer_messages: int = 0
 
     @classmethod
-    def for_classes(cls, classes: Sequence[str]) -> Metrics:
-        """Begin at nothing, with every class there is."""
-        return cls({name: RequestOutcomes() for name in classes})
+    def for_classes(cls, class_names: Sequence[str]) -> Metrics:
+        """Return metrics at zero, with every request class."""
+        return cls({name: RequestOutcomes() for name in class_names})
 
     def outcomes_by_class(self) -> list[RequestOutcomes]:
-        """Return the outcomes by the classes' numbers."""
+        """Return the outcomes by the numbers of the classes."""
         return list(self.downstream_requests.values())
 
     def encode(self) -> bytes:
-        """Write the figures as JSON."""
+        """Return the metrics as JSON."""
         return msgspec.json.encode(self)
--- a/larchhaven/net/admin/operator_file.py
+++ b/larchhaven/net/admin/operator_file.py
@@ -1,8 +1,9 @@
-"""The operators' file as the proxy reads it: in a process of its own, as the library needs much memory.
+"""The operators' file as the proxy reads it: in a separate process, as that takes much memory.
 
-A text file is read by ``python -m larchhaven.operator.read``, which answers in JSON and ends; the loop goes
-on meanwhile. A file whose name ends in ``.json`` was read beforehand (``larchhaven check --write``) and is
-taken as it is: where the grant has no room for the reading process, that is the way to reload.
+A text file is read by ``python -m larchhaven.operator.read``, which answers in JSON and ends; the
+event loop goes on meanwhile. A file whose name ends in ``.json`` was read and checked beforehand
+(``larchhaven check --write``) and is taken as it is: the way to reload where the grant has no room
+for the reader process.
 """
 
 from __future__ import annotations
@@ -12,6 +13,7 @@
 import socket
 import sys
 from collections.abc import Callable
+from dataclasses import dataclass
 from pathlib import Path
 
 import msgspec
@@ -19,120 +21,158 @@
 from larchhaven.net.core.event_loop import READ, EventLoop, TimerHandle
 from larchhaven.operator.settings import Complaint, Reading, Settings
 
-# The reading process needs so much beside ours at its peak, pages that both share not counted. Measured.
+# The memory of the reader process at its peak, without the pages it shares with this one. Measured.
 READER_BYTES = 12 << 20
-READ_US = 10_000_000
-ANSWER_MOST = 1 << 18
-FILE_MOST = 1 << 20
+READ_TIMEOUT_US = 10_000_000
+MAX_ANSWER_BYTES = 1 << 18
+MAX_COMPILED_FILE_BYTES = 1 << 20
 
+_COMPILED_SUFFIX = ".json"
+_BLOCK_BYTES = 65_536
+_STDOUT = 1
 
-def _failed(why: str) -> Reading:
-    return Reading(Settings(), [Complaint(0, 0, why)])
 
+@dataclass(slots=True)
+class _ReaderProcess:
+    """A process that reads the file, and the socket that its answer comes from."""
 
-def _decode(data: bytes) -> Reading:
-    try:
-        return msgspec.json.decode(data, type=Reading)
-    except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        return _failed(f"was not read: {error}")
+    pid: int
+    sock: socket.socket
+
+    @classmethod
+    def start(cls, path: str) -> _ReaderProcess:
+        """Start to read a file.
+
+        Raises:
+            OSError: No process or no socket is to be had.
+        """
+        ours, theirs = socket.socketpair()
+        with theirs:
+            command = [sys.executable, "-m", "larchhaven.operator.read", path]
+            actions = [(os.POSIX_SPAWN_DUP2, theirs.fileno(), _STDOUT)]
+            pid = os.posix_spawn(sys.executable, command, os.environ, file_actions=actions)
+        return cls(pid, ours)
 
+    def wait(self) -> None:
+        """Wait for its end."""
+        os.waitpid(self.pid, 0)
 
-def _spawn(path: str) -> tuple[int, socket.socket]:
-    ours, theirs = socket.socketpair()
-    with theirs:
-        command = [sys.executable, "-m", "larchhaven.operator.read", path]
-        actions = [(os.POSIX_SPAWN_DUP2, theirs.fileno(), 1)]
-        pid = os.posix_spawn(sys.executable, command, os.environ, file_actions=actions)
-    return pid, ours
+    def kill(self) -> None:
+        """End it, if it has not ended by itself."""
+        os.kill(self.pid, signal.SIGKILL)
+
+
+def _failed_reading(reason: str) -> Reading:
+    return Reading(Settings(), [Complaint(0, 0, reason)])
+
+
+def _decode(answer: bytes) -> Reading:
+    try:
+        return msgspec.json.decode(answer, type=Reading)
+    except (msgspec.DecodeError, UnicodeDecodeError) as error:
+        return _failed_reading(f"was not read: {error}")
 
 
 def read_compiled(path: str) -> Reading:
-    """Read a file that was read and checked beforehand."""
+    """Return what was read and checked beforehand; a file that cannot be used is a complaint."""
     try:
         data = Path(path).read_bytes()
     except OSError as error:
-        return _failed(f"cannot be read: {error.strerror}")
-    return _decode(data) if len(data) <= FILE_MOST else _failed("is too long")
+        return _failed_reading(f"cannot be read: {error.strerror}")
+    if len(data) > MAX_COMPILED_FILE_BYTES:
+        return _failed_reading("is too long")
+    return _decode(data)
 
 
 def read_blocking(path: str) -> Reading:
-    """Read the file and wait for it; for the start, before the proxy itself is loaded."""
-    if path.endswith(".json"):
+    """Read the file and wait for it: for the start, before the proxy itself is loaded."""
+    if path.endswith(_COMPILED_SUFFIX):
         return read_compiled(path)
     try:
-        pid, sock = _spawn(path)
+        reader = _ReaderProcess.start(path)
     except OSError as error:
-        return _failed(f"cannot be read: {error}")
-    data = b""
-    with sock:
-        sock.settimeout(READ_US / 1e6)
+        return _failed_reading(f"cannot be read: {error}")
+    answer = b""
+    with reader.sock as sock:
+        sock.settimeout(READ_TIMEOUT_US / 1e6)
         try:
-            while (part := sock.recv(65_536)) and len(data) < ANSWER_MOST:
-                data += part
+            while (block := sock.recv(_BLOCK_BYTES)) and len(answer) < MAX_ANSWER_BYTES:
+                answer += block
         except TimeoutError:
-            os.kill(pid, signal.SIGKILL)
-    os.waitpid(pid, 0)
-    return _decode(data)
+            reader.kill()
+    reader.wait()
+    return _decode(answer)
 
 
 class OperatorFileReader:
-    """Reads the file while the loop goes on, one reading at a time."""
+    """Reads the file while the event loop goes on, one reading at a time."""
 
-    def __init__(self, loop: EventLoop, path: str, done: Callable[[Reading], None]) -> None:
+    def __init__(self, loop: EventLoop, path: str, on_read: Callable[[Reading], None]) -> None:
+        """Create the reader.
+
+        Args:
+            loop: The event loop.
+            path: The file.
+            on_read: Called with each reading, complaints included.
+        """
         self._loop = loop
         self._path = path
-        self._done = done
-        self._sock: socket.socket | None = None
-        self._pid = 0
+        self._on_read = on_read
+        self._reader: _ReaderProcess | None = None
         self._channel = 0
-        self._data = b""
-        self._limit: TimerHandle | None = None
+        self._answer = b""
+        self._timeout: TimerHandle | None = None
+
+    def read(self, available_bytes: int) -> None:
+        """Begin to read, unless a reading is in flight.
 
-    def read(self, room: int) -> None:
-        """Begin to read; ``room`` is what the grant leaves, in bytes. A reading under way is enough."""
-        if self._path.endswith(".json"):
-            self._done(read_compiled(self._path))
+        Args:
+            available_bytes: What the grant leaves for the reader process.
+        """
+        if self._path.endswith(_COMPILED_SUFFIX):
+            self._on_read(read_compiled(self._path))
             return
-        if self._sock is not None:
+        if self._reader is not None:
             return
-        if room < READER_BYTES:
-            self._done(
-                _failed(
-                    f"was not read: reading takes {READER_BYTES >> 20} MB and {max(room, 0) >> 20} MB are"
-                    " free; write it as .json with 'larchhaven check --write' and name that"
-                )
-            )
+        if available_bytes < READER_BYTES:
+            self._on_read(_failed_reading(_explain_lack_of_memory(available_bytes)))
             return
         try:
-            self._pid, self._sock = _spawn(self._path)
+            reader = _ReaderProcess.start(self._path)
         except OSError as error:
-            self._done(_failed(f"cannot be read: {error}"))
+            self._on_read(_failed_reading(f"cannot be read: {error}"))
             return
-        self._data = b""
-        self._sock.setblocking(False)
-        self._channel = self._loop.register(self._sock, READ, self._on_ready)
-        self._limit = self._loop.call_later(READ_US, self._end)
+        reader.sock.setblocking(False)
+        self._reader = reader
+        self._answer = b""
+        self._channel = self._loop.register(reader.sock, READ, lambda _: self._receive(reader))
+        self._timeout = self._loop.call_later(READ_TIMEOUT_US, lambda: self._finish(reader))
 
-    def _on_ready(self, _: int) -> None:
-        assert self._sock is not None
+    def _receive(self, reader: _ReaderProcess) -> None:
         try:
-            part = self._sock.recv(65_536)
+            block = reader.sock.recv(_BLOCK_BYTES)
         except (BlockingIOError, InterruptedError):
             return
         except OSError:
-            part = b""
-        self._data += part
-        if not part or len(self._data) > ANSWER_MOST:
-            self._end()
-
-    def _end(self) -> None:
-        """Take what was read; a reader that has not ended yet is ended, so that waiting for it is short."""
-        if self._sock is None:
-            return
-        self._loop.cancel(self._limit)
+            block = b""
+        self._answer += block
+        if not block or len(self._answer) > MAX_ANSWER_BYTES:
+            self._finish(reader)
+
+    def _finish(self, reader: _ReaderProcess) -> None:
+        """Decode the answer; a reader that has not ended is killed, so that the wait is short."""
+        self._loop.cancel(self._timeout)
         self._loop.unregister(self._channel)
-        self._sock.close()
-        self._sock = None
-        os.kill(self._pid, signal.SIGKILL)
-        os.waitpid(self._pid, 0)
-        self._done(_decode(self._data))
+        reader.sock.close()
+        self._reader = None
+        reader.kill()
+        reader.wait()
+        self._on_read(_decode(self._answer))
+
+
+def _explain_lack_of_memory(available_bytes: int) -> str:
+    return (
+        f"was not read: reading takes {READER_BYTES >> 20} MB and"
+        f" {max(available_bytes, 0) >> 20} MB are free; write it as .json with"
+        " 'larchhaven check --write' and name that"
+    )
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -13,7 +13,16 @@
 PACKAGE = ROOT / "larchhaven"
 
 # Packages and modules that are finished; ``docs/ROADMAP.md`` lists the others.
-FINISHED: tuple[str, ...] = ("memory", "net/core")
+FINISHED: tuple[str, ...] = (
+    "cli/memory.py",
+    "memory",
+    "net/admin/memory_accounting.py",
+    "net/admin/metrics.py",
+    "net/admin/operator_file.py",
+    "net/admin/process_memory.py",
+    "net/control/connection_limits.py",
+    "net/core",
+)
 PURE = ("routing", "gossip", "membership", "memory")
 
 MAX_LINE_LENGTH = 100
