--- a/larchhaven/lab/tier.py
+++ b/larchhaven/lab/tier.py
@@ -27,6 +27,7 @@
 
 KEY = "a key for the lab only"
 LOOK_S = 0.1
+MAX_DATAGRAM_BYTES = 256
 STARTS_AT_ONCE = 8
 
 
@@ -82,12 +83,17 @@
             own["policy_limits"] |= {"may_tell": self.may_tell}
             peers = self.network.peers(number)
             configuration: dict[str, Any] = {
-                "name": f"n{number}", "listen": "127.0.0.1:0", "mgmt": "127.0.0.1:0",
-                "discovery": f"127.0.0.1:{self._discovery.port}", "seed": f"{self.seed + number:x}",
+                "name": f"n{number}",
+                "listen": "127.0.0.1:0",
+                "mgmt": "127.0.0.1:0",
+                "discovery": f"127.0.0.1:{self._discovery.port}",
+                "seed": f"{self.seed + number:x}",
                 "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
-                "settings": own, "peer_listen": peers[number], "peers": peers,
+                "settings": own,
+                "peer_listen": peers[number],
+                "peers": peers,
                 "known": {"seq": 1, "whole": True, "hosts": [self._discovery.entry("s0")]},
-            }  # fmt: skip
+            }
             proxy = Proxy(f"n{number}", self.folder / f"n{number}", configuration)
             proxy.operator_file.write_text(operator_text(on=self.on))
             self.proxies.append(proxy)
@@ -121,7 +127,7 @@
         longest = (
             max(link.longest for link in self.network.links.values()) if self.network.links else 0
         )
-        return errors + ([f"a datagram of {longest} bytes"] if longest > 256 else [])
+        return errors + ([f"a datagram of {longest} bytes"] if longest > MAX_DATAGRAM_BYTES else [])
 
     def _note(self, what: str) -> None:
         self.steps.append(Step(round(time.monotonic() - self._begun, 3), what))
--- a/larchhaven/net/text_protocol/connection_relay.py
+++ b/larchhaven/net/text_protocol/connection_relay.py
@@ -3,15 +3,15 @@
 from __future__ import annotations
 
 from collections import deque
-from typing import Protocol
 
 import msgspec
 
+from larchhaven.net.control.interfaces import ConnectionObserver
 from larchhaven.net.core.event_loop import EventLoop, TimerHandle
 from larchhaven.net.core.lingering_close import LINGER_US
 from larchhaven.net.core.stream import Stream
 from larchhaven.net.text_protocol import codec as lines
-from larchhaven.routing import interface as api
+from larchhaven.routing.events import AttemptResult, LoadReport
 
 # Client lines without an answer are looked at this often; their age is told as a delay.
 LOOK_US = 1_000_000
@@ -30,25 +30,6 @@
 ASKED_MOST = 64
 
 
-class SessionOwner(Protocol):
-    """Whom a session tells of its life."""
-
-    def session_load(self, token: int, load: float) -> None:
-        """Take the connection's new load, in cores."""
-
-    def session_delay(self, token: int, delay_us: int) -> None:
-        """Take how long an answer took."""
-
-    def session_waits(self, token: int, age_us: int) -> None:
-        """Take how long a line has gone unanswered."""
-
-    def session_stalled(self, token: int, age_us: int) -> None:
-        """Take that a line has gone unanswered so long that the connection should be moved."""
-
-    def session_over(self, token: int, result: api.Result, report: api.Report | None) -> None:
-        """Take how the connection ended."""
-
-
 class SideState(msgspec.Struct):
     """One side of a relay: bytes read and not passed on, bytes to be sent, and where its lines are."""
 
@@ -118,28 +99,41 @@
     """One served connection."""
 
     __slots__ = (
-        "_asked", "_client", "_closing", "_ending", "_heard_at", "_idle", "_instance", "_look", "_loop",
-        "_moving", "_over", "_owner", "_token",
-    )  # fmt: skip
+        "_asked",
+        "_client",
+        "_closing",
+        "_ending",
+        "_heard_at",
+        "_idle",
+        "_instance",
+        "_look",
+        "_loop",
+        "_moving",
+        "_over",
+        "_owner",
+        "_request_id",
+    )
 
     def __init__(
         self,
         loop: EventLoop,
         client: Stream,
         instance: Stream,
-        owner: SessionOwner,
-        token: int,
+        owner: ConnectionObserver,
+        request_id: int,
         first: bytes | RelayState,
     ) -> None:
         self._loop = loop
         self._owner = owner
-        self._token = token
+        self._request_id = request_id
         self._client = _Side(self, client)
         self._instance = _Side(self, instance)
         self._asked: deque[int] = deque()
         self._look: TimerHandle | None = None
         self._closing: TimerHandle | None = None
-        self._ending: tuple[api.Result, api.Report | None] | None = None  # the instance's last line
+        self._ending: tuple[AttemptResult, LoadReport | None] | None = (
+            None  # the instance's last line
+        )
         self._moving = False
         self._over = False
         self._heard_at = loop.now_us
@@ -171,7 +165,7 @@
         """Return the descriptors of the client's and the instance's side."""
         return self._client.stream.file_descriptor, self._instance.stream.file_descriptor
 
-    def release(self) -> None:
+    def detach_sockets(self) -> None:
         """Let go of a connection that another process holds now; nobody at its ends notices."""
         self._over = True
         for deadline in (self._look, self._idle, self._closing):
@@ -216,7 +210,7 @@
         for line in done:
             load = lines.read_load(line)
             if load is not None:
-                self._owner.session_load(self._token, load)
+                self._owner.on_load_changed(self._request_id, load)
                 continue
             ending = lines.read_last(line)
             if ending is not None:
@@ -225,7 +219,9 @@
                     LAST_LINE_US, self._finish_both
                 )
             elif self._asked:
-                self._owner.session_delay(self._token, self._loop.now_us - self._asked.popleft())
+                self._owner.on_message_answered(
+                    self._request_id, self._loop.now_us - self._asked.popleft()
+                )
                 # A hung instance may never answer what it swallowed; each later answer would look late.
                 while self._asked and self._loop.now_us - self._asked[0] >= STALLED_US:
                     self._asked.popleft()
@@ -241,15 +237,15 @@
             return
         age = self._loop.now_us - self._asked[0]
         if age >= SILENT_MOST_US:
-            self._end_now(api.Result.TIMEOUT)
+            self._end_now(AttemptResult.TIMEOUT)
             return
         if age >= STALLED_US:
-            self._owner.session_stalled(self._token, age)
+            self._owner.on_server_unresponsive(self._request_id, age)
         elif age >= LOOK_US:
-            self._owner.session_waits(self._token, age)
+            self._owner.on_message_waiting(self._request_id, age)
         self._look = self._loop.call_later(max(LOOK_US - age, LOOK_US // 2), self._look_again)
 
-    def _end_now(self, result: api.Result) -> None:
+    def _end_now(self, result: AttemptResult) -> None:
         self._instance.stream.close(reset=True)
         if self._client.stream.is_closed:
             self._tell_over(result, None)
@@ -263,7 +259,7 @@
         if left > 0:
             self._idle = self._loop.call_later(left, self._on_idle)
         else:
-            self._end_now(api.Result.CANCELLED)
+            self._end_now(AttemptResult.CANCELLED)
 
     def give_way(self) -> None:
         """End both sides, as the client does not read what it asked for and others need the room."""
@@ -272,7 +268,7 @@
 
     # Moves
 
-    def move(self) -> None:
+    def migrate(self) -> None:
         """Tell the client to come again, between two lines, and end both sides."""
         if self._over or self._moving or self._ending is not None:
             return
@@ -286,7 +282,7 @@
         if self._over:
             return
         self._write_move()
-        self._tell_over(api.Result.CANCELLED, None)
+        self._tell_over(AttemptResult.CANCELLED, None)
         self._finish_both()
 
     def _write_move(self) -> None:
@@ -299,9 +295,9 @@
     def on_side_end(self, side: _Side) -> None:
         """Pass on the end of one side after what it sent before."""
         if side is self._instance:
-            self._tell_over(*(self._ending or (api.Result.RESET, None)))
+            self._tell_over(*(self._ending or (AttemptResult.RESET, None)))
         else:
-            self._tell_over(api.Result.CANCELLED, None)
+            self._tell_over(AttemptResult.CANCELLED, None)
         self._closing = self._closing or self._loop.call_later(LINGER_US, self._finish_both)
         self.pass_on(side)
 
@@ -317,7 +313,9 @@
             self._tell_over(*self._ending)
             self._finish_both()
             return
-        self._tell_over(api.Result.RESET if side is self._instance else api.Result.CANCELLED, None)
+        self._tell_over(
+            AttemptResult.RESET if side is self._instance else AttemptResult.CANCELLED, None
+        )
         self.other(side).stream.close(reset=True)
         self._loop.cancel(self._closing)
 
@@ -327,15 +325,15 @@
             del self._client.relay, self._instance.relay
 
     def _finish_both(self) -> None:
-        self._tell_over(*(self._ending or (api.Result.CANCELLED, None)))
+        self._tell_over(*(self._ending or (AttemptResult.CANCELLED, None)))
         self._loop.cancel(self._closing)
         self._client.stream.start_lingering_close()
         self._instance.stream.start_lingering_close()
 
-    def _tell_over(self, result: api.Result, report: api.Report | None) -> None:
+    def _tell_over(self, result: AttemptResult, report: LoadReport | None) -> None:
         if not self._over:
             self._over = True
             self._loop.cancel(self._look)
             self._loop.cancel(self._idle)
             self._asked.clear()
-            self._owner.session_over(self._token, result, report)
+            self._owner.on_connection_ended(self._request_id, result, report)
--- a/larchhaven/net/text_protocol/health_check_connection.py
+++ b/larchhaven/net/text_protocol/health_check_connection.py
@@ -10,12 +10,12 @@
 from larchhaven.net.core.event_loop import EventLoop, TimerHandle
 from larchhaven.net.core.stream import RESOURCE_EXHAUSTION_ERRNOS, Stream
 from larchhaven.net.text_protocol import codec as lines
-from larchhaven.routing import interface as api
+from larchhaven.routing.events import AttemptResult, LoadReport
 
 # A probe without an answer in this time has failed: a hung instance takes probes and says nothing.
 PROBE_US = 500_000
 
-Done = Callable[[str, api.Result, int, api.Report | None], None]
+Done = Callable[[str, AttemptResult, int, LoadReport | None], None]
 
 
 class _Asker:
@@ -40,7 +40,7 @@
             return
         self.asking = True
         self._asked_at = self._loop.now_us
-        self._limit = self._loop.call_later(PROBE_US, lambda: self._end(api.Result.TIMEOUT))
+        self._limit = self._loop.call_later(PROBE_US, lambda: self._end(AttemptResult.TIMEOUT))
         if self._stream is None:
             self._connect()
         else:
@@ -52,11 +52,11 @@
             self._stream = Stream.connect(self._loop, self._probes.pool, self.address, self)
         except OSError as error:
             short = error.errno in RESOURCE_EXHAUSTION_ERRNOS
-            result = api.Result.NOT_SENT if short else api.Result.UNREACHABLE
+            result = AttemptResult.NOT_SENT if short else AttemptResult.UNREACHABLE
             self._loop.call_later(0, lambda: self._end(result))
             return
         self._connect_limit = self._loop.call_later(
-            self._probes.connect_us, lambda: self._end(api.Result.UNREACHABLE)
+            self._probes.connect_us, lambda: self._end(AttemptResult.UNREACHABLE)
         )
 
     def connection_made(self) -> None:
@@ -77,7 +77,7 @@
         try:
             line = lines.take_line(stream.inbox)
         except lines.BadLineError:
-            self._end(api.Result.ERROR)
+            self._end(AttemptResult.ERROR)
             return
         if line is None:
             return
@@ -96,7 +96,7 @@
     def connection_lost(self, code: int) -> None:
         """Take the loss of the connection."""
         if code in RESOURCE_EXHAUSTION_ERRNOS:
-            self._end(api.Result.NOT_SENT)
+            self._end(AttemptResult.NOT_SENT)
         else:
             self._lost()
 
@@ -106,10 +106,10 @@
             self._close()
             self._connect()
         else:
-            self._end(api.Result.RESET if self._standing else api.Result.UNREACHABLE)
+            self._end(AttemptResult.RESET if self._standing else AttemptResult.UNREACHABLE)
 
     def _end(
-        self, result: api.Result, report: api.Report | None = None, keep: bool = False
+        self, result: AttemptResult, report: LoadReport | None = None, keep: bool = False
     ) -> None:
         if not keep:
             self._close()
@@ -126,7 +126,7 @@
 
     def drop(self) -> None:
         """Close the connection; a probe under way ends as cancelled."""
-        self._end(api.Result.CANCELLED)
+        self._end(AttemptResult.CANCELLED)
 
 
 class Probes:
@@ -144,7 +144,7 @@
         asker = self._askers.get(host)
         if asker is None and not self.pool.account.try_charge(MemoryPurpose.PROBES, STREAM_BYTES):
             self.done(
-                host, api.Result.NOT_SENT, 0, None
+                host, AttemptResult.NOT_SENT, 0, None
             )  # the decision module does without this report
             return
         if asker is None:
--- a/larchhaven/net/text_protocol/upstream_attempt.py
+++ b/larchhaven/net/text_protocol/upstream_attempt.py
@@ -3,29 +3,13 @@
 from __future__ import annotations
 
 import errno
-from typing import Protocol
 
+from larchhaven.net.control.interfaces import AttemptObserver
 from larchhaven.net.core.buffer_pool import BufferPool
 from larchhaven.net.core.event_loop import EventLoop
 from larchhaven.net.core.stream import RESOURCE_EXHAUSTION_ERRNOS, Stream
 from larchhaven.net.text_protocol import codec as lines
-from larchhaven.routing import interface as api
-
-
-class ExecutionOwner(Protocol):
-    """Whom an execution tells of its life."""
-
-    def may_begin(self, token: int) -> bool:
-        """Tell whether the first byte may still be sent to the instance."""
-
-    def execution_written(self, token: int) -> None:
-        """Take that the last byte of the first line is written."""
-
-    def execution_up(self, token: int) -> None:
-        """Take that the instance serves the command."""
-
-    def execution_over(self, token: int, result: api.Result, report: api.Report | None) -> None:
-        """Take how the execution ended without having come up."""
+from larchhaven.routing.events import AttemptResult, LoadReport
 
 
 class TextExecution:
@@ -35,8 +19,8 @@
         self,
         loop: EventLoop,
         pool: BufferPool,
-        owner: ExecutionOwner,
-        token: int,
+        owner: AttemptObserver,
+        request_id: int,
         first_line: bytes,
         address: tuple[str, int],
         connect_us: int,
@@ -44,7 +28,7 @@
     ) -> None:
         self._loop = loop
         self._owner = owner
-        self._token = token
+        self._request_id = request_id
         self._first_line = first_line
         self._until = loop.now_us + wait_us
         self._written = False
@@ -57,7 +41,7 @@
             self.stream = Stream.connect(loop, pool, address, self)
         except OSError as error:
             short = error.errno in RESOURCE_EXHAUSTION_ERRNOS
-            result = api.Result.NOT_SENT if short else api.Result.UNREACHABLE
+            result = AttemptResult.NOT_SENT if short else AttemptResult.UNREACHABLE
             # Told in a turn of its own: the owner is still at work on the action that began this.
             loop.call_later(0, lambda: self._end(result))
 
@@ -69,12 +53,12 @@
         stream = self.stream
         if stream is None or self._over:
             return
-        if not self._owner.may_begin(self._token):
-            self._end(api.Result.NOT_SENT)
+        if not self._owner.may_send_request(self._request_id):
+            self._end(AttemptResult.NOT_SENT)
             return
         line = lines.with_wait(self._first_line, self._until - self._loop.now_us)
         if stream.write(line) < len(line):
-            self._end(api.Result.NOT_SENT)  # no buffer left for the rest
+            self._end(AttemptResult.NOT_SENT)  # no buffer left for the rest
             return
         if not stream.pending_bytes:
             self.write_buffer_drained()
@@ -83,7 +67,7 @@
         """Note that the last byte of the line is written: from here on it may have run."""
         if not self._written:
             self._written = True
-            self._owner.execution_written(self._token)
+            self._owner.on_request_sent(self._request_id)
 
     def data_received(self) -> None:
         """Read the instance's answer."""
@@ -93,7 +77,7 @@
         try:
             line = lines.take_line(inbox)
         except lines.BadLineError:
-            self._end(api.Result.ERROR)
+            self._end(AttemptResult.ERROR)
             return
         if line is None:
             return
@@ -102,32 +86,32 @@
             self._over = True
             self._stop_clocks()
             self.up_line = line
-            self._owner.execution_up(self._token)
+            self._owner.on_attempt_established(self._request_id)
             return
-        result, report = lines.read_ending(line) or (api.Result.ERROR, None)
+        result, report = lines.read_ending(line) or (AttemptResult.ERROR, None)
         self._end(result, report)
 
     def eof_received(self) -> None:
         """Take an end without an answer."""
-        self._end(api.Result.RESET if self._written else api.Result.UNREACHABLE)
+        self._end(AttemptResult.RESET if self._written else AttemptResult.UNREACHABLE)
 
     def connection_lost(self, code: int) -> None:
         """Take a break, which proves that nothing ran only before the line's last byte was written."""
         if code in RESOURCE_EXHAUSTION_ERRNOS and code != errno.ENOBUFS:
-            self._end(api.Result.NOT_SENT)
+            self._end(AttemptResult.NOT_SENT)
         else:
-            self._end(api.Result.RESET if self._written else api.Result.UNREACHABLE)
+            self._end(AttemptResult.RESET if self._written else AttemptResult.UNREACHABLE)
 
     # Limits
 
     def _on_late_connect(self) -> None:
-        self._end(api.Result.UNREACHABLE)
+        self._end(AttemptResult.UNREACHABLE)
 
     def _on_late(self) -> None:
         """Give up; an answer that has just come still counts."""
         if self.stream is not None and self._written:
             self.stream.read_available()
-        self._end(api.Result.TIMEOUT if self._written else api.Result.UNREACHABLE)
+        self._end(AttemptResult.TIMEOUT if self._written else AttemptResult.UNREACHABLE)
 
     # Ending
 
@@ -139,10 +123,10 @@
             if self.stream is not None:
                 self.stream.close()
 
-    def _end(self, result: api.Result, report: api.Report | None = None) -> None:
+    def _end(self, result: AttemptResult, report: LoadReport | None = None) -> None:
         if not self._over:
             self.cancel()  # closed before the owner hears of it: the next execution must not overlap
-            self._owner.execution_over(self._token, result, report)
+            self._owner.on_attempt_failed(self._request_id, result, report)
 
     def _stop_clocks(self) -> None:
         self._loop.cancel(self._connect_limit)
--- a/tests/test_wire.py
+++ b/tests/simulator/test_codec.py
@@ -1,4 +1,4 @@
-"""The wire both ways, and the adapter as a process."""
+"""The simulator's lines both ways, and the host as a process."""
 
 from __future__ import annotations
 
@@ -9,9 +9,42 @@
 
 import pytest
 
-from larchhaven.routing import interface as api
-from larchhaven.simulator import codec as wire
-from larchhaven.simulator.host import Host
+from larchhaven.routing.actions import (
+    Action,
+    CancelAttempt,
+    CheckHealth,
+    CloseIdleConnections,
+    FailRequest,
+    LogMessage,
+    MigrateConnection,
+    PollEndpoints,
+    RejectRequest,
+    SendGossip,
+    StartAttempt,
+    StartTimer,
+    WatchEndpoints,
+)
+from larchhaven.routing.events import (
+    AttemptEnded,
+    AttemptResult,
+    ClientDisconnected,
+    ConnectionEstablished,
+    ConnectionLoadChanged,
+    ConnectionRestored,
+    Event,
+    GossipReceived,
+    HealthCheckCompleted,
+    LoadReport,
+    MessageDelayObserved,
+    RequestArrived,
+    TimerFired,
+)
+from larchhaven.routing.gossip_messages import UnrecognizedMessage
+from larchhaven.routing.settings import DeduplicationScope, Idempotency
+from larchhaven.routing.settings_codec import decode_flat
+from larchhaven.simulator import codec
+from larchhaven.simulator.host import SimulatorHost
+from larchhaven.text_fields import FormatError
 
 OPTIONS = (
     "contract.answer_slack=8000 contract.ask_within=10000000 contract.cold=9000000 contract.cold_from=0.3 "
@@ -34,18 +67,18 @@
 
 def play(text: str) -> tuple[int, list[str]]:
     out = io.StringIO()
-    code = Host(io.StringIO(text), out).run()
+    code = SimulatorHost(io.StringIO(text), out).run()
     return code, out.getvalue().splitlines()
 
 
 def test_settings_are_read_and_unknown_keys_ignored() -> None:
-    settings = wire.decode_settings(OPTIONS)
-    assert settings.classes[1].effect is api.Effect.KEYED
-    assert settings.classes[1].scope is api.Scope.CELL
-    assert [c.message_aim_us for c in settings.classes] == [150_000, 0]
-    assert [t.quota_connections for t in settings.tenants] == [math.inf, 12.0]
-    assert settings.prices.probe == 0.004
-    assert settings.report_fields == ("ratio", "unheard_of")
+    settings = decode_flat(OPTIONS)
+    assert settings.classes[1].idempotency is Idempotency.WITH_KEY
+    assert settings.classes[1].deduplication_scope is DeduplicationScope.CELL
+    assert [c.message_latency_objective_us for c in settings.classes] == [150_000, 0]
+    assert [t.connection_quota for t in settings.tenants] == [math.inf, 12.0]
+    assert settings.costs.health_check == 0.004
+    assert settings.report_fields == ("load_ratio", "unheard_of")
 
 
 @pytest.mark.parametrize(
@@ -53,13 +86,13 @@
 )
 def test_missing_setting_is_named(missing: str) -> None:
     left = " ".join(pair for pair in OPTIONS.split(" ") if not pair.startswith(missing + "="))
-    with pytest.raises(wire.WireError, match=f"setting {missing}"):
-        wire.decode_settings(left)
+    with pytest.raises(FormatError, match=f"setting {missing}"):
+        decode_flat(left)
 
 
 def test_settings_that_make_no_sense_are_refused() -> None:
-    with pytest.raises(wire.WireError, match="index"):
-        wire.decode_settings(OPTIONS.replace("index=1", "index=3"))
+    with pytest.raises(FormatError, match="index"):
+        decode_flat(OPTIONS.replace("index=1", "index=3"))
 
 
 @pytest.mark.parametrize(
@@ -67,69 +100,95 @@
 )
 def test_member_without_a_share_or_quota_has_a_stated_default(left: str) -> None:
     """No share is 0 and decides nothing; a quota not told is never reached. Sums are not looked at."""
-    tenants = wire.decode_settings(OPTIONS.replace(left, "")).tenants
+    tenants = decode_flat(OPTIONS.replace(left, "")).tenants
     assert len(tenants) == 2
-    assert tenants[0].quota_connections == math.inf
-    assert wire.decode_settings(OPTIONS.replace("share=0.4", "share=0.9")).tenants[0].share == 0.9
+    assert tenants[0].connection_quota == math.inf
+    assert (
+        decode_flat(OPTIONS.replace("share=0.4", "share=0.9")).tenants[0].capacity_fraction == 0.9
+    )
 
 
 @pytest.mark.parametrize("price", ["probe", "cross_zone", "moves"])
 def test_prices_are_stated_or_nothing_but_never_negative(price: str) -> None:
     """Guards choices and paces that follow prices: a negative one would draw clients to the other zone."""
-    stated = wire.decode_settings(OPTIONS).prices
-    assert (stated.probe, stated.cross_zone, stated.moves) == (0.004, 0.0, 0.0)
-    with pytest.raises(wire.WireError, match="prices must not be negative"):
-        wire.decode_settings(f"{OPTIONS} prices.{price}=-1")
+    stated = decode_flat(OPTIONS).costs
+    assert (stated.health_check, stated.cross_zone, stated.migration) == (0.004, 0.0, 0.0)
+    with pytest.raises(FormatError, match="prices must not be negative"):
+        decode_flat(f"{OPTIONS} prices.{price}=-1")
 
 
 @pytest.mark.parametrize(
     ("line", "event"),
     [
-        ("submit 9 1 - - 240000 - - 0 1 0", api.Arrival(9, 1, 240_000, midflow=True)),
+        ("submit 9 1 - - 240000 - - 0 1 0", RequestArrived(9, 1, 240_000, is_mid_flow=True)),
         (
             "submit 9 0 2 55 240000 12000 8 1 0 1",
-            api.Arrival(9, 0, 240_000, 2, 55, 0.012, 8, True, False, True),
+            RequestArrived(9, 0, 240_000, 2, 55, 0.012, 8, True, False, True),
         ),
         (
             "resumed 9 240000 0 1 12000 0 7 2 h:1 0 8",
-            api.Resumed(api.Arrival(9, 1, 240_000, 2, 7, 0.012, 8), "h:1"),
+            ConnectionRestored(RequestArrived(9, 1, 240_000, 2, 7, 0.012, 8), "h:1"),
         ),
-        ("wakeup 77", api.TimerFired(77)),
+        ("wakeup 77", TimerFired(77)),
         (
             "echo GOOD h:1 1400 x0:0.4,utilization:0.62,new:3",
-            api.ProbeResult("h:1", api.Result.OK, 1400, api.Report(ratio=0.4, utilization=0.62)),
+            HealthCheckCompleted(
+                "h:1", AttemptResult.OK, 1400, LoadReport(load_ratio=0.4, utilization=0.62)
+            ),
         ),
-        ("echo LATE h:1 1400 -", api.ProbeResult("h:1", api.Result.TIMEOUT, 1400)),
-        ("from_peer 2 aGkgNw==", api.PeerMessage(2, b"hi 7")),
-        ("from_peer 2 -", api.PeerMessage(2, b"")),
-        ("hint_update 9 0 5000 1 h:1", api.LoadNote(9, 0, "h:1", 0.005)),
-        ("hint_update 9 0 55.5 2 h:1", api.DelayNote(9, 0, "h:1", 55_500.0)),
-        ("aborted 9", api.ClientGone(9)),
+        ("echo LATE h:1 1400 -", HealthCheckCompleted("h:1", AttemptResult.TIMEOUT, 1400)),
+        ("from_peer 2 aGkgNw==", GossipReceived(2, UnrecognizedMessage(b"hi 7"))),
+        ("from_peer 2 -", GossipReceived(2, UnrecognizedMessage(b""))),
+        ("hint_update 9 0 5000 1 h:1", ConnectionLoadChanged(9, 0, "h:1", 0.005)),
+        ("hint_update 9 0 55.5 2 h:1", MessageDelayObserved(9, 0, "h:1", 55_500.0)),
+        ("aborted 9", ClientDisconnected(9)),
         (
             "ended 9 0 h:1 RST 18500 1 -",
-            api.AttemptEnded(9, 0, "h:1", api.Result.RESET, 18_500, True),
+            AttemptEnded(9, 0, "h:1", AttemptResult.RESET, 18_500, True),
         ),
-        ("streaming 9 0 h:1 9250", api.Established(9, 0, "h:1", 9250)),
+        ("streaming 9 0 h:1 9250", ConnectionEstablished(9, 0, "h:1", 9250)),
     ],
 )
-def test_events_are_read(line: str, event: api.Event) -> None:
-    assert wire.decode_event(line.split(" ")) == event
+def test_events_are_read(line: str, event: Event) -> None:
+    assert codec.decode_event(line.split(" ")) == event
 
 
 def test_actions_are_written() -> None:
-    actions: list[api.Action] = [
-        api.Send(1, "h:1", 80_000), api.Refuse(1, 5), api.Fail(1), api.Cancel(1, 0), api.Move(1),
-        api.Probe("h:1"), api.Tell(None, b"hi 7"), api.Tell(2, b""), api.SetTimer(7, 9), api.Watch(),
-        api.Watch(False), api.FetchList(), api.CloseIdle("h:1"), api.Log("two\nlines"),
-    ]  # fmt: skip
-    assert wire.encode_actions(actions) == [
-        "place 1 80000 h:1", "push_back 1 5", "report_failure 1", "stop_attempt 1 0", "move 1", "inspect h:1",
-        "signal * aGkgNw==", "signal 2 -", "after 7 9", "stream_changes 1", "stream_changes 0",
-        "query_all", "close h:1", "trace two lines",
-    ]  # fmt: skip
-
-
-def test_a_day_opens_and_a_restart_in_one_batch_starts_afresh() -> None:
+    actions: list[Action] = [
+        StartAttempt(1, "h:1", 80_000),
+        RejectRequest(1, 5),
+        FailRequest(1),
+        CancelAttempt(1, 0),
+        MigrateConnection(1),
+        CheckHealth("h:1"),
+        SendGossip(None, UnrecognizedMessage(b"hi 7")),
+        SendGossip(2, UnrecognizedMessage(b"")),
+        StartTimer(7, 9),
+        WatchEndpoints(),
+        WatchEndpoints(False),
+        PollEndpoints(),
+        CloseIdleConnections("h:1"),
+        LogMessage("two\nlines"),
+    ]
+    assert codec.encode_actions(actions) == [
+        "place 1 80000 h:1",
+        "push_back 1 5",
+        "report_failure 1",
+        "stop_attempt 1 0",
+        "move 1",
+        "inspect h:1",
+        "signal * aGkgNw==",
+        "signal 2 -",
+        "after 7 9",
+        "stream_changes 1",
+        "stream_changes 0",
+        "query_all",
+        "close h:1",
+        "trace two lines",
+    ]
+
+
+def test_restart_within_one_batch_starts_a_fresh_proxy() -> None:
     text = OPENING + "clock 2000 2\ncontext 4\nsubmit 9 0 0 - 1200000 - - 0 0 0\nyour_turn\n"
     text += f"clock 3000 3\ncontext 4\nteardown\nopen_instance 78 {OPTIONS}\nview remembered 3 0\nyour_turn\n"
     text += "clock 4000 4\ncontext 4\nended 9 0 10.0.0.1:7000 RST 5 0 -\naborted 12\nyour_turn\n"
@@ -159,7 +218,7 @@
         ("context x", "whole number"),
     ],
 )
-def test_bad_lines_end_in_one_plain_fault(
+def test_invalid_lines_end_in_one_fault(
     line: str, expected: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     code, lines = play(OPENING + f"clock 2000 2\ncontext 4\n{line}\nyour_turn\n")
@@ -172,7 +231,7 @@
     assert faults[0].removeprefix("fault ") in capsys.readouterr().err
 
 
-def test_adapter_process_answers_and_exits_with_the_input() -> None:
+def test_host_process_answers_and_exits_with_the_input() -> None:
     command = [sys.executable, "-m", "larchhaven.simulator.host"]
     text = OPENING + "clock 2000 2\nyour_turn\n"
     done = subprocess.run(
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -17,7 +17,9 @@
 
 def run(*arguments: str, code: int = 0) -> subprocess.CompletedProcess[str]:
     command = [sys.executable, "-m", "larchhaven", *arguments]
-    done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=120)
+    done = subprocess.run(
+        command, cwd=ROOT, capture_output=True, text=True, timeout=120, check=False
+    )
     assert done.returncode == code, (done.stdout, done.stderr)
     assert "Traceback" not in done.stderr
     return done
@@ -119,9 +121,19 @@
 
 def test_soak_writes_its_verdict_and_report(tmp_path: Path) -> None:
     done = run(
-        "soak", "--minutes", "0", "--abuse", "cut", "--abuse-minutes", "0.1", "--arrivals", "10",
-        "--out", str(tmp_path), "--json",
-    )  # fmt: skip
+        "soak",
+        "--minutes",
+        "0",
+        "--abuse",
+        "cut",
+        "--abuse-minutes",
+        "0.1",
+        "--arrivals",
+        "10",
+        "--out",
+        str(tmp_path),
+        "--json",
+    )
     verdict = json.loads(done.stdout)["cut"]
     assert verdict["holds"]
     assert verdict["caps"]["connections"]["held"]
@@ -136,7 +148,7 @@
     """Guards the size of a proxy: these libraries take 2 to 20 MB."""
     text = "import sys, larchhaven.__main__, larchhaven.net.proxy; print(*sys.modules)"
     loaded = subprocess.run(
-        [sys.executable, "-c", text], cwd=ROOT, capture_output=True, text=True
+        [sys.executable, "-c", text], cwd=ROOT, capture_output=True, text=True, check=False
     ).stdout
     heavy = {
         "typer",
@@ -181,8 +193,11 @@
             run("model", "sweep", str(path), *more, "--out", str(tmp_path / out)).stdout
         )
     assert [(cell["members"], cell["loss_percent"], cell["plays"]) for cell in cells] == [
-        (4, 0, 2), (4, 10, 2), (6, 0, 2), (6, 10, 2),
-    ]  # fmt: skip
+        (4, 0, 2),
+        (4, 10, 2),
+        (6, 0, 2),
+        (6, 10, 2),
+    ]
     assert all(
         cell["agreed"]["low"] <= cell["agreed"]["mean"] <= cell["agreed_most"] for cell in cells
     )
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -17,12 +17,12 @@
 from larchhaven.memory.item_costs import BUFFER_BYTES
 from larchhaven.net.core.buffer_pool import Buffer
 from larchhaven.net.graceful_shutdown import LOOK_US, Stopping
-from larchhaven.routing import interface as api
-from larchhaven.routing.interface import Effect, Scope
+from larchhaven.routing.events import Endpoint
+from larchhaven.routing.settings import DeduplicationScope, Idempotency
 from tests.test_leaks import LINE, Bench
 from tests.world import PLAIN
 
-PAIR = (api.ServerEntry("s0"), api.ServerEntry("s1"))
+PAIR = (Endpoint("s0"), Endpoint("s1"))
 WINDOW_US = 100_000
 
 
@@ -106,7 +106,7 @@
     """Guards instances: a client behind a full buffer, or without one, left unseen and its command ran."""
     clients = [bench.client(LINE % number) for number in range(3)]
     bench.spin(3)
-    assert bench.broker.held() == 3
+    assert bench.dispatcher.requests.count_requests() == 3
     taken = empty_pool(bench) if buffers == "none left" else []
     for sock in clients:
         leave(sock, bench, how)
@@ -117,7 +117,7 @@
     for _ in range(6):
         bench.spin(4, 30_000)
     assert sent_on(bench) == []
-    assert bench.broker.held() == 0
+    assert bench.dispatcher.requests.count_requests() == 0
 
 
 @pytest.mark.parametrize("how", ["end", "reset", "end behind a line"])
@@ -132,7 +132,7 @@
     bench.unseen(ready)
     bench.spin()
     assert sent_on(bench) == []
-    assert bench.broker.held() == 0
+    assert bench.dispatcher.requests.count_requests() == 0
 
 
 def test_client_that_sends_much_at_once_and_stays_gets_one_failed_answer(bench: Bench) -> None:
@@ -141,17 +141,17 @@
     assert len(sent_on(bench)) == 1
     stuff(sock, bench)
     assert read(sock) == b"ERR\r\n."
-    assert bench.broker.held() == 0
+    assert bench.dispatcher.requests.count_requests() == 0
 
 
 # Repeats, when the connect of the second attempt is held across the end of the window
 
 
-def effects() -> Iterator[tuple[Effect, Scope]]:
-    yield Effect.SAFE, Scope.ALL
-    yield Effect.UNSAFE, Scope.ALL
-    for scope in Scope:
-        yield Effect.KEYED, scope
+def effects() -> Iterator[tuple[Idempotency, DeduplicationScope]]:
+    yield Idempotency.ALWAYS, DeduplicationScope.ALL
+    yield Idempotency.NEVER, DeduplicationScope.ALL
+    for scope in DeduplicationScope:
+        yield Idempotency.WITH_KEY, scope
 
 
 @pytest.mark.parametrize("late", [False, True])
@@ -159,10 +159,15 @@
 @pytest.mark.parametrize("first", [b"ERR\r\n", b"BUSY\r\n", b"MOVE\r\n", b"reset"])
 @pytest.mark.parametrize(("effect", "scope"), list(effects()))
 def test_what_may_be_repeated_is_asked_when_the_bytes_go_out(
-    effect: Effect, scope: Scope, first: bytes, other: str, late: bool
+    effect: Idempotency, scope: DeduplicationScope, first: bytes, other: str, late: bool
 ) -> None:
     """Guards effects that happen once: the window ended while a connect was under way, and it went out."""
-    cls = replace(PLAIN.classes[0], effect=effect, scope=scope, window_us=WINDOW_US)
+    cls = replace(
+        PLAIN.classes[0],
+        idempotency=effect,
+        deduplication_scope=scope,
+        deduplication_window_us=WINDOW_US,
+    )
     zone, cell = {"same cell": (0, 0), "other cell": (0, 1), "other zone": (1, 1)}[other]
     bench = Bench(replace(PLAIN, classes=(cls,)), (PAIR[0], replace(PAIR[1], zone=zone, cell=cell)))
     try:
@@ -179,13 +184,13 @@
         bench.spin(1, WINDOW_US + 10_000 if late else 10_000)
         bench.spin(4)
         ran = first != b"BUSY\r\n"
-        keyed = effect is Effect.KEYED
+        keyed = effect is Idempotency.WITH_KEY
         near = (
-            scope is Scope.ALL
+            scope is DeduplicationScope.ALL
             or other == "same cell"
-            or (scope is Scope.ZONE and other == "other cell")
+            or (scope is DeduplicationScope.ZONE and other == "other cell")
         )
-        if not ran or effect is Effect.SAFE or (keyed and near and not late):
+        if not ran or effect is Idempotency.ALWAYS or (keyed and near and not late):
             assert len(sent_on(bench)) == 1
             assert read(sock) == b""
         else:
@@ -193,7 +198,9 @@
                 4, WINDOW_US
             )  # what no server may get waits for one that may, as long as that helps
             assert sent_on(bench) == []
-            assert read(sock) == (b"BUSY\r\n." if keyed and scope is Scope.ALL else b"ERR\r\n.")
+            assert read(sock) == (
+                b"BUSY\r\n." if keyed and scope is DeduplicationScope.ALL else b"ERR\r\n."
+            )
         bench.settled()
     finally:
         bench.close()
@@ -226,7 +233,7 @@
         sock.send(LINE % number)
     bench.unseen(ready)
     bench.spin(1, 3_000_000)
-    bench.broker._awake_at = 0  # the list has been heard
+    bench.dispatcher._awake_at = 0  # the list has been heard
     bench.spin()
     assert [read(sock) for sock in socks] == [b""] * 4
     assert len(sent_on(bench)) == 4
@@ -279,23 +286,23 @@
     instance.send(b"BYE\r\n")
     if first == "BYE":
         bench.spin(1)
-    bench.broker.move_all()
+    bench.dispatcher.requests.migrate_all_connections()
     bench.spin()
     bench.spin(4, 100_000)  # an instance is given a moment to end by itself
     assert read(sock) == (b"MOVE\r\n." if first == "move" else b"BYE\r\n.")
-    assert bench.broker.held() == 0
+    assert bench.dispatcher.requests.count_requests() == 0
 
 
 @pytest.mark.parametrize("rest", [b"a line\r\n", b"a line\r", b""])
 def test_move_waits_for_the_end_of_a_line_but_not_for_ever(bench: Bench, rest: bytes) -> None:
     sock, instance = standing(bench, b"half ")
-    bench.broker.move_all()
+    bench.dispatcher.requests.migrate_all_connections()
     bench.spin(2, 200_000)
     assert read(sock) == b""
     instance.send(rest)
     bench.spin(3, 200_000)
     assert read(sock) == rest + (b"MOVE\r\n." if rest.endswith(b"\n") else b".")
-    assert bench.broker.held() == 0
+    assert bench.dispatcher.requests.count_requests() == 0
 
 
 @pytest.mark.parametrize("rest", [b"a line\r\n", b""])
@@ -304,7 +311,9 @@
 ) -> None:
     """Guards a connection that ends here: the process left before the line was over, and MOVE never came."""
     sock, instance = standing(bench, b"half ")
-    stopping = Stopping(bench.loop, bench.broker, bench.listener, bench.pool, PLAIN, shared=False)
+    stopping = Stopping(
+        bench.loop, bench.dispatcher, bench.listener, bench.pool, PLAIN, shared=False
+    )
     vars(bench.loop)["_is_running"] = True
     stopping.begin(0)
     stopping.hurry()
@@ -324,7 +333,7 @@
     for end in (sock, instance):
         leave(end, bench, how)
     bench.spin()
-    assert bench.broker.held() == 0
+    assert bench.dispatcher.requests.count_requests() == 0
 
 
 ODD = {
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -15,6 +15,7 @@
 # Packages and modules that are finished; ``docs/ROADMAP.md`` lists the others.
 FINISHED: tuple[str, ...] = (
     "cli/memory.py",
+    "gossip",
     "memory",
     "net/admin/memory_accounting.py",
     "net/admin/metrics.py",
@@ -22,6 +23,7 @@
     "net/admin/process_memory.py",
     "net/control/connection_limits.py",
     "net/core",
+    "simulator",
 )
 PURE = ("routing", "gossip", "membership", "memory")
 
