--- /dev/null
+++ b/tests/memory/test_plan.py
@@ -0,0 +1,67 @@
+"""The plan of memory caps."""
+
+from __future__ import annotations
+
+import pytest
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from larchhaven.memory import plan
+from larchhaven.memory.purposes import PURPOSE_DESCRIPTIONS, MemoryPurpose
+
+MB = plan.BYTES_PER_MB
+PURPOSES = st.sampled_from(list(MemoryPurpose))
+
+
+@settings(max_examples=200, deadline=None, derandomize=True)
+@given(
+    st.integers(1, 512),
+    st.integers(1, 64),
+    st.integers(64, 100_000),
+    st.dictionaries(PURPOSES, st.integers(1, 64), max_size=9),
+)
+def test_plan_never_exceeds_the_grant_unless_it_says_so(
+    grant: int, program: int, max_sockets: int, operator_caps: dict[MemoryPurpose, int]
+) -> None:
+    caps = {purpose: size * MB for purpose, size in operator_caps.items()}
+    try:
+        made = plan.make_plan(grant * MB, program * MB, max_sockets, caps)
+    except plan.MemoryPlanError as error:
+        assert operator_caps
+        assert "MB" in str(error)
+        return
+    assert set(made.caps) == set(MemoryPurpose)
+    assert all(made.caps[purpose] >= least for purpose, least in plan.MIN_CAP_BYTES.items())
+    assert all(made.caps[purpose] == cap for purpose, cap in caps.items())
+    assert (
+        made.is_below_minimum
+        or made.planned_bytes + made.unplanned_bytes + made.program_bytes <= made.grant_bytes
+    )
+    assert not (made.is_below_minimum and operator_caps)
+    assert plan.MIN_SOCKET_BUFFER_BYTES <= made.socket_buffer_bytes <= plan.MAX_SOCKET_BUFFER_BYTES
+
+
+def test_plan_error_says_what_is_wrong_with_a_cap() -> None:
+    with pytest.raises(
+        plan.CapTooSmallError, match=r"kernel has 0.01 MB, and needs at least 0.25 MB"
+    ) as too_small:
+        plan.make_plan(64 * MB, 20 * MB, 1024, {MemoryPurpose.KERNEL: MB // 100})
+    assert too_small.value.purpose is MemoryPurpose.KERNEL
+    assert too_small.value.min_bytes == plan.MIN_CAP_BYTES[MemoryPurpose.KERNEL]
+    with pytest.raises(
+        plan.CapsExceedGrantError, match="of the 32 MB granted 24 MB go to the program"
+    ) as exceeds:
+        plan.make_plan(32 * MB, 24 * MB, 1024, {MemoryPurpose.BUFFERS: 30 * MB})
+    assert exceeds.value.required_bytes > 30 * MB
+    assert isinstance(exceeds.value, plan.MemoryPlanError)
+    assert plan.make_plan(8 * MB, 24 * MB, 1024).is_below_minimum
+
+
+def test_every_purpose_has_a_description_and_a_share() -> None:
+    assert (
+        set(PURPOSE_DESCRIPTIONS)
+        == set(plan.CAP_RATIOS)
+        == set(plan.MIN_CAP_BYTES)
+        == set(MemoryPurpose)
+    )
+    assert abs(sum(plan.CAP_RATIOS.values()) - 1) < 1e-9
--- /dev/null
+++ b/tests/net/admin/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of what operators see and set."""
--- /dev/null
+++ b/tests/net/core/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the I/O core."""
--- /dev/null
+++ b/tests/net/text_protocol/test_codec.py
@@ -0,0 +1,79 @@
+"""The text protocol's lines, without sockets."""
+
+from __future__ import annotations
+
+import pytest
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from larchhaven.net.text_protocol import codec as lines
+from larchhaven.routing.events import AttemptResult, LoadReport
+
+PIECES = st.lists(
+    st.sampled_from([b"a", b"\r", b"\n", b"\r\n", b"BYE x0=1", b"\x00\xff" * 200]), max_size=30
+)
+
+
+@pytest.mark.parametrize(
+    ("fields", "tenants", "tenant"),
+    [
+        (b"c=a,t=north", {"south": 0, "north": 1}, 1),
+        (b"c=a,t=east", {"south": 0, "north": 1}, 2),  # none of them
+        (b"c=a", {"south": 0, "north": 1}, 2),
+        (b"c=a,t=north", {}, 0),
+        (b"c=a,t=\xff\xfe", {"south": 0}, 1),
+    ],
+)
+def test_tenant_of_a_request(fields: bytes, tenants: dict[str, int], tenant: int) -> None:
+    assert lines.read_opening(b"OPEN 1 2 " + fields, {"a": 0}, tenants).tenant_index == tenant
+
+
+@settings(max_examples=200, deadline=None, derandomize=True)
+@given(PIECES)
+def test_lines_are_counted_alike_however_they_are_split(pieces: list[bytes]) -> None:
+    """Guards the gap between two lines, where alone a MOVE may be written."""
+    whole = b"".join(pieces)
+    at_once, bit_by_bit = lines.LineCounter(), lines.LineCounter()
+    found = [head for piece in pieces for head in bit_by_bit.feed(piece)]
+    assert len(at_once.feed(whole)) == len(found) == whole.count(b"\r\n")
+    assert at_once.midline == bit_by_bit.midline == (not whole.endswith(b"\r\n") and bool(whole))
+    assert [head[:200] for head in found] == [part[:200] for part in whole.split(b"\r\n")[:-1]]
+
+
+@pytest.mark.parametrize(
+    ("line", "sent"),
+    [
+        (b"OPEN 1 2 c=a,d=2000,g=3", b"OPEN 1 2 c=a,d=1234,g=3\r\n"),
+        (b"OPEN d=1 2 d=5", b"OPEN d=1 2 d=1234\r\n"),
+        (b"OPEN 1 2 c=a,id=7,xd=8", b"OPEN 1 2 c=a,id=7,xd=8\r\n"),
+    ],
+)
+def test_only_the_deadline_is_changed(line: bytes, sent: bytes) -> None:
+    assert lines.with_wait(line, 1_234_567) == sent
+
+
+@pytest.mark.parametrize(
+    ("line", "answer"),
+    [
+        (
+            b"PONG x0=0.4,util=0.3,qps=9",
+            (AttemptResult.OK, LoadReport(load_ratio=0.4, utilization=0.3)),
+        ),
+        (b"PONG", (AttemptResult.OK, None)),
+        (b"PONG x0=nan,util=-1,x0", (AttemptResult.OK, None)),
+        (b"BUSY", (AttemptResult.OVERLOADED, None)),
+        (b"ERR", (AttemptResult.ERROR, None)),
+        (b"NO", (AttemptResult.NOT_SENT, None)),
+        (b"\xff\x00", (AttemptResult.ERROR, None)),
+    ],
+)
+def test_health_check_answers(line: bytes, answer: tuple[AttemptResult, LoadReport | None]) -> None:
+    assert lines.read_probe(line) == answer
+
+
+@pytest.mark.parametrize(
+    ("line", "load"),
+    [(b"LOAD 120000", 0.12), (b"LOAD", None), (b"LOAD x", None), (b"LOADS 1", None)],
+)
+def test_load_is_reported_in_microseconds_a_second(line: bytes, load: float | None) -> None:
+    assert lines.read_load(line) == load
--- a/tests/test_caps.py
+++ b/tests/test_caps.py
@@ -9,24 +9,17 @@
 from pathlib import Path
 from typing import Any
 
-import msgspec
 import pytest
 
 from larchhaven.lab.site import Outcome, load, play
-from larchhaven.memory import plan
 from larchhaven.memory.account import MemoryAccount
 from larchhaven.memory.item_costs import REQUEST_ID_BYTES
 from larchhaven.memory.purposes import MemoryPurpose
-from larchhaven.net.admin import memory_accounting as accounting
 from larchhaven.net.admin.administrative_ejection import Suspensions
-from larchhaven.net.admin.operator_file import READER_BYTES, OperatorFileReader
-from larchhaven.net.core import log_setup as logs
-from larchhaven.net.core.buffer_pool import BufferPool
+from larchhaven.net.core import log_setup
 from larchhaven.net.core.event_loop import EventLoop
 from larchhaven.net.core.rate_limited_log import RateLimitedLog
 from larchhaven.net.hot_restart import Handover
-from larchhaven.operator.read import read_text
-from larchhaven.operator.settings import Reading
 from tests.rig import Proxy, opening
 
 USUAL = """
@@ -45,7 +38,7 @@
     assert not complaints
     outcome = asyncio.run(play(scenario, sample_gap=0.25, operator=operator))
     assert outcome.holds, (outcome.broken[:5], outcome.crashed, outcome.errors)
-    # The class worth most is served through all of it.
+    # The class with the highest priority weight is served through all of it.
     answers = outcome.classes["exam"]["answers"]
     assert set(answers) <= {"UP", "BUSY"} and bool(answers.get("BUSY", 0)) <= exam_busy, (
         outcome.classes
@@ -54,7 +47,7 @@
 
 
 def at_rest(outcome: Outcome) -> dict[str, Any]:
-    """Return the account once all have left: what comes and goes one by one is back at nothing."""
+    """Return the account once all clients have left: what is charged is back at 0."""
     account = outcome.rest["n0"]
     assert account["purposes"]["connections"]["used"] == 0
     assert account["errors"] == 0
@@ -116,7 +109,7 @@
     assert outcome.classes["exam"]["answers"]["UP"] >= 15
     account = at_rest(outcome)
     answers = outcome.classes["chat"]["answers"]
-    # Nobody waits for nothing, and as many are served as fit.
+    # Nobody waits in vain, and as many are served as fit.
     assert answers["BUSY"] > 500
     assert answers["UP"] > 350
     assert set(answers) == {"UP", "BUSY"}
@@ -124,7 +117,7 @@
     assert account["descriptors"]["refused"] + account["purposes"]["tables"]["refused"] > 0
 
 
-def test_caps_set_under_what_is_in_use_end_nobody_and_hold_from_then_on() -> None:
+def test_caps_set_below_usage_end_no_connection_and_hold_from_then_on() -> None:
     outcome = played(
         f"{GRANT} {SERVERS} terminals {{ class: 'chat' arrivals_per_second: 40 stay_seconds: 30 }}"
         " events { at_seconds: 3 operator: 'memory { connections: 0.2 }' }",
@@ -174,28 +167,12 @@
         assert line, "the log ended"
     assert made.call("GET", "/v1/metrics")[1]["config_reload_errors"] == 1
     assert "Traceback" not in made.close()
-    assert all(tuple(line) == logs.JSON_KEYS for line in lines)
+    assert all(tuple(line) == log_setup.JSON_KEYS for line in lines)
     assert lines[0]["event"] == "bad first line"
     assert "\x1b" not in lines[0]["detail"]
 
 
-def test_reading_needs_room_and_settings_read_beforehand_do_not(
-    monkeypatch: pytest.MonkeyPatch, tmp_path: Path
-) -> None:
-    """Guards a grant of 32 MB: the process that reads the file would pass it."""
-    done: list[Reading] = []
-    path = tmp_path / "operator.textproto"
-    path.write_text("memory { }")
-    OperatorFileReader(EventLoop(), str(path), done.append).read(READER_BYTES - 1)
-    assert "write it as .json with 'larchhaven check --write'" in done[0].complaints[0].text
-    compiled = tmp_path / "operator.json"
-    compiled.write_bytes(msgspec.json.encode(read_text("memory { log: 1 }")))
-    OperatorFileReader(EventLoop(), str(compiled), done.append).read(0)
-    assert done[1].settings.caps == {"log": 1 << 20}
-    assert not done[1].complaints
-
-
-def test_management_counts_callers_that_give_way(proxy: Proxy) -> None:
+def test_management_counts_callers_that_are_shed(proxy: Proxy) -> None:
     callers = [socket.create_connection(proxy.management) for _ in range(30)]
     for caller in callers:
         caller.sendall(b"GET /v1/")
@@ -207,10 +184,10 @@
 
 
 @pytest.mark.parametrize("proxy", [{"held": True}], indirect=True)
-def test_handover_at_the_cap_passes_every_connection_on(
+def test_hot_restart_at_the_cap_hands_every_connection_over(
     proxy: Proxy, monkeypatch: pytest.MonkeyPatch, tmp_path: Path
 ) -> None:
-    """A connection that stands has its place: the younger process takes it even beyond its cap."""
+    """An established connection keeps its place: the younger process takes it even beyond its cap."""
     ends = [proxy.opened("c=exam,d=2000,g=ab,h=1000") for _ in range(60)]
     path = tmp_path / "operator.textproto"
     path.write_text("memory { connections: 0.16 }")
@@ -223,39 +200,14 @@
         assert instance.line() == "still"
     account = younger.call("GET", "/v1/memory")[1]["purposes"]["connections"]
     assert account["used"] > account["cap"]
-    newcomer = younger.client(opening("c=exam,d=2000,g=ab"))
-    assert newcomer.line().startswith("BUSY")
+    new_client = younger.client(opening("c=exam,d=2000,g=ab"))
+    assert new_client.line().startswith("BUSY")
     for client, instance in ends:
         client.close()
         instance.close()
     proxy.process = younger.process
 
 
-def test_look_that_an_operator_asks_for_does_what_it_calls_for(
-    monkeypatch: pytest.MonkeyPatch,
-) -> None:
-    """Guards a notice and a trim that a call to /v1/memory used up and nobody carried out."""
-    loop, account, trims = EventLoop(), MemoryAccount.unbounded(), []
-    made = plan.make_plan(32 << 20, 20 << 20, 1024)
-    sizes = iter([20 << 20, 28 << 20])
-    monkeypatch.setattr(accounting, "read_resident_bytes", lambda: next(sizes))
-    monkeypatch.setattr(accounting, "trim_allocator", lambda: trims.append(1))
-    notices = RateLimitedLog(loop)
-    watched = accounting.MemoryAccounting(loop, notices, account, made, BufferPool(account), "")
-    watched.start()
-    state = watched.state(accounting.DescriptorState(1, 0, 0))
-    assert state.trim_count == len(trims) == 1
-    assert notices.event_count() == 1
-    assert state.unaccounted_bytes == 8 << 20
-
-
-def test_notices_remember_no_more_kinds_than_their_cap(capsys: pytest.CaptureFixture[str]) -> None:
-    notices = RateLimitedLog(EventLoop(), 3)
-    for number in range(50):
-        notices.warning(f"kind {number}", "x")
-    assert notices.event_count() == 3
-
-
 def test_suspension_that_does_not_fit_is_not_saved_but_one_may_always_end(tmp_path: Path) -> None:
     fits = [True]
     suspensions = Suspensions(str(tmp_path), lambda host, on: None, lambda path, size: fits[0])
@@ -269,7 +221,7 @@
     assert "s0" not in suspensions
 
 
-def test_ids_of_the_other_process_are_kept_as_far_as_there_is_room() -> None:
+def test_ids_of_the_other_process_are_kept_up_to_the_cap() -> None:
     account = MemoryAccount(
         {**dict.fromkeys(MemoryPurpose, 0), MemoryPurpose.PEERS: 3 * REQUEST_ID_BYTES}
     )
