--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -16,12 +16,17 @@
 FINISHED: tuple[str, ...] = (
     "cli/memory.py",
     "gossip",
+    "membership",
     "memory",
     "net/admin/memory_accounting.py",
     "net/admin/metrics.py",
     "net/admin/operator_file.py",
     "net/admin/process_memory.py",
     "net/control/connection_limits.py",
+    "net/control/membership_log.py",
+    "net/control/membership_report.py",
+    "net/control/membership_switch.py",
+    "net/control/membership_transport.py",
     "net/core",
     "simulator",
 )
