--- a/larchhaven/net/proxy.py
+++ b/larchhaven/net/proxy.py
@@ -20,13 +20,10 @@
 from larchhaven.memory.purposes import MemoryPurpose
 from larchhaven.net.admin.administrative_ejection import Suspensions
 from larchhaven.net.admin.http_api import DESCRIPTORS, Management
-from larchhaven.net.admin.memory_accounting import (
-    DescriptorState,
-    MemoryAccounting,
-    read_resident_bytes,
-)
+from larchhaven.net.admin.memory_accounting import DescriptorState, MemoryAccounting
 from larchhaven.net.admin.metrics import Metrics
 from larchhaven.net.admin.operator_file import OperatorFileReader
+from larchhaven.net.admin.process_memory import read_resident_bytes
 from larchhaven.net.configuration import Config, ConfigError, load
 from larchhaven.net.control.connection_limits import ConnectionLimits
 from larchhaven.net.control.dispatcher import Dispatcher
@@ -305,9 +302,7 @@
 
     def _on_woke(self, late_us: int) -> None:
         """Be careful after a sleep: the list is heard first, and the membership doubts what it knew."""
-        self._notices.warning(
-            "asleep", f"for {late_us / 1e6:.1f} s; what came meanwhile is read before anything else"
-        )
+        self._notices.warning("process paused, resumed", f"paused_s={late_us / 1e6:.1f}")
         self._dispatcher.on_process_resumed()
 
     def _descriptors(self) -> int:
--- a/larchhaven/net/text_protocol/connection_relay.py
+++ b/larchhaven/net/text_protocol/connection_relay.py
@@ -8,7 +8,8 @@
 
 from larchhaven.net.control.interfaces import ConnectionObserver
 from larchhaven.net.core.event_loop import EventLoop, TimerHandle
-from larchhaven.net.core.stream import LINGER_US, Stream
+from larchhaven.net.core.lingering_close import LINGER_US
+from larchhaven.net.core.stream import Stream
 from larchhaven.net.text_protocol import codec as lines
 from larchhaven.routing.events import AttemptResult, LoadReport
 
@@ -63,7 +64,9 @@
         inbox = self.stream.inbox
         held = bytes(inbox.readable()) if inbox is not None else b""
         count = self.count
-        return SideState(held, self.stream.outbox(), bytes(count.head), count.cr, count.midline)
+        return SideState(
+            held, self.stream.pending_data(), bytes(count.head), count.cr, count.midline
+        )
 
     def go_on(self, state: SideState) -> None:
         """Go on from where another process was."""
@@ -244,7 +247,7 @@
 
     def _end_now(self, result: AttemptResult) -> None:
         self._instance.stream.close(reset=True)
-        if self._client.stream.closed:
+        if self._client.stream.is_closed:
             self._tell_over(result, None)
             return
         self._write_move()
@@ -318,7 +321,7 @@
 
     def _on_gone(self) -> None:
         """Let go once both streams are closed: relay and sides hold each other, and nobody else does."""
-        if self._client.stream.closed and self._instance.stream.closed:
+        if self._client.stream.is_closed and self._instance.stream.is_closed:
             del self._client.relay, self._instance.relay
 
     def _finish_both(self) -> None:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -14,7 +14,8 @@
 
 import pytest
 
-from larchhaven.net.core.buffer_pool import BUFFER_BYTES, Buffer
+from larchhaven.memory.item_costs import BUFFER_BYTES
+from larchhaven.net.core.buffer_pool import Buffer
 from larchhaven.net.graceful_shutdown import LOOK_US, Stopping
 from larchhaven.routing.events import Endpoint
 from larchhaven.routing.settings import DeduplicationScope, Idempotency
@@ -313,17 +314,17 @@
     stopping = Stopping(
         bench.loop, bench.dispatcher, bench.listener, bench.pool, PLAIN, shared=False
     )
-    vars(bench.loop)["_running"] = True
+    vars(bench.loop)["_is_running"] = True
     stopping.begin(0)
     stopping.hurry()
     bench.spin(3, LOOK_US)
-    assert vars(bench.loop)["_running"]
+    assert vars(bench.loop)["_is_running"]
     instance.send(rest)
     bench.spin(4)
     assert read(sock) == rest + (b"MOVE\r\n." if rest else b"")
     sock.close()
     bench.spin(10, 100_000)
-    assert not vars(bench.loop)["_running"]
+    assert not vars(bench.loop)["_is_running"]
 
 
 @pytest.mark.parametrize("how", ["end", "reset"])
--- a/tests/test_leaks.py
+++ b/tests/test_leaks.py
@@ -21,6 +21,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from larchhaven.memory.account import MemoryAccount
+from larchhaven.memory.item_costs import BUFFER_BYTES
 from larchhaven.memory.purposes import MemoryPurpose
 from larchhaven.net.admin.metrics import Metrics
 from larchhaven.net.control.connection_limits import ConnectionLimits
@@ -28,7 +29,7 @@
 from larchhaven.net.control.interfaces import Transport, UpstreamAttempt
 from larchhaven.net.control.request_spec import RequestSpec
 from larchhaven.net.core import event_loop as loop_module
-from larchhaven.net.core.buffer_pool import BUFFER_BYTES, BufferPool
+from larchhaven.net.core.buffer_pool import BufferPool
 from larchhaven.net.core.event_loop import EventLoop
 from larchhaven.net.core.rate_limited_log import RateLimitedLog
 from larchhaven.net.core.stream import Stream
@@ -305,7 +306,7 @@
         assert account.used_bytes(MemoryPurpose.BUFFERS) <= account.cap_bytes(MemoryPurpose.BUFFERS)
         assert account.excess_releases == 0
         for _token, channel in self.bench.loop._channels.items():
-            stream = getattr(channel.then, "__self__", None)
+            stream = getattr(channel.on_ready, "__self__", None)
             if isinstance(stream, Stream):
                 self.seen.add(stream)
 
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -14,13 +14,21 @@
 
 # Packages and modules that are finished; ``docs/ROADMAP.md`` lists the others.
 FINISHED: tuple[str, ...] = (
+    "cli/memory.py",
     "gossip",
     "membership",
+    "memory",
+    "net/admin/memory_accounting.py",
+    "net/admin/metrics.py",
+    "net/admin/operator_file.py",
+    "net/admin/process_memory.py",
+    "net/control/connection_limits.py",
     "net/control/membership_log.py",
     "net/control/membership_report.py",
     "net/control/membership_switch.py",
     "net/control/membership_transport.py",
     "routing",
+    "net/core",
     "simulator",
 )
 PURE = ("routing", "gossip", "membership", "memory")
