--- a/larchhaven/__main__.py
+++ b/larchhaven/__main__.py
@@ -24,15 +24,15 @@
                 print(complaint.at(path), file=sys.stderr)
             return UNUSABLE
 
-    from larchhaven.net.configuration import ConfigError, load
+    from larchhaven.net.configuration import ConfigurationError, load_configuration
     from larchhaven.net.core import log_setup as logs
     from larchhaven.net.proxy import Node
 
     try:
-        config = load(os.environ)
+        config = load_configuration(os.environ)
         logs.configure_logging(reading is not None and reading.settings.log_json)
         node = Node(config, path, reading)
-    except ConfigError as error:
+    except ConfigurationError as error:
         print(f"larchhaven: {error}", file=sys.stderr)
         return UNUSABLE
     except OSError as error:
--- a/larchhaven/cli/check.py
+++ b/larchhaven/cli/check.py
@@ -43,11 +43,11 @@
 
 
 def _platform(config: Path) -> tuple[list[Complaint], tuple[int, int] | None]:
-    from larchhaven.net.configuration import ConfigError, load
+    from larchhaven.net.configuration import ConfigurationError, load_configuration
 
     try:
-        read = load({**os.environ, "EDGE_CONFIG": str(config)})
-    except ConfigError as error:
+        read = load_configuration({**os.environ, "EDGE_CONFIG": str(config)})
+    except ConfigurationError as error:
         line, column = _place(config, str(error))
         return [Complaint(line, column, str(error))], None
     limits = read.limits
--- a/larchhaven/net/admin/administrative_ejection.py
+++ b/larchhaven/net/admin/administrative_ejection.py
@@ -1,8 +1,10 @@
-"""The instances that operators have taken out, in a file that outlives the process and that two share."""
+"""The servers that operators have ejected, in a file that outlives the process.
+
+Both processes of a hot restart use the same file, so an ejection counts for both.
+"""
 
 from __future__ import annotations
 
-import errno
 import fcntl
 import os
 from collections.abc import Callable, Iterator
@@ -11,84 +13,127 @@
 
 import msgspec
 
-VERSION = 1
-# A larger file is not ours; a list of instances is far shorter.
-FILE_MOST = 1 << 20
+from larchhaven.errors import LarchhavenError
+
+FILE_NAME = "larchhaven-suspended.json"
+FILE_VERSION = 1
+# A larger file is not ours; a list of servers is far shorter.
+MAX_FILE_BYTES = 1 << 20
+LOCK_FILE_MODE = 0o600
+
+
+class EjectionNotSavedError(LarchhavenError):
+    """An ejection or its removal could not be written; nothing has changed.
+
+    Attributes:
+        server_id: The server that was to be ejected or reinstated.
+        reason: Why it could not be written.
+
+    """
+
+    def __init__(self, server_id: str, reason: str) -> None:
+        super().__init__(reason)
+        self.server_id = server_id
+        self.reason = reason
 
 
-class _File(msgspec.Struct):
+class _EjectionFile(msgspec.Struct):
     """The file as it is written."""
 
-    v: int
-    hosts: list[str]
+    version: int = msgspec.field(name="v")
+    server_ids: list[str] = msgspec.field(name="hosts")
 
 
-class Suspensions:
-    """The hosts taken out: the file is the truth, and ``changed`` hears of each change, whoever made it.
+class AdministrativeEjections:
+    """The set of ejected servers, as the file says.
+
+    A file that is absent, of another version or broken changes nothing.
+
+    Args:
+        directory: Where the file is kept; empty to keep the set in memory only.
+        on_changed: Called with each server whose state has changed and whether it is ejected now,
+            whichever process made the change.
+        can_write_file: Tells whether a file may be written at a path with a size in bytes.
 
-    A file that is absent, of another version or broken changes nothing. Without a folder nothing is kept.
     """
 
     def __init__(
         self,
-        folder: str,
-        changed: Callable[[str, bool], None],
-        fits: Callable[[Path, int], bool] = lambda path, size: True,
+        directory: str,
+        on_changed: Callable[[str, bool], None],
+        can_write_file: Callable[[Path, int], bool] = lambda path, size: True,
     ) -> None:
-        self._fits = fits
-        self._path = Path(folder) / "larchhaven-suspended.json" if folder else None
-        self._changed = changed
-        self._hosts: set[str] = set()
-        self._seen: tuple[int, int] | None = None  # what tells this state of the file from the next
-
-    def __contains__(self, host: str) -> bool:
-        """Tell whether the host is taken out."""
-        return host in self._hosts
-
-    def change(self, host: str, on: bool) -> None:
-        """Save a change, then heed it; raise OSError, with nothing changed, if it cannot be saved."""
-        hosts = {host}
+        self._can_write_file = can_write_file
+        self._path = Path(directory) / FILE_NAME if directory else None
+        self._on_changed = on_changed
+        self._server_ids: set[str] = set()
+        self._last_read: tuple[int, int] | None = None  # inode and modification time
+
+    def __contains__(self, server_id: str) -> bool:
+        """Tell whether the server is ejected."""
+        return server_id in self._server_ids
+
+    def set_ejected(self, server_id: str, is_ejected: bool) -> None:
+        """Eject or reinstate a server: save the change, then apply it.
+
+        Raises:
+            EjectionNotSavedError: If it cannot be saved; nothing has changed.
+
+        """
         if self._path is None:
-            self._take(self._hosts | hosts if on else self._hosts - hosts)
+            self._apply(self._with_change(server_id, is_ejected))
             return
-        with self._locked(self._path):
-            self.refresh()
-            hosts = self._hosts | hosts if on else self._hosts - hosts
-            beside = self._path.with_suffix(".new")
-            data = msgspec.json.encode(_File(VERSION, sorted(hosts)))
-            # A shorter list may always be written: it makes room.
-            if host in hosts and on and not self._fits(self._path, len(data)):
-                raise OSError(errno.ENOSPC, "the memory for files is used up")
-            beside.write_bytes(data)
-            beside.rename(self._path)
-            self.refresh()
+        try:
+            with self._locked(self._path):
+                self.refresh()
+                self._save(self._path, server_id, is_ejected)
+                self.refresh()
+        except OSError as error:
+            raise EjectionNotSavedError(server_id, str(error)) from error
 
     def refresh(self) -> None:
-        """Heed what the file says, if it is another than last time."""
+        """Apply what the file says, if it has changed since it was last read."""
         try:
             if self._path is None:
                 return
             state = self._path.stat()
-            seen = state.st_ino, state.st_mtime_ns
-            if seen == self._seen or state.st_size > FILE_MOST:
+            version = state.st_ino, state.st_mtime_ns
+            if version == self._last_read or state.st_size > MAX_FILE_BYTES:
                 return
-            file = msgspec.json.decode(self._path.read_bytes(), type=_File)
+            file = msgspec.json.decode(self._path.read_bytes(), type=_EjectionFile)
         except (OSError, msgspec.DecodeError, UnicodeDecodeError):
             return
-        if file.v == VERSION:
-            self._seen = seen
-            self._take(set(file.hosts))
-
-    def _take(self, hosts: set[str]) -> None:
-        changes = hosts ^ self._hosts
-        self._hosts = hosts
-        for host in sorted(changes):
-            self._changed(host, host in hosts)
+        if file.version == FILE_VERSION:
+            self._last_read = version
+            self._apply(set(file.server_ids))
+
+    def _with_change(self, server_id: str, is_ejected: bool) -> set[str]:
+        if is_ejected:
+            return self._server_ids | {server_id}
+        return self._server_ids - {server_id}
+
+    def _save(self, path: Path, server_id: str, is_ejected: bool) -> None:
+        server_ids = sorted(self._with_change(server_id, is_ejected))
+        data = msgspec.json.encode(_EjectionFile(FILE_VERSION, server_ids))
+        # A shorter list may always be written: it frees memory.
+        if is_ejected and not self._can_write_file(path, len(data)):
+            raise EjectionNotSavedError(server_id, "the memory for files is used up")
+        temporary_path = path.with_suffix(".new")
+        temporary_path.write_bytes(data)
+        temporary_path.rename(path)
+
+    def _apply(self, server_ids: set[str]) -> None:
+        changed = server_ids ^ self._server_ids
+        self._server_ids = server_ids
+        for server_id in sorted(changed):
+            self._on_changed(server_id, server_id in server_ids)
 
     @contextmanager
     def _locked(self, path: Path) -> Iterator[None]:
-        """Keep the other process of an upgrade from writing between our reading and our writing."""
-        lock = os.open(path.with_suffix(".lock"), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+        """Keep the other process of a hot restart from writing between our read and our write."""
+        lock = os.open(
+            path.with_suffix(".lock"), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, LOCK_FILE_MODE
+        )
         try:
             fcntl.flock(lock, fcntl.LOCK_EX)
             yield
--- a/larchhaven/net/admin/http_api.py
+++ b/larchhaven/net/admin/http_api.py
@@ -1,8 +1,12 @@
-"""Where operators call: HTTP/1.1, one call a connection, answered at once from state kept up to date."""
+"""The operators' API: HTTP/1.1, one call a connection, answered at once from current state."""
 
 from __future__ import annotations
 
+import enum
 import socket
+from collections.abc import Callable
+from dataclasses import dataclass
+from functools import partial
 from http import HTTPStatus
 from typing import Protocol
 from urllib.parse import unquote
@@ -14,75 +18,105 @@
 from larchhaven.net.core.event_loop import READ, EventLoop, TimerHandle
 from larchhaven.net.core.stream import RESOURCE_EXHAUSTION_ERRNOS, Stream
 
-# Callers held at a time; with one more, one that has its answer gives way, or the oldest incomplete one.
-CALLERS_MOST = 24
-# Descriptors that calls may take: the callers, one just accepted, and the listener.
-DESCRIPTORS = CALLERS_MOST + 2
-ACCEPTS_A_TURN = 32
-# Accepting rests for so long when the process is out of descriptors after all.
-SHORT_REST_US = 100_000
-BACKLOG = 128
-# A call must be whole within this time and this size, its body, which means nothing, included.
-CALL_US = 10_000_000
-CALL_MOST = 16 << 10
+# With one more, a caller that has its answer is closed, or the oldest incomplete one.
+MAX_CALLERS = 24
+# The callers, one just accepted, and the listener.
+ADMIN_DESCRIPTORS = MAX_CALLERS + 2
+ACCEPT_BACKLOG = 128
+MAX_ACCEPTS_PER_ITERATION = 32
+# Accepting pauses for so long when the process is out of descriptors all the same.
+ACCEPT_PAUSE_US = 100_000
+CALL_TIMEOUT_US = 10_000_000
+# Of a whole call, with its body, which is ignored.
+MAX_CALL_BYTES = 16 << 10
 
-Answer = tuple[HTTPStatus, bytes]
 
+class EjectionOutcome(enum.Enum):
+    """What became of an operator's call to eject or reinstate a server."""
 
-class Office(Protocol):
+    APPLIED = enum.auto()
+    UNKNOWN_SERVER = enum.auto()
+    NOT_SAVED = enum.auto()
+
+
+_EJECTION_STATUS = {
+    EjectionOutcome.APPLIED: HTTPStatus.OK,
+    EjectionOutcome.UNKNOWN_SERVER: HTTPStatus.NOT_FOUND,
+    EjectionOutcome.NOT_SAVED: HTTPStatus.INTERNAL_SERVER_ERROR,
+}
+
+
+class AdminBackend(Protocol):
     """What operators may ask of the proxy."""
 
     def is_ready(self) -> bool:
         """Tell whether this process takes clients."""
 
-    def figures(self) -> bytes:
-        """Return the figures as JSON."""
+    def encode_metrics(self) -> bytes:
+        """Return the metrics as JSON."""
 
-    def memory(self) -> bytes:
+    def encode_memory(self) -> bytes:
         """Return the memory account as JSON."""
 
-    def members(self) -> bytes:
+    def encode_members(self) -> bytes:
         """Return what is known of the other proxies, as JSON."""
 
-    def suspend(self, host: str, on: bool) -> HTTPStatus:
-        """Take an instance out, or let it serve again."""
+    def set_ejected(self, server_id: str, is_ejected: bool) -> EjectionOutcome:
+        """Eject a server, or reinstate it."""
+
+    def set_draining(self, is_draining: bool) -> None:
+        """Drain the proxy, or activate it again."""
+
+
+@dataclass(frozen=True, slots=True)
+class Response:
+    """The answer to a call; a call with an empty body is answered with its status."""
+
+    status: HTTPStatus
+    body: bytes = b""
+    allowed_method: str = ""
 
-    def drain(self, on: bool) -> None:
-        """Send clients away, or take them again."""
+
+@dataclass(frozen=True, slots=True)
+class Route:
+    """What a path stands for."""
+
+    method: str
+    respond: Callable[[], Response]
 
 
 class _Caller:
     """One connection: its call is read, answered and over."""
 
-    def __init__(self, management: Management, sock: socket.socket) -> None:
-        self._management = management
-        self._loop = management.loop
+    def __init__(self, api: AdminHttpApi, sock: socket.socket) -> None:
+        self._api = api
+        self._loop = api.loop
         self._parser = httptools.HttpRequestParser(self)
         self._url = b""
-        self._size = 0
-        self.answered = False
-        self.stream = Stream(management.loop, management.pool, sock, self)
-        self._limit: TimerHandle | None = self._loop.call_later(CALL_US, self._on_late)
+        self._received_bytes = 0
+        self.is_answered = False
+        self.stream = Stream(api.loop, api.pool, sock, self)
+        self._timeout: TimerHandle | None = self._loop.call_later(CALL_TIMEOUT_US, self._on_timeout)
 
-    # The parser's callbacks
+    # Callbacks of the parser
 
     def on_url(self, url: bytes) -> None:
-        """Keep a part of the address that is called."""
+        """Keep a part of the URL."""
         self._url += url
 
     def on_message_complete(self) -> None:
         """Answer the call; whatever follows it is dropped."""
-        if not self.answered:
+        if not self.is_answered:
             method = self._parser.get_method().decode("ascii", "replace")
-            self._answer(*self._management.call(method, self._url))
+            self._answer(self._api.respond(method, self._url))
 
-    # The stream's owner
+    # Callbacks of the stream
 
     def connection_made(self) -> None:
-        """Nothing: an accepted connection stands already."""
+        """Do nothing: an accepted connection is established already."""
 
     def write_buffer_drained(self) -> None:
-        """Nothing: answers fit."""
+        """Do nothing: answers fit."""
 
     def data_received(self) -> None:
         """Feed the parser."""
@@ -91,19 +125,19 @@
             return
         data = bytes(inbox.readable())
         self.stream.consume(len(data))
-        self._size += len(data)
+        self._received_bytes += len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            pass  # the wish for another protocol is not heeded: the call is whole and has its answer
+            pass  # another protocol is not offered: the call is complete and has its answer
         except httptools.HttpParserError:
-            self._answer(HTTPStatus.BAD_REQUEST, b"")
-        if self._size > CALL_MOST:
-            self._answer(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, b"")
+            self._answer(Response(HTTPStatus.BAD_REQUEST))
+        if self._received_bytes > MAX_CALL_BYTES:
+            self._answer(Response(HTTPStatus.REQUEST_ENTITY_TOO_LARGE))
 
     def eof_received(self) -> None:
-        """Let a caller go that ends without a whole call; one that has its answer is read to its end."""
-        if not self.answered:
+        """Close a caller that ends too early; an answered one is read to its end."""
+        if not self.is_answered:
             self.close()
 
     def connection_lost(self, code: int) -> None:
@@ -112,53 +146,63 @@
 
     # Answers
 
-    def _answer(self, status: HTTPStatus, body: bytes, allow: str = "") -> None:
-        if self.answered:
+    def _answer(self, response: Response) -> None:
+        if self.is_answered:
             return
-        self.answered = True
-        self._loop.cancel(self._limit)
-        body = body or b'{"status":"%s"}' % status.phrase.encode()
+        self.is_answered = True
+        self._loop.cancel(self._timeout)
+        status = response.status
+        body = response.body or b'{"status":"%s"}' % status.phrase.encode()
         head = [f"HTTP/1.1 {status.value} {status.phrase}", "Content-Type: application/json"]
-        head += [f"Allow: {allow}"] if allow else []
+        if response.allowed_method:
+            head.append(f"Allow: {response.allowed_method}")
         head += [f"Content-Length: {len(body)}", "Connection: close", "", ""]
         self.stream.write("\r\n".join(head).encode() + body)
         self.stream.start_lingering_close()
 
-    def _on_late(self) -> None:
-        self._answer(HTTPStatus.REQUEST_TIMEOUT, b"")
+    def _on_timeout(self) -> None:
+        self._answer(Response(HTTPStatus.REQUEST_TIMEOUT))
 
     def close(self) -> None:
         """Close now."""
-        self._loop.cancel(self._limit)
+        self._loop.cancel(self._timeout)
         self.stream.close()
-        self._management.forget(self)
+        self._api.forget(self)
+
+
+class AdminHttpApi:
+    """Accepts callers and routes their calls to the backend.
 
+    Args:
+        loop: The event loop.
+        address: Where to listen.
+        backend: Carries out the calls.
+        shares_address: Whether the other process of a hot restart may listen there too.
+        pool: The buffers of the callers; its own, so clients cannot use them up.
 
-class Management:
-    """Accepts callers and knows the calls; what they do is up to the office."""
+    """
 
     def __init__(
         self,
         loop: EventLoop,
         address: tuple[str, int],
-        office: Office,
-        shared: bool,
+        backend: AdminBackend,
+        shares_address: bool,
         pool: BufferPool | None = None,
     ) -> None:
         self.loop = loop
-        # Its own: clients that fill theirs keep no operator waiting.
         self.pool = pool or BufferPool(
             stream_purpose=MemoryPurpose.MANAGEMENT, buffer_purpose=MemoryPurpose.MANAGEMENT
         )
-        self._office = office
+        self._backend = backend
         self._callers: dict[_Caller, None] = {}  # the oldest first
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
         self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        if shared:
+        if shares_address:
             self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         self._sock.bind(address)
-        self._sock.listen(BACKLOG)
-        self._channel = loop.register(self._sock, READ, self._on_ready)
+        self._sock.listen(ACCEPT_BACKLOG)
+        self._registration = loop.register(self._sock, READ, self._on_readable)
 
     @property
     def address(self) -> tuple[str, int]:
@@ -166,65 +210,75 @@
         host, port = self._sock.getsockname()
         return host, port
 
-    def call(self, method: str, url: bytes) -> tuple[HTTPStatus, bytes, str]:
-        """Carry out one call; return the status, the body and the method that would have done."""
+    def respond(self, method: str, url: bytes) -> Response:
+        """Carry out one call."""
         try:
             path = httptools.parse_url(url).path or b""
         except (httptools.HttpParserInvalidURLError, httptools.HttpParserError):
-            return HTTPStatus.BAD_REQUEST, b"", ""
-        match path.decode("utf-8", "replace").split("/"):
+            return Response(HTTPStatus.BAD_REQUEST)
+        route = self._find_route(path.decode("utf-8", "replace").split("/"))
+        if route is None:
+            return Response(HTTPStatus.NOT_FOUND)
+        if method != route.method:
+            return Response(HTTPStatus.METHOD_NOT_ALLOWED, allowed_method=route.method)
+        return route.respond()
+
+    def _find_route(self, segments: list[str]) -> Route | None:
+        backend = self._backend
+        match segments:
             case ["", "v1", "readyz"]:
-                allowed = "GET"
-            case ["", "v1", "metrics" | "memory" | "members"]:
-                allowed = "GET"
-            case ["", "v1", "exam-servers", _, "suspend" | "resume"]:
-                allowed = "POST"
-            case ["", "v1", "proxy", "drain" | "activate"]:
-                allowed = "POST"
-            case _:
-                return HTTPStatus.NOT_FOUND, b"", ""
-        if method != allowed:
-            return HTTPStatus.METHOD_NOT_ALLOWED, b"", allowed
-        return *self._carry_out(path.decode("utf-8", "replace").split("/")[2:]), ""
-
-    def _carry_out(self, words: list[str]) -> Answer:
-        office = self._office
-        match words:
-            case ["readyz"]:
-                return HTTPStatus.OK if office.is_ready() else HTTPStatus.SERVICE_UNAVAILABLE, b""
-            case ["metrics"]:
-                return HTTPStatus.OK, office.figures()
-            case ["memory"]:
-                return HTTPStatus.OK, office.memory()
-            case ["members"]:
-                return HTTPStatus.OK, office.members()
-            case ["exam-servers", host, what]:
-                return office.suspend(unquote(host), what == "suspend"), b""
-        office.drain(words[-1] == "drain")
-        return HTTPStatus.OK, b""
+                return Route("GET", self._report_readiness)
+            case ["", "v1", "metrics"]:
+                return Route("GET", lambda: Response(HTTPStatus.OK, backend.encode_metrics()))
+            case ["", "v1", "memory"]:
+                return Route("GET", lambda: Response(HTTPStatus.OK, backend.encode_memory()))
+            case ["", "v1", "members"]:
+                return Route("GET", lambda: Response(HTTPStatus.OK, backend.encode_members()))
+            case ["", "v1", "exam-servers", name, "suspend" | "resume" as verb]:
+                return Route("POST", partial(self._set_ejected, unquote(name), verb == "suspend"))
+            case ["", "v1", "proxy", "drain" | "activate" as verb]:
+                return Route("POST", partial(self._set_draining, verb == "drain"))
+        return None
+
+    def _report_readiness(self) -> Response:
+        is_ready = self._backend.is_ready()
+        return Response(HTTPStatus.OK if is_ready else HTTPStatus.SERVICE_UNAVAILABLE)
+
+    def _set_ejected(self, server_id: str, is_ejected: bool) -> Response:
+        return Response(_EJECTION_STATUS[self._backend.set_ejected(server_id, is_ejected)])
+
+    def _set_draining(self, is_draining: bool) -> Response:
+        self._backend.set_draining(is_draining)
+        return Response(HTTPStatus.OK)
 
     def forget(self, caller: _Caller) -> None:
-        """Count a caller as gone."""
+        """Remove a caller that is gone."""
         self._callers.pop(caller, None)
 
-    def _on_ready(self, _: int) -> None:
-        for _turn in range(ACCEPTS_A_TURN):
+    def _on_readable(self, _: int) -> None:
+        for _turn in range(MAX_ACCEPTS_PER_ITERATION):
             try:
                 sock, _address = self._sock.accept()
             except BlockingIOError:
                 return
             except OSError as error:
                 if error.errno in RESOURCE_EXHAUSTION_ERRNOS:
-                    self.loop.set_events(self._channel, 0)
-                    self.loop.call_later(
-                        SHORT_REST_US, lambda: self.loop.set_events(self._channel, READ)
-                    )
+                    self._pause_accepting()
                     return
                 continue  # that caller has gone again
-            for gone in [c for c in self._callers if c.stream.closed]:
-                self.forget(gone)
-            if len(self._callers) >= CALLERS_MOST:
-                self.pool.account.count_rejection(MemoryPurpose.MANAGEMENT)
-                answered = (c for c in self._callers if c.answered)
-                next(answered, next(iter(self._callers))).close()
+            self._make_room()
             self._callers[_Caller(self, sock)] = None
+
+    def _pause_accepting(self) -> None:
+        self.loop.set_events(self._registration, 0)
+        self.loop.call_later(
+            ACCEPT_PAUSE_US, lambda: self.loop.set_events(self._registration, READ)
+        )
+
+    def _make_room(self) -> None:
+        for closed in [caller for caller in self._callers if caller.stream.closed]:
+            self.forget(closed)
+        if len(self._callers) >= MAX_CALLERS:
+            self.pool.account.count_rejection(MemoryPurpose.MANAGEMENT)
+            answered = (caller for caller in self._callers if caller.is_answered)
+            next(answered, next(iter(self._callers))).close()
--- a/larchhaven/net/configuration.py
+++ b/larchhaven/net/configuration.py
@@ -1,4 +1,7 @@
-"""The proxy's configuration: one JSON file, whose settings have the names of the simulator's wire."""
+"""The proxy's configuration: one JSON file, whose keys are the platform's.
+
+The keys of its ``settings`` are those of the simulator's protocol.
+"""
 
 from __future__ import annotations
 
@@ -9,16 +12,62 @@
 
 import msgspec
 
+from larchhaven.errors import LarchhavenError
 from larchhaven.net.control.endpoint_watch import HostList, read_address
 from larchhaven.routing.settings import RoutingSettings
-from larchhaven.simulator import codec as wire
+from larchhaven.simulator import codec
+
+
+class ConfigurationError(LarchhavenError):
+    """A configuration that the proxy cannot start with."""
+
+
+class ConfigurationFileError(ConfigurationError):
+    """The file cannot be read, or is not a configuration.
+
+    Attributes:
+        reason: Why, for operators.
+
+    """
+
+    def __init__(self, reason: str) -> None:
+        super().__init__(reason)
+        self.reason = reason
+
+
+class InvalidSettingError(ConfigurationError):
+    """A setting has a value that cannot be used.
+
+    Attributes:
+        setting: The key in the file, or the name of the environment variable.
+        requirement: What the value must be, and what it is.
+
+    """
+
+    def __init__(self, setting: str, requirement: str) -> None:
+        super().__init__(f"{setting} {requirement}")
+        self.setting = setting
+        self.requirement = requirement
+
+
+class OperatorFileError(ConfigurationError):
+    """The operators' file asks for what the machine does not grant.
 
+    Attributes:
+        path: The file.
+        line: The line in it, from 1; 0 if no line is to blame.
+        reason: Why, for operators.
 
-class ConfigError(Exception):
-    """A configuration that the proxy cannot start with, in one plain sentence."""
+    """
 
+    def __init__(self, path: str, line: int, reason: str) -> None:
+        super().__init__(f"{path}:{line}: {reason}")
+        self.path = path
+        self.line = line
+        self.reason = reason
 
-class Limits(msgspec.Struct):
+
+class MachineLimits(msgspec.Struct):
     """What the machine grants the proxy."""
 
     cores: float = 1.0
@@ -26,7 +75,7 @@
     sockets: int = 1024
 
 
-class _File(msgspec.Struct):
+class _ConfigurationFile(msgspec.Struct):
     """The file as it is written."""
 
     settings: dict[str, Any]
@@ -34,7 +83,7 @@
     listen: str = ""
     discovery: str = ""
     seed: str = "0"
-    limits: Limits = msgspec.field(default_factory=Limits)
+    limits: MachineLimits = msgspec.field(default_factory=MachineLimits)
     mgmt: str | None = None
     peer_listen: str | None = None
     peers: list[str] = msgspec.field(default_factory=list)
@@ -44,15 +93,35 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """What a proxy is told at its start."""
+    """What a proxy is started with.
+
+    Attributes:
+        name: The proxy's name in its log; may be empty.
+        listen: The clients' address.
+        discovery: The address of discovery.
+        seed: The seed of the decisions' random draws.
+        limits: What the machine grants.
+        mgmt: The operators' address; None if there is no admin API.
+        socket_fd: The clients' listening socket, if the platform holds it.
+        peer_listen: The own address for datagrams of other proxies; None if there is none.
+        peers: The addresses of all proxies, by their index.
+        peers_all: An address that reaches all proxies at once; None if there is none.
+        known: The endpoint list to start with.
+        settings: The settings of the decisions.
+        classes: The index of each request class, by name.
+        tenants: The index of each tenant, by name.
+        zones: The names of the zones, by index.
+        kinds: The names of the server kinds, by index.
+
+    """
 
     name: str
     listen: tuple[str, int]
     discovery: tuple[str, int]
     seed: int
-    limits: Limits
+    limits: MachineLimits
     mgmt: tuple[str, int] | None
-    socket_fd: int | None  # the clients' listening socket, if the platform holds it
+    socket_fd: int | None
     peer_listen: tuple[str, int] | None
     peers: tuple[tuple[str, int], ...]
     peers_all: tuple[str, int] | None
@@ -64,73 +133,116 @@
     kinds: tuple[str, ...]
 
 
-def _address(text: str, what: str) -> tuple[str, int]:
-    address = read_address(text)
-    if address is None:
-        raise ConfigError(f"{what} must be host:port, not {text!r}")
-    return address
-
-
-def _names(settings: Mapping[str, Any], path: str) -> tuple[str, ...]:
-    values = settings.get(path) or []
-    if not isinstance(values, list):
-        raise ConfigError(f"settings.{path} must be a list of names")
-    return tuple(str(value) for value in values)
+def load_configuration(environment: Mapping[str, str]) -> Config:
+    """Read the file that ``EDGE_CONFIG`` names; what it leaves out comes from the environment.
 
+    Raises:
+        ConfigurationError: If the proxy cannot start with it.
 
-def _numbers_by_name(settings: Mapping[str, Any], path: str) -> dict[str, int]:
-    """Number what a list of the settings names, in its order; an entry without a name has an empty one."""
-    entries = settings.get(path)
-    found = enumerate(entries if isinstance(entries, list) else [])
-    return {str(entry.get("name", "")) if isinstance(entry, dict) else "": i for i, entry in found}
-
-
-def load(environment: Mapping[str, str]) -> Config:
-    """Read the file that ``EDGE_CONFIG`` names; what it leaves out comes from the environment."""
+    """
     path = environment.get("EDGE_CONFIG", "")
     if not path:
-        raise ConfigError("EDGE_CONFIG is not set: it names the configuration file")
+        raise InvalidSettingError("EDGE_CONFIG", "is not set: it names the configuration file")
     try:
         raw = Path(path).read_bytes()
     except OSError as error:
-        raise ConfigError(f"{path} cannot be read: {error.strerror}") from None
-    return decode(raw, environment)
+        raise ConfigurationFileError(f"{path} cannot be read: {error.strerror}") from None
+    return decode_configuration(raw, environment)
 
 
-def decode(raw: bytes, environment: Mapping[str, str]) -> Config:
-    """Read a configuration's text."""
-    try:
-        file = msgspec.json.decode(raw, type=_File)
-    except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise ConfigError(f"the configuration is not as it should be: {error}") from None
-    try:
-        settings = wire.decode_nested_settings(file.settings)
-    except wire.WireError as error:
-        raise ConfigError(f"settings: {error}") from None
-    try:
-        seed = int(file.seed, 16)
-    except ValueError:
-        raise ConfigError(f"seed must be a hexadecimal number, not {file.seed!r}") from None
-    mgmt = file.mgmt or environment.get("EDGE_MGMT", "")
-    socket_fd = environment.get("EDGE_SOCKET_FD", "")
-    if socket_fd and not (socket_fd.isascii() and socket_fd.isdigit()):
-        raise ConfigError(f"EDGE_SOCKET_FD must be a descriptor's number, not {socket_fd!r}")
+def decode_configuration(raw: bytes, environment: Mapping[str, str]) -> Config:
+    """Decode the text of a configuration file.
+
+    Args:
+        raw: The text.
+        environment: Supplies what the file leaves out.
+
+    Raises:
+        ConfigurationError: If the proxy cannot start with it.
+
+    """
+    file = _decode_file(raw)
+    settings = _decode_settings(file.settings)
+    seed = _parse_seed(file.seed)
+    socket_fd = _parse_socket_fd(environment.get("EDGE_SOCKET_FD", ""))
+    tenants = _index_by_name(file.settings, "parties")
     return Config(
         name=file.name or environment.get("EDGE_NAME", ""),
-        listen=_address(file.listen or environment.get("EDGE_LISTEN", ""), "listen"),
-        discovery=_address(file.discovery or environment.get("EDGE_DISCOVERY", ""), "discovery"),
+        listen=_parse_address(file.listen or environment.get("EDGE_LISTEN", ""), "listen"),
+        discovery=_parse_address(
+            file.discovery or environment.get("EDGE_DISCOVERY", ""), "discovery"
+        ),
         seed=seed,
         limits=file.limits,
-        mgmt=_address(mgmt, "mgmt") if mgmt else None,
-        socket_fd=int(socket_fd) if socket_fd else None,
-        peer_listen=_address(file.peer_listen, "peer_listen") if file.peer_listen else None,
-        peers=tuple(_address(peer, "peers") for peer in file.peers),
-        peers_all=_address(file.peers_all, "peers_all") if file.peers_all else None,
+        mgmt=_parse_optional_address(file.mgmt or environment.get("EDGE_MGMT", ""), "mgmt"),
+        socket_fd=socket_fd,
+        peer_listen=_parse_optional_address(file.peer_listen, "peer_listen"),
+        peers=tuple(_parse_address(peer, "peers") for peer in file.peers),
+        peers_all=_parse_optional_address(file.peers_all, "peers_all"),
         known=file.known or HostList(seq=0, hosts=[], whole=True),
         settings=settings,
-        classes=_numbers_by_name(file.settings, "services"),
-        # Clients that name no member must not be taken for one that has no name.
-        tenants={name: i for name, i in _numbers_by_name(file.settings, "parties").items() if name},
-        zones=_names(file.settings, "zones"),
-        kinds=_names(file.settings, "kinds"),
+        classes=_index_by_name(file.settings, "services"),
+        # Clients that name no tenant must not be taken for one that has no name.
+        tenants={name: index for name, index in tenants.items() if name},
+        zones=_list_names(file.settings, "zones"),
+        kinds=_list_names(file.settings, "kinds"),
     )
+
+
+def _decode_file(raw: bytes) -> _ConfigurationFile:
+    try:
+        return msgspec.json.decode(raw, type=_ConfigurationFile)
+    except (msgspec.DecodeError, UnicodeDecodeError) as error:
+        reason = f"the configuration is not as it should be: {error}"
+        raise ConfigurationFileError(reason) from None
+
+
+def _decode_settings(settings: dict[str, Any]) -> RoutingSettings:
+    try:
+        return codec.decode_nested_settings(settings)
+    except codec.WireError as error:
+        raise ConfigurationFileError(f"settings: {error}") from None
+
+
+def _parse_seed(text: str) -> int:
+    try:
+        return int(text, 16)
+    except ValueError:
+        requirement = f"must be a hexadecimal number, not {text!r}"
+        raise InvalidSettingError("seed", requirement) from None
+
+
+def _parse_socket_fd(text: str) -> int | None:
+    if not text:
+        return None
+    if not (text.isascii() and text.isdigit()):
+        raise InvalidSettingError("EDGE_SOCKET_FD", f"must be a descriptor's number, not {text!r}")
+    return int(text)
+
+
+def _parse_address(text: str, setting: str) -> tuple[str, int]:
+    address = read_address(text)
+    if address is None:
+        raise InvalidSettingError(setting, f"must be host:port, not {text!r}")
+    return address
+
+
+def _parse_optional_address(text: str | None, setting: str) -> tuple[str, int] | None:
+    return _parse_address(text, setting) if text else None
+
+
+def _list_names(settings: Mapping[str, Any], setting: str) -> tuple[str, ...]:
+    values = settings.get(setting) or []
+    if not isinstance(values, list):
+        raise InvalidSettingError(f"settings.{setting}", "must be a list of names")
+    return tuple(str(value) for value in values)
+
+
+def _index_by_name(settings: Mapping[str, Any], setting: str) -> dict[str, int]:
+    """Map the names of the entries of a list to their indexes; no name is the empty one."""
+    entries = settings.get(setting)
+    indexes: dict[str, int] = {}
+    for index, entry in enumerate(entries if isinstance(entries, list) else []):
+        name = str(entry.get("name", "")) if isinstance(entry, dict) else ""
+        indexes[name] = index
+    return indexes
--- a/larchhaven/net/graceful_shutdown.py
+++ b/larchhaven/net/graceful_shutdown.py
@@ -1,7 +1,7 @@
-"""The graceful shutdown: in stated phases from the signal to stop to the end of the process.
+"""The graceful shutdown: in stated phases from SIGTERM to the end of the process.
 
-Each phase has its end before the platform may kill, which is so long after the signal as the longest deadline
-(or the longest of these that it waits for), and a little more.
+The platform kills the process after the longest deadline of the request classes (limited by
+``MAX_AWAITED_DEADLINE_US``) and ``KILL_GRACE_US``. Every phase ends before that.
 """
 
 from __future__ import annotations
@@ -17,57 +17,77 @@
 from larchhaven.routing.events import ProxyDraining
 from larchhaven.routing.settings import RoutingSettings
 
-# The platform kills no earlier than the longest deadline, or the first of these if that is less, plus the
-# second.
-LONGEST_MOST_US = 3_000_000
-KILL_US = 700_000
-# Everything is answered so long before that.
-MARGIN_US = 150_000
-# New connections come for 0.4 s after the signal, as others learn of it late; limits have 50 ms of slack.
+# The platform kills no earlier than the longest deadline, this at most, and the grace after it.
+MAX_AWAITED_DEADLINE_US = 3_000_000
+KILL_GRACE_US = 700_000
+# Every request has its final answer so long before the process ends.
+ANSWER_MARGIN_US = 150_000
+# New connections come for 0.4 s after the signal, as others learn of it late; the rest is slack.
 LAME_DUCK_US = 500_000
-# Those that came last have so long for their first line.
-SPEAK_US = 100_000
-# What is left is looked at this often.
-LOOK_US = 50_000
-# Where another process has the socket, the end comes this much after the longest deadline, and connections
-# that could not be passed on to it are moved after the second time.
-SHARED_END_US = 400_000
-PASS_MOST_US = 500_000
+# The clients accepted last have so long for their first line.
+FIRST_LINE_GRACE_US = 100_000
+POLL_INTERVAL_US = 50_000
+# With a successor: the process ends so long after the longest deadline.
+SHARED_END_GRACE_US = 400_000
+# With a successor: connections that could not be transferred are migrated after this time.
+MIGRATION_DELAY_US = 500_000
 
 
-class Phase(enum.Enum):
-    """How far the shutdown has come; it only goes down this list."""
+class ShutdownPhase(enum.Enum):
+    """How far the shutdown has come; it only moves down this list."""
 
     SERVING = "serving"
-    LAME_DUCK = "lame duck"  # all goes on: new connections still come
-    CLOSED = "listener closed"  # its queue was emptied first; those who came last may still speak
-    PARTING = (
-        "parting"  # those who rested have their answer; what is owed is settled, nothing is taken
-    )
-    OVER = "over"
+    LAME_DUCK = "lame duck"  # new connections still come and are served
+    LISTENER_CLOSED = "listener closed"  # clients accepted before may still send their first line
+    LINGERING = "lingering"  # idle clients have their answer; requests in flight are finished
+    FINISHED = "finished"
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
-    """When what has to be over, in microseconds after the signal."""
+class ShutdownDeadlines:
+    """What is finished when, in microseconds after the signal.
 
-    answer_us: int  # every command has its answer
-    move_us: int  # every connection that stands has been told to move, where that has to be
-    end_us: int | None  # the process ends; None: it stays while it holds anything
+    Attributes:
+        answers_us: Every request has its final answer.
+        migrations_us: Every established connection is migrated, where connections have to be.
+        end_us: The process ends; None if it stays while it holds anything.
 
+    """
 
-def limits(settings: RoutingSettings, shared: bool) -> Limits:
-    """Derive the limits from the deadlines; ``shared`` is with another process on the clients' socket."""
-    longest = max(c.deadline_us for c in settings.classes)
-    if shared:
-        end = max(longest, LONGEST_MOST_US) + SHARED_END_US
-        return Limits(end - MARGIN_US, min(longest, LONGEST_MOST_US), end)
-    longest = min(longest, LONGEST_MOST_US)
-    return Limits(longest + KILL_US - MARGIN_US, longest, None)
+    answers_us: int
+    migrations_us: int
+    end_us: int | None
 
 
-class Stopping:
-    """Takes the proxy down when it is told to."""
+def compute_deadlines(settings: RoutingSettings, shares_socket: bool) -> ShutdownDeadlines:
+    """Derive the deadlines of the shutdown from those of the request classes.
+
+    Args:
+        settings: The settings of the decisions.
+        shares_socket: Whether another process may hold the clients' socket too.
+
+    """
+    longest_us = max(c.deadline_us for c in settings.classes)
+    migrations_us = min(longest_us, MAX_AWAITED_DEADLINE_US)
+    if shares_socket:
+        end_us = max(longest_us, MAX_AWAITED_DEADLINE_US) + SHARED_END_GRACE_US
+        return ShutdownDeadlines(end_us - ANSWER_MARGIN_US, migrations_us, end_us)
+    answers_us = migrations_us + KILL_GRACE_US - ANSWER_MARGIN_US
+    return ShutdownDeadlines(answers_us, migrations_us, None)
+
+
+class GracefulShutdown:
+    """Shuts the proxy down, phase by phase.
+
+    Args:
+        loop: The event loop, which is stopped at the end.
+        broker: Holds the requests and the established connections.
+        listener: Accepts the clients.
+        pool: Knows the streams in a lingering close.
+        settings: The settings of the decisions.
+        shares_socket: Whether another process may hold the clients' socket too.
+
+    """
 
     def __init__(
         self,
@@ -76,83 +96,93 @@
         listener: Listener,
         pool: BufferPool,
         settings: RoutingSettings,
-        shared: bool,
+        shares_socket: bool,
     ) -> None:
         self._loop = loop
         self._broker = broker
         self._listener = listener
         self._pool = pool
-        self._settings = settings
-        self._shared = shared
-        self.phase = Phase.SERVING
-
-    def begin(self, move_after_us: int) -> None:
-        """Begin; connections that have to move begin to after this time."""
-        self.phase = Phase.LAME_DUCK
-        loop, until = self._loop, limits(self._settings, self._shared)
-        self._broker.answer_by(loop.now_us + until.answer_us)
-        if self._shared:
-            self._listener.stop()  # whoever comes now waits in the socket for the process that holds it next
-        if until.end_us is not None:
-            loop.call_later(until.end_us, loop.stop)
-        if move_after_us:
-            loop.call_later(move_after_us, lambda: self._move(until.move_us))
+        self._passes_through = settings.pass_through
+        self._deadlines = compute_deadlines(settings, shares_socket)
+        self._shares_socket = shares_socket
+        self.phase = ShutdownPhase.SERVING
+
+    @property
+    def is_shutting_down(self) -> bool:
+        """Tell whether the shutdown has begun."""
+        return self.phase is not ShutdownPhase.SERVING
+
+    def begin(self, migration_delay_us: int) -> None:
+        """Begin the shutdown.
+
+        Args:
+            migration_delay_us: After this time the connections that have to migrate are migrated.
+
+        """
+        self.phase = ShutdownPhase.LAME_DUCK
+        loop, deadlines = self._loop, self._deadlines
+        self._broker.answer_by(loop.now_us + deadlines.answers_us)
+        if self._shares_socket:
+            self._listener.stop()  # newcomers wait in the socket for the process that holds it next
+        if deadlines.end_us is not None:
+            loop.call_later(deadlines.end_us, loop.stop)
+        if migration_delay_us:
+            loop.call_later(migration_delay_us, self._migrate_connections)
         else:
-            self._move(until.move_us)
-        loop.call_later(LAME_DUCK_US, self._close)
+            self._migrate_connections()
+        loop.call_later(LAME_DUCK_US, self._close_listener)
 
-    def hurry(self) -> None:
-        """End at a second signal: answer and move everybody now, and leave once that has been heard."""
-        if self.phase is Phase.OVER:
+    def finish_now(self) -> None:
+        """Answer all requests and migrate all connections now, and end once that was sent."""
+        if self.phase is ShutdownPhase.FINISHED:
             return
         self._listener.empty_queue()
         self._listener.stop()
-        self._part()
+        self._close_idle_clients()
         self._broker.answer_by(self._loop.now_us)
-        if not self._settings.pass_through:
+        if not self._passes_through:
             self._broker.move_all()
-        self.phase = Phase.OVER
+        self.phase = ShutdownPhase.FINISHED
         self._loop.call_later(LINGER_US, self._loop.stop)
-        self._loop.call_later(
-            LOOK_US, self._leave_when_heard
-        )  # the answers are given at the end of this turn
-
-    def _move(self, within_us: int) -> None:
-        """Have moved what is still here, unless packets pass through: others take it over then."""
-        if not self._settings.pass_through:
-            self._broker.queue(ProxyDraining(within_us))
-
-    def _close(self) -> None:
-        """Close the listener once nobody waits in its queue: they would be reset with what they sent."""
-        if self.phase is not Phase.LAME_DUCK:
+        # The answers are given at the end of this iteration.
+        self._loop.call_later(POLL_INTERVAL_US, self._stop_when_sent)
+
+    def _migrate_connections(self) -> None:
+        """Migrate what is left; where packets pass through, others take it over at our end."""
+        if not self._passes_through:
+            self._broker.queue(ProxyDraining(self._deadlines.migrations_us))
+
+    def _close_listener(self) -> None:
+        """Close the listener once its queue is empty: who waits there would be reset."""
+        if self.phase is not ShutdownPhase.LAME_DUCK:
             return
         if self._listener.accepting and not self._listener.empty_queue():
-            self._loop.call_later(LOOK_US, self._close)
+            self._loop.call_later(POLL_INTERVAL_US, self._close_listener)
             return
         self._listener.stop()
-        self.phase = Phase.CLOSED
-        self._loop.call_later(SPEAK_US, self._part)
+        self.phase = ShutdownPhase.LISTENER_CLOSED
+        self._loop.call_later(FIRST_LINE_GRACE_US, self._close_idle_clients)
 
-    def _part(self) -> None:
-        """Answer and half-close those who rest: a line read before that is served, one after it never is."""
-        if self.phase in (Phase.PARTING, Phase.OVER):
+    def _close_idle_clients(self) -> None:
+        """Answer and half-close idle clients: a line read before is served, one after never is."""
+        if self.phase in (ShutdownPhase.LINGERING, ShutdownPhase.FINISHED):
             return
-        self.phase = Phase.PARTING
+        self.phase = ShutdownPhase.LINGERING
         self._listener.part_all()
-        self._leave_when_done()
+        self._stop_when_idle()
 
-    def _leave_when_done(self) -> None:
-        if self.phase is not Phase.PARTING:
+    def _stop_when_idle(self) -> None:
+        if self.phase is not ShutdownPhase.LINGERING:
             return
         if self._broker.held() or self._pool.lingering:
-            self._loop.call_later(LOOK_US, self._leave_when_done)
+            self._loop.call_later(POLL_INTERVAL_US, self._stop_when_idle)
         else:
-            self.phase = Phase.OVER
+            self.phase = ShutdownPhase.FINISHED
             self._loop.stop()
 
-    def _leave_when_heard(self) -> None:
-        # Where connections end here, one whose instance is in the middle of a line is moved after that line.
-        if self._pool.lingering or (self._broker.held() and not self._settings.pass_through):
-            self._loop.call_later(LOOK_US, self._leave_when_heard)
+    def _stop_when_sent(self) -> None:
+        # Where connections end here, one whose server is in the middle of a line migrates after it.
+        if self._pool.lingering or (self._broker.held() and not self._passes_through):
+            self._loop.call_later(POLL_INTERVAL_US, self._stop_when_sent)
         else:
             self._loop.stop()
--- a/larchhaven/net/hot_restart.py
+++ b/larchhaven/net/hot_restart.py
@@ -1,8 +1,9 @@
 """Hot restart: a process shares its state and its connections with the process that succeeds it.
 
-The successor says hello and receives what its predecessor knows. While both run, each tells the other of its
-open requests and of its balancer's gossip. Once told to shut down, the predecessor transfers its established
-connections. If the other process is absent, of another version or broken, each goes on alone.
+The successor says hello and receives what its predecessor knows. While both run, each notifies the
+other of its open requests and forwards its balancer's gossip. When the predecessor shuts down, it
+transfers its established connections. If the other process is absent, of another version or broken,
+each goes on alone.
 """
 
 from __future__ import annotations
@@ -74,7 +75,7 @@
         return bool(self._hashes) and identity_hash(identity) in self._hashes
 
     def add(self, hashed: bytes) -> None:
-        """Remember a hash while there is capacity; without it, a doubled identity costs a set-up."""
+        """Remember a hash while there is capacity; without it, a duplicate costs a set-up."""
         is_new = hashed not in self._hashes and len(self._hashes) < MAX_REMOTE_IDENTITIES
         if is_new and self._account.try_charge(MemoryPurpose.PEERS, REQUEST_ID_BYTES):
             self._hashes.add(hashed)
--- a/larchhaven/net/hot_restart_messages.py
+++ b/larchhaven/net/hot_restart_messages.py
@@ -1,7 +1,7 @@
 """Messages between the two processes of a hot restart, and their encoding.
 
-The wire names are those that other versions know: the ``tag`` and the ``name`` of a field differ from the
-names used here. ``tests/test_stored_data.py`` pins the bytes.
+The wire names are those that other versions know: the ``tag`` of a message and the ``name`` of a
+field differ from the names used here. ``tests/test_stored_data.py`` pins the bytes.
 """
 
 from __future__ import annotations
@@ -107,7 +107,7 @@
 
 
 class ConnectionTransfer(msgspec.Struct, tag="Standing"):
-    """An established connection, sent with the descriptors of its client's and its server's side."""
+    """An established connection, sent with its client's and its server's descriptor."""
 
     identity: bytes
     request_class: int = msgspec.field(name="cls")
--- a/larchhaven/net/proxy.py
+++ b/larchhaven/net/proxy.py
@@ -9,7 +9,6 @@
 import socket
 from collections.abc import Sequence
 from dataclasses import replace
-from http import HTTPStatus
 
 import msgspec
 
@@ -18,8 +17,11 @@
 from larchhaven.memory import item_costs, plan
 from larchhaven.memory.account import MemoryAccount
 from larchhaven.memory.purposes import MemoryPurpose
-from larchhaven.net.admin.administrative_ejection import Suspensions
-from larchhaven.net.admin.http_api import DESCRIPTORS, Management
+from larchhaven.net.admin.administrative_ejection import (
+    AdministrativeEjections,
+    EjectionNotSavedError,
+)
+from larchhaven.net.admin.http_api import ADMIN_DESCRIPTORS, AdminHttpApi, EjectionOutcome
 from larchhaven.net.admin.memory_accounting import (
     DescriptorState,
     MemoryAccounting,
@@ -27,7 +29,12 @@
 )
 from larchhaven.net.admin.metrics import Metrics
 from larchhaven.net.admin.operator_file import OperatorFileReader
-from larchhaven.net.configuration import Config, ConfigError, load
+from larchhaven.net.configuration import (
+    Config,
+    ConfigurationError,
+    OperatorFileError,
+    load_configuration,
+)
 from larchhaven.net.control.connection_limits import ConnectionLimits
 from larchhaven.net.control.dispatcher import Broker, Outside, Wants
 from larchhaven.net.control.endpoint_watch import LISTED_MOST, Directory, Discovery, HostList
@@ -38,7 +45,7 @@
 from larchhaven.net.core.event_loop import EventLoop
 from larchhaven.net.core.rate_limited_log import MAX_REMEMBERED_EVENTS, RateLimitedLog
 from larchhaven.net.core.stream import Stream
-from larchhaven.net.graceful_shutdown import PASS_MOST_US, Phase, Stopping
+from larchhaven.net.graceful_shutdown import MIGRATION_DELAY_US, GracefulShutdown
 from larchhaven.net.hot_restart import HotRestart
 from larchhaven.net.hot_restart_messages import (
     PROTOCOL_VERSION,
@@ -107,7 +114,7 @@
             caps = plan.make_plan(grant, self._start, config.limits.sockets, _wanted(own))
         except plan.MemoryPlanError as error:
             line = reading.memory_at[0] if reading is not None else 0
-            raise ConfigError(f"{operator}:{line}: {error}") from None
+            raise OperatorFileError(operator, line, str(error)) from None
         self._account = account = MemoryAccount(caps.caps)
         self._notices = notices = RateLimitedLog(
             loop,
@@ -136,7 +143,9 @@
             min(LISTED_MOST, int(LISTED_SHARE * tables) // item_costs.REMEMBERED_SERVER_BYTES),
         )
         shared = config.socket_fd is not None  # with another process, during an upgrade
-        self._suspensions = Suspensions(folder, self._on_suspended, self._accounting.can_write_file)
+        self._ejections = AdministrativeEjections(
+            folder, self._on_suspended, self._accounting.can_write_file
+        )
         self._reports: dict[str, tuple[int, LoadReport]] = {}  # the latest, and when it came
         self._probes = Probes(
             loop,
@@ -182,7 +191,7 @@
             identity=self._hot_restart.announce_identity,
             is_open_elsewhere=self._hot_restart.is_open_elsewhere,
         )
-        descriptors = self._descriptors() - (DESCRIPTORS if config.mgmt is not None else 0)
+        descriptors = self._descriptors() - (ADMIN_DESCRIPTORS if config.mgmt is not None else 0)
         most = max(descriptors - SPARE_DESCRIPTORS, descriptors // 2)
         self._rooms = ConnectionLimits(
             loop, account, [c.priority_weight for c in settings.classes], most
@@ -200,22 +209,22 @@
             self._rooms,
             config.socket_fd,
         )
-        self._management: Management | None = None
+        self._management: AdminHttpApi | None = None
         if config.mgmt is not None:
-            self._management = Management(loop, config.mgmt, self, shared, aside)
+            self._management = AdminHttpApi(loop, config.mgmt, self, shared, aside)
         self._count_parts()
         self._operator_path = operator
         self._operator = OperatorFileReader(loop, operator, self._on_operator)
         self._apply(own)
         loop.on_iteration_end = self._end_turn
         loop.on_process_resumed = self._on_woke
-        self._stopping = Stopping(loop, broker, self._listener, pool, settings, shared)
+        self._shutdown = GracefulShutdown(loop, broker, self._listener, pool, settings, shared)
 
     def run(self) -> None:
         """Serve until told to stop."""
         known = self._directory.take(EndpointListKind.CACHED, self._config.known, self._loop.now_us)
         self._broker.queue(known)
-        self._look_at_suspensions()
+        self._look_at_ejections()
         if not self._config.settings.subscribes_to_endpoints:
             # The simulator's "automatic" sends news unasked; over HTTP nothing comes without a watch.
             self._discovery.begin()
@@ -277,7 +286,7 @@
 
     def _end_turn(self) -> None:
         self._broker.turn()
-        if self._stopping.phase is not Phase.SERVING and self._hot_restart.has_successor:
+        if self._shutdown.is_shutting_down and self._hot_restart.has_successor:
             self._pass_on()
         if self._members.handed_on and not self._hot_restart.has_successor:
             self._members.go_on()
@@ -285,7 +294,8 @@
     def _on_woke(self, late_us: int) -> None:
         """Be careful after a sleep: the list is heard first, and the membership doubts what it knew."""
         self._notices.warning(
-            "asleep", f"for {late_us / 1e6:.1f} s; what came meanwhile is read before anything else"
+            "process resumed",
+            f"after a pause of {late_us / 1e6:.1f} s; pending input is read first",
         )
         self._broker.woke()
 
@@ -423,13 +433,13 @@
         """Tell whether this process takes clients: it accepts and knows instances to send them to."""
         return self._listener.accepting and self._directory.members() > 0
 
-    def figures(self) -> bytes:
+    def encode_metrics(self) -> bytes:
         """Return the figures as JSON."""
         self._figures.listed_servers = self._directory.members()
         self._figures.unavailable_servers = self._broker.avoided()
         return self._figures.encode()
 
-    def memory(self) -> bytes:
+    def encode_memory(self) -> bytes:
         """Return the memory account as JSON."""
         rooms = self._rooms
         descriptors = DescriptorState(
@@ -437,39 +447,39 @@
         )
         return msgspec.json.encode(self._accounting.state(descriptors))
 
-    def members(self) -> bytes:
+    def encode_members(self) -> bytes:
         """Return what is known of the other proxies, as JSON."""
         return self._members.state()
 
-    def suspend(self, host: str, on: bool) -> HTTPStatus:
+    def set_ejected(self, server_id: str, is_ejected: bool) -> EjectionOutcome:
         """Take an instance out, or let it serve again; the yes comes when it is saved and heeded."""
-        if not self._directory.was_listed(host) and host not in self._suspensions:
-            return HTTPStatus.NOT_FOUND
+        if not self._directory.was_listed(server_id) and server_id not in self._ejections:
+            return EjectionOutcome.UNKNOWN_SERVER
         try:
-            self._suspensions.change(host, on)
-        except OSError as error:
-            self._notices.warning("suspension not saved", str(error))
-            return HTTPStatus.INTERNAL_SERVER_ERROR
-        return HTTPStatus.OK
+            self._ejections.set_ejected(server_id, is_ejected)
+        except EjectionNotSavedError as error:
+            self._notices.warning("server ejection not saved", error.reason)
+            return EjectionOutcome.NOT_SAVED
+        return EjectionOutcome.APPLIED
 
     def _on_suspended(self, host: str, on: bool) -> None:
-        _log.info("exam server %r is %s", host, "taken out" if on else "back")
+        _log.info("%s: %r", "server ejected by operator" if on else "server ejection removed", host)
         self._broker.suspend(host, on)
 
-    def _look_at_suspensions(self) -> None:
+    def _look_at_ejections(self) -> None:
         """Heed what the other process of an upgrade was told."""
-        self._suspensions.refresh()
+        self._ejections.refresh()
         if self._config.socket_fd is not None:
-            self._loop.call_later(SUSPENSIONS_US, self._look_at_suspensions)
+            self._loop.call_later(SUSPENSIONS_US, self._look_at_ejections)
 
-    def drain(self, on: bool) -> None:
+    def set_draining(self, is_draining: bool) -> None:
         """Send clients away, or take them again; where packets pass through, what stands stays."""
-        if self._listener.away == on:
+        if self._listener.away == is_draining:
             return
-        self._listener.away = on
-        _log.info("told to drain" if on else "told to work again")
-        if not self._config.settings.pass_through and self._stopping.phase is Phase.SERVING:
-            self._broker.queue(ProxyDraining(DRAIN_US if on else 0))
+        self._listener.away = is_draining
+        _log.info("proxy draining" if is_draining else "proxy activated")
+        if not self._config.settings.pass_through and not self._shutdown.is_shutting_down:
+            self._broker.queue(ProxyDraining(DRAIN_US if is_draining else 0))
 
     # A new configuration
 
@@ -484,15 +494,15 @@
                 int(self._config.limits.memory_mb * plan.BYTES_PER_MB) - read_resident_bytes()
             )
         try:
-            config = load(os.environ)
-        except ConfigError as error:
+            config = load_configuration(os.environ)
+        except ConfigurationError as error:
             self._figures.config_reload_errors += 1
             _log.warning("configuration not reloaded: %s", error)
             return
         self._figures.config_reloads += 1
         host, port = config.discovery
         rest = replace(config, discovery=self._config.discovery, known=self._config.known)
-        more = "" if rest == self._config else "; the other changes count from the next start on"
+        more = "" if rest == self._config else "; other changes take effect at the next start"
         _log.info("configuration reloaded: discovery is at %s:%d%s", host, port, more)
         if config.discovery != self._config.discovery:
             self._config = replace(self._config, discovery=config.discovery)
@@ -539,9 +549,9 @@
         Where packets pass through, standing connections go on until the process ends: others take them over
         then. Elsewhere they would be lost, and the decision module moves them.
         """
-        if self._stopping.phase is not Phase.SERVING:
-            self._stopping.hurry()
+        if self._shutdown.is_shutting_down:
+            self._shutdown.finish_now()
             return
-        _log.info("told to stop")
+        _log.info("shutdown started")
         self._members.leave()
-        self._stopping.begin(PASS_MOST_US if self._hot_restart.has_successor else 0)
+        self._shutdown.begin(MIGRATION_DELAY_US if self._hot_restart.has_successor else 0)
--- a/tests/test_admin_http_api.py
+++ b/tests/test_admin_http_api.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from larchhaven.net.admin.http_api import CALL_MOST, CALLERS_MOST
+from larchhaven.net.admin.http_api import MAX_CALL_BYTES, MAX_CALLERS
 from tests.rig import PATIENCE, Proxy, Wire, answer_watch, host, opening
 
 PLAIN = "c=chat,d=2000,g=ab"
@@ -67,7 +67,7 @@
         [b"GARBAGE\r\n\r\n"],
         [b"GET\r\n\r\n"],
         [b"\x00" * 500],
-        [b"GET / HTTP/1.1\r\nA: " + b"x" * CALL_MOST],
+        [b"GET / HTTP/1.1\r\nA: " + b"x" * MAX_CALL_BYTES],
         [b"POST /v1/proxy/drain HTTP/1.1\r\nContent-Length: -5\r\n\r\n"],
         [b"POST /v1/proxy/drain HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n", b"x" * 1_000_000],
     ],
@@ -95,7 +95,7 @@
 ) -> None:
     """Guards the answers at full load: descriptors and buffers of calls are not for clients to use up."""
     held = [proxy.client() for _ in range(200)]
-    callers = [socket.create_connection(proxy.management) for _ in range(2 * CALLERS_MOST)]
+    callers = [socket.create_connection(proxy.management) for _ in range(2 * MAX_CALLERS)]
     for caller in callers:
         caller.sendall(b"GET /v1/rea")
     assert proxy.call("GET", "/v1/readyz")[0] == 200
--- a/tests/test_caps.py
+++ b/tests/test_caps.py
@@ -18,7 +18,10 @@
 from larchhaven.memory.item_costs import REQUEST_ID_BYTES
 from larchhaven.memory.purposes import MemoryPurpose
 from larchhaven.net.admin import memory_accounting as accounting
-from larchhaven.net.admin.administrative_ejection import Suspensions
+from larchhaven.net.admin.administrative_ejection import (
+    AdministrativeEjections,
+    EjectionNotSavedError,
+)
 from larchhaven.net.admin.operator_file import READER_BYTES, OperatorFileReader
 from larchhaven.net.core import log_setup as logs
 from larchhaven.net.core.buffer_pool import BufferPool
@@ -258,15 +261,17 @@
 
 def test_suspension_that_does_not_fit_is_not_saved_but_one_may_always_end(tmp_path: Path) -> None:
     fits = [True]
-    suspensions = Suspensions(str(tmp_path), lambda host, on: None, lambda path, size: fits[0])
-    suspensions.change("s0", True)
+    ejections = AdministrativeEjections(
+        str(tmp_path), lambda host, on: None, lambda path, size: fits[0]
+    )
+    ejections.set_ejected("s0", True)
     fits[0] = False
-    with pytest.raises(OSError, match="used up"):
-        suspensions.change("s1", True)
-    assert "s0" in suspensions
-    assert "s1" not in suspensions
-    suspensions.change("s0", False)
-    assert "s0" not in suspensions
+    with pytest.raises(EjectionNotSavedError, match="used up"):
+        ejections.set_ejected("s1", True)
+    assert "s0" in ejections
+    assert "s1" not in ejections
+    ejections.set_ejected("s0", False)
+    assert "s0" not in ejections
 
 
 def test_ids_of_the_other_process_are_kept_as_far_as_there_is_room() -> None:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -15,7 +15,7 @@
 import pytest
 
 from larchhaven.net.core.buffer_pool import BUFFER_BYTES, Buffer
-from larchhaven.net.graceful_shutdown import LOOK_US, Stopping
+from larchhaven.net.graceful_shutdown import POLL_INTERVAL_US, GracefulShutdown
 from larchhaven.routing.events import Endpoint
 from larchhaven.routing.settings import DeduplicationScope, Idempotency
 from tests.test_leaks import LINE, Bench
@@ -310,11 +310,13 @@
 ) -> None:
     """Guards a connection that ends here: the process left before the line was over, and MOVE never came."""
     sock, instance = standing(bench, b"half ")
-    stopping = Stopping(bench.loop, bench.broker, bench.listener, bench.pool, PLAIN, shared=False)
+    shutdown = GracefulShutdown(
+        bench.loop, bench.broker, bench.listener, bench.pool, PLAIN, shares_socket=False
+    )
     vars(bench.loop)["_running"] = True
-    stopping.begin(0)
-    stopping.hurry()
-    bench.spin(3, LOOK_US)
+    shutdown.begin(0)
+    shutdown.finish_now()
+    bench.spin(3, POLL_INTERVAL_US)
     assert vars(bench.loop)["_running"]
     instance.send(rest)
     bench.spin(4)
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -22,7 +22,7 @@
 def stop(proxy: Proxy) -> None:
     """Tell the program to stop, and wait until it has heard."""
     proxy.process.send_signal(signal.SIGTERM)
-    while "told to stop" not in (line := proxy.log_line()):
+    while "shutdown started" not in (line := proxy.log_line()):
         assert line, "the program ended"
 
 
@@ -120,4 +120,4 @@
         timeout=PATIENCE,
     )
     assert done.returncode == 0
-    assert b"told to stop" in done.stderr
+    assert b"shutdown started" in done.stderr
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -97,7 +97,7 @@
     assert instance.line()
     successor = predecessor.beside()
     predecessor.process.send_signal(signal.SIGTERM)
-    while b"told to stop" not in predecessor.log_line().encode():
+    while b"shutdown started" not in predecessor.log_line().encode():
         pass
     silent.send(opening("c=chat,d=3000,g=ab"))
     second = predecessor.accept()
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -19,7 +19,7 @@
 
 from larchhaven.gossip.codec import LOAD_REPORTS
 from larchhaven.gossip.codec import decode as decode_message
-from larchhaven.net.configuration import decode
+from larchhaven.net.configuration import decode_configuration
 from larchhaven.net.control.dispatcher import after_sleep
 from larchhaven.routing.events import (
     EndpointListKind,
@@ -608,7 +608,7 @@
         "discovery": "127.0.0.1:1",
         "settings": {**SETTINGS, "parties": parties},
     }
-    assert set(decode(json.dumps(raw).encode(), {}).tenants) <= {"a"}
+    assert set(decode_configuration(json.dumps(raw).encode(), {}).tenants) <= {"a"}
 
 
 def test_no_address_but_the_given_one_is_listened_on(proxy: Proxy) -> None:
@@ -643,7 +643,7 @@
         assert instance.sock.getsockname() == proxy.instances[1].getsockname()
         instance.send("UP r1")
     assert all(client.line() == "UP r1" for client in clients)
-    assert "asleep: for" in proxy.log_line()
+    assert "process resumed: after a pause of" in proxy.log_line()
 
 
 def test_what_others_told_of_loads_while_asleep_is_not_believed() -> None:
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from larchhaven.net.admin.administrative_ejection import Suspensions
+from larchhaven.net.admin.administrative_ejection import AdministrativeEjections
 from larchhaven.net.hot_restart_messages import (
     ConnectionTransfer,
     GossipForwarded,
@@ -101,16 +101,16 @@
 def test_suspension_file_of_another_version_is_read(tmp_path: Path) -> None:
     (tmp_path / "larchhaven-suspended.json").write_bytes(SUSPENDED_FILE)
     changes: list[tuple[str, bool]] = []
-    suspensions = Suspensions(str(tmp_path), lambda host, on: changes.append((host, on)))
-    suspensions.refresh()
+    ejections = AdministrativeEjections(str(tmp_path), lambda host, on: changes.append((host, on)))
+    ejections.refresh()
     assert changes == [("s-ü", True), ("s0", True), ("s1", True)]
-    assert all(host in suspensions for host in ("s-ü", "s0", "s1"))
-    assert "s2" not in suspensions
+    assert all(host in ejections for host in ("s-ü", "s0", "s1"))
+    assert "s2" not in ejections
 
 
 def test_suspension_file_is_written_as_another_version_reads_it(tmp_path: Path) -> None:
-    suspensions = Suspensions(str(tmp_path), lambda host, on: None)
+    ejections = AdministrativeEjections(str(tmp_path), lambda host, on: None)
     for host in ("s1", "s-ü", "s0", "s2"):
-        suspensions.change(host, True)
-    suspensions.change("s2", False)
+        ejections.set_ejected(host, True)
+    ejections.set_ejected("s2", False)
     assert (tmp_path / "larchhaven-suspended.json").read_bytes() == SUSPENDED_FILE
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -14,6 +14,10 @@
 
 # Packages and modules that are finished; ``docs/ROADMAP.md`` lists the others.
 FINISHED: tuple[str, ...] = (
+    "net/admin/administrative_ejection.py",
+    "net/admin/http_api.py",
+    "net/configuration.py",
+    "net/graceful_shutdown.py",
     "net/hot_restart.py",
     "net/hot_restart_messages.py",
     "net/hot_restart_socket.py",
