--- a/larchhaven/net/graceful_shutdown.py
+++ b/larchhaven/net/graceful_shutdown.py
@@ -141,7 +141,7 @@
         self._close_idle_clients()
         self._dispatcher.requests.set_answer_deadline(self._loop.now_us)
         if not self._passes_through:
-            self._dispatcher.requests.migrate_all_connections()
+            self._dispatcher.connections.migrate_all_connections()
         self.phase = ShutdownPhase.FINISHED
         self._loop.call_later(LINGER_US, self._loop.stop)
         # The answers are given at the end of this iteration.
--- a/larchhaven/net/proxy.py
+++ b/larchhaven/net/proxy.py
@@ -46,7 +46,7 @@
 from larchhaven.net.control.interfaces import Transport
 from larchhaven.net.control.membership_switch import MembershipSwitch
 from larchhaven.net.control.peer_socket import PeerSocket
-from larchhaven.net.control.request import RequestSpec
+from larchhaven.net.control.request_spec import RequestSpec
 from larchhaven.net.core import log_setup as logs
 from larchhaven.net.core.buffer_pool import BufferPool
 from larchhaven.net.core.event_loop import EventLoop
@@ -192,7 +192,7 @@
             return TextExecution(
                 loop,
                 pool,
-                dispatcher.requests,
+                dispatcher.attempts,
                 token,
                 first_line,
                 address,
@@ -322,10 +322,7 @@
 
     def _on_woke(self, late_us: int) -> None:
         """Be careful after a sleep: the list is heard first, and the membership doubts what it knew."""
-        self._notices.warning(
-            "process resumed",
-            f"after a pause of {late_us / 1e6:.1f} s; pending input is read first",
-        )
+        self._notices.warning("process paused, resumed", f"paused_s={late_us / 1e6:.1f}")
         self._dispatcher.on_process_resumed()
 
     def _descriptors(self) -> int:
@@ -432,15 +429,17 @@
             load=transfer.load,
             tenant_index=transfer.tenant,
         )
-        dispatcher.requests.adopt_connection(
+        dispatcher.connections.adopt_connection(
             spec,
             transfer.server_id,
-            lambda token: Relay(loop, client, instance, dispatcher.requests, token, transfer.relay),
+            lambda token: Relay(
+                loop, client, instance, dispatcher.connections, token, transfer.relay
+            ),
         )
 
     def _pass_on(self) -> None:
         """Pass on what stands, as far as it goes; what comes up meanwhile follows."""
-        for request_id, request in self._dispatcher.requests.list_connections():
+        for request in self._dispatcher.connections.list_connections():
             relay, spec = request.connection, request.spec
             state = relay.state() if isinstance(relay, Relay) else None
             if state is None or not isinstance(relay, Relay):
@@ -458,7 +457,7 @@
             if not self._hot_restart.transfer_connection(transfer, relay.descriptors()):
                 self._loop.call_later(PASS_AGAIN_US, lambda: None)  # the next turn tries again
                 return
-            self._dispatcher.requests.release_connection(request_id)
+            self._dispatcher.connections.release_connection(request.request_id)
 
     # What operators ask
 
