--- a/larchhaven/__main__.py
+++ b/larchhaven/__main__.py
@@ -1,4 +1,4 @@
-"""The program: ``python -m larchhaven`` serves; with arguments it is the command line ``larchhaven``."""
+"""The program: without arguments it serves, with arguments it is the command line."""
 
 from __future__ import annotations
 
@@ -7,51 +7,59 @@
 import sys
 from collections.abc import Sequence
 
-UNUSABLE = 2
+EXIT_SERVED = 0
+EXIT_UNUSABLE = 2
+SERVE_ARGUMENTS: tuple[list[str], ...] = ([], ["run"], ["serve"])
 
 
 def serve() -> int:
-    """Serve until told to stop, configured by $EDGE_CONFIG and, if it is set, $EDGE_OPERATOR."""
-    # In this order: the process that reads the operators' file is over before the proxy takes its memory.
+    """Serve until SIGTERM, configured by $EDGE_CONFIG and, if it is set, $EDGE_OPERATOR.
+
+    Returns:
+        The exit code.
+
+    """
+    # The process that reads the operators' file ends before the proxy takes its memory, so the
+    # proxy is imported only after that.
     reading = None
-    path = os.environ.get("EDGE_OPERATOR", "")
-    if path:
+    operator_path = os.environ.get("EDGE_OPERATOR", "")
+    if operator_path:
         from larchhaven.net.admin.operator_file import read_blocking
 
-        reading = read_blocking(path)
+        reading = read_blocking(operator_path)
         if reading.complaints:
             for complaint in reading.complaints:
-                print(complaint.at(path), file=sys.stderr)
-            return UNUSABLE
+                print(complaint.at(operator_path), file=sys.stderr)
+            return EXIT_UNUSABLE
 
     from larchhaven.net.configuration import ConfigurationError, load_configuration
-    from larchhaven.net.core import log_setup as logs
-    from larchhaven.net.proxy import Node
+    from larchhaven.net.core import log_setup
+    from larchhaven.net.proxy import Proxy
 
     try:
         config = load_configuration(os.environ)
-        logs.configure_logging(reading is not None and reading.settings.log_json)
-        node = Node(config, path, reading)
+        log_setup.configure_logging(reading is not None and reading.settings.log_json)
+        proxy = Proxy(config, operator_path, reading)
     except ConfigurationError as error:
         print(f"larchhaven: {error}", file=sys.stderr)
-        return UNUSABLE
+        return EXIT_UNUSABLE
     except OSError as error:
         print(f"larchhaven: cannot listen: {error}", file=sys.stderr)
-        return UNUSABLE
+        return EXIT_UNUSABLE
     gc.freeze()  # what was loaded at the start stays to the end
-    node.run()
-    return 0
+    proxy.run()
+    return EXIT_SERVED
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
     """Serve if there are no arguments, else run the sub-command; return the exit code."""
     given = list(sys.argv[1:] if arguments is None else arguments)
-    if given in ([], ["run"], ["serve"]):
+    if given in SERVE_ARGUMENTS:
         return serve()  # without the command line's library, which a proxy has no use for
 
-    from larchhaven.cli.app import main as command_line
+    from larchhaven.cli.app import main as run_command_line
 
-    return command_line(given)
+    return run_command_line(given)
 
 
 if __name__ == "__main__":
--- a/larchhaven/net/__init__.py
+++ b/larchhaven/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real proxy: sockets and time in, the decision module's events out, and its actions back to sockets."""
+"""The real proxy: sockets and time in, events for the decisions out, their actions back in."""
--- a/larchhaven/net/admin/administrative_ejection.py
+++ b/larchhaven/net/admin/administrative_ejection.py
@@ -6,6 +6,7 @@
 from __future__ import annotations
 
 import fcntl
+import logging
 import os
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
@@ -14,12 +15,17 @@
 import msgspec
 
 from larchhaven.errors import LarchhavenError
+from larchhaven.net.core.event_loop import EventLoop
 
 FILE_NAME = "larchhaven-suspended.json"
 FILE_VERSION = 1
 # A larger file is not ours; a list of servers is far shorter.
 MAX_FILE_BYTES = 1 << 20
 LOCK_FILE_MODE = 0o600
+# Changes made by the other process of a hot restart apply within this time.
+POLL_INTERVAL_US = 100_000
+
+_log = logging.getLogger("larchhaven")
 
 
 class EjectionNotSavedError(LarchhavenError):
@@ -91,6 +97,11 @@
         except OSError as error:
             raise EjectionNotSavedError(server_id, str(error)) from error
 
+    def start_polling(self, loop: EventLoop) -> None:
+        """Refresh now, and periodically from now on."""
+        self.refresh()
+        loop.call_later(POLL_INTERVAL_US, lambda: self.start_polling(loop))
+
     def refresh(self) -> None:
         """Apply what the file says, if it has changed since it was last read."""
         try:
@@ -126,7 +137,10 @@
         changed = server_ids ^ self._server_ids
         self._server_ids = server_ids
         for server_id in sorted(changed):
-            self._on_changed(server_id, server_id in server_ids)
+            is_ejected = server_id in server_ids
+            event = "server ejected by operator" if is_ejected else "server ejection removed"
+            _log.info("%s: server=%r", event, server_id)
+            self._on_changed(server_id, is_ejected)
 
     @contextmanager
     def _locked(self, path: Path) -> Iterator[None]:
--- /dev/null
+++ b/larchhaven/net/admin/sampled_memory.py
@@ -0,0 +1,74 @@
+"""The memory that has no owner to charge it: counted whole at each sample of the account."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from larchhaven.memory import item_costs
+from larchhaven.memory.purposes import MemoryPurpose
+from larchhaven.net.control.dispatcher import Dispatcher
+from larchhaven.net.control.endpoint_directory import EndpointDirectory
+from larchhaven.net.resources import ProxyResources
+
+_STICKY_ENTRIES_SOURCE = "holders"
+
+
+class SampledMemory:
+    """Counts what the tables take, and evicts what can be spared.
+
+    Args:
+        resources: What the parts of the proxy share.
+        dispatcher: Holds the requests and the sticky table.
+        endpoints: Holds the endpoint list.
+        count_membership_bytes: Counts what the membership takes.
+
+    """
+
+    def __init__(
+        self,
+        resources: ProxyResources,
+        dispatcher: Dispatcher,
+        endpoints: EndpointDirectory,
+        count_membership_bytes: Callable[[], int],
+    ) -> None:
+        self._loop = resources.loop
+        self._log = resources.log
+        self._account = resources.account
+        self._dispatcher = dispatcher
+        self._endpoints = endpoints
+        resources.accounting.sampled_sources = {
+            (MemoryPurpose.TABLES, "first use"): self._count_first_use_bytes,
+            (MemoryPurpose.TABLES, "deadlines"): self._count_timer_bytes,
+            (MemoryPurpose.TABLES, "servers"): self._count_server_bytes,
+            (MemoryPurpose.TABLES, "hosts listed"): self._count_remembered_server_bytes,
+            (MemoryPurpose.TABLES, _STICKY_ENTRIES_SOURCE): self._count_sticky_entry_bytes,
+            (MemoryPurpose.PEERS, "members"): count_membership_bytes,
+            (MemoryPurpose.LOG, "notices"): self._count_log_bytes,
+        }
+
+    def evict_table_bytes(self, size_bytes: int) -> None:
+        """Evict the oldest sticky entries, which are only a help, until this much is free."""
+        self._dispatcher.evict_sticky_entries(size_bytes // item_costs.STICKY_ENTRY_BYTES + 1)
+        self._account.set_sampled_bytes(
+            MemoryPurpose.TABLES, _STICKY_ENTRIES_SOURCE, self._count_sticky_entry_bytes()
+        )
+
+    def _count_first_use_bytes(self) -> int:
+        return item_costs.FIRST_REQUEST_BYTES if self._dispatcher.requests.last_arrival_us else 0
+
+    def _count_timer_bytes(self) -> int:
+        """Count the timers beside those that requests are charged with."""
+        charged = item_costs.TIMERS_PER_REQUEST * self._dispatcher.requests.count_requests()
+        return item_costs.TIMER_BYTES * max(self._loop.timer_count() - charged, 0)
+
+    def _count_server_bytes(self) -> int:
+        return self._endpoints.count_listed() * item_costs.SERVER_BYTES
+
+    def _count_remembered_server_bytes(self) -> int:
+        return self._endpoints.count_remembered() * item_costs.REMEMBERED_SERVER_BYTES
+
+    def _count_sticky_entry_bytes(self) -> int:
+        return self._dispatcher.count_sticky_entries() * item_costs.STICKY_ENTRY_BYTES
+
+    def _count_log_bytes(self) -> int:
+        return self._log.event_count() * item_costs.LOG_EVENT_BYTES
--- a/larchhaven/net/configuration.py
+++ b/larchhaven/net/configuration.py
@@ -133,6 +133,11 @@
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
 
+    @property
+    def shares_socket(self) -> bool:
+        """Whether another process, of a hot restart, may hold the clients' socket too."""
+        return self.socket_fd is not None
+
 
 def load_configuration(environment: Mapping[str, str]) -> Config:
     """Read the file that ``EDGE_CONFIG`` names; what it leaves out comes from the environment.
--- a/larchhaven/net/graceful_shutdown.py
+++ b/larchhaven/net/graceful_shutdown.py
@@ -127,9 +127,9 @@
         if deadlines.end_us is not None:
             loop.call_later(deadlines.end_us, loop.stop)
         if migration_delay_us:
-            loop.call_later(migration_delay_us, self._migrate_connections)
+            loop.call_later(migration_delay_us, self._migrate_remaining)
         else:
-            self._migrate_connections()
+            self._migrate_remaining()
         loop.call_later(LAME_DUCK_US, self._close_listener)
 
     def finish_now(self) -> None:
@@ -147,7 +147,19 @@
         # The answers are given at the end of this iteration.
         self._loop.call_later(POLL_INTERVAL_US, self._stop_when_sent)
 
-    def _migrate_connections(self) -> None:
+    def migrate_connections(self, within_us: int) -> None:
+        """Have connections migrated on an operator's drain, or call that off.
+
+        Nothing happens where packets pass through, nor during the shutdown, which migrates too.
+
+        Args:
+            within_us: All are migrated within this time; with 0 those stay that are still here.
+
+        """
+        if not self._passes_through and not self.is_shutting_down:
+            self._dispatcher.queue_event(ProxyDraining(within_us))
+
+    def _migrate_remaining(self) -> None:
         """Migrate what is left; where packets pass through, others take it over at our end."""
         if not self._passes_through:
             self._dispatcher.queue_event(ProxyDraining(self._deadlines.migrations_us))
--- /dev/null
+++ b/larchhaven/net/peer_messaging.py
@@ -0,0 +1,88 @@
+"""Datagrams between the proxies: gossip of the decisions, and the membership."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from larchhaven.gossip import codec
+from larchhaven.gossip.shared_health_checks import uses_shared_checks
+from larchhaven.net.admin.metrics import Metrics
+from larchhaven.net.configuration import Config
+from larchhaven.net.control.dispatcher import Dispatcher
+from larchhaven.net.control.membership_switch import MembershipSwitch
+from larchhaven.net.control.peer_socket import PeerSocket
+from larchhaven.net.resources import ProxyResources
+from larchhaven.routing.events import GossipReceived
+from larchhaven.routing.gossip_messages import GossipMessage, is_peer_message
+
+
+class PeerMessaging:
+    """Sends and receives the datagrams of this proxy.
+
+    Args:
+        resources: What the parts of the proxy share.
+        config: The configuration.
+        dispatcher: Takes what other proxies say.
+        metrics: Counts messages that cannot be used.
+        shares_socket: Whether the other process of a hot restart may use the same address.
+
+    Attributes:
+        membership: The membership of this proxy among the others.
+        forward_gossip: Forwards each gossip message to the other process of a hot restart.
+
+    """
+
+    def __init__(
+        self,
+        resources: ProxyResources,
+        config: Config,
+        dispatcher: Dispatcher,
+        metrics: Metrics,
+        shares_socket: bool,
+    ) -> None:
+        self._dispatcher = dispatcher
+        self._metrics = metrics
+        self._own_index = config.settings.proxy_index
+        self._socket: PeerSocket | None = None
+        if config.peer_listen is not None:
+            self._socket = PeerSocket(
+                resources.loop,
+                resources.log,
+                config.peer_listen,
+                config.peers,
+                config.peers_all,
+                self._on_datagram,
+                shares_socket,
+                self._count_invalid_message,
+            )
+        self.forward_gossip: Callable[[bytes], None] = lambda data: None
+        self.membership = MembershipSwitch(
+            resources.loop, config, self._send_datagram, uses_shared_checks(config.settings)
+        )
+        self.membership.on_present_changed = dispatcher.set_live_peers
+
+    def send_gossip(self, peer_index: int | None, message: GossipMessage) -> None:
+        """Send a gossip message to a proxy by its index, or to all if it is None.
+
+        The other process of a hot restart has the same index and receives each message.
+        """
+        data = codec.encode(message)
+        if self._socket is not None and peer_index != self._own_index:
+            self._socket.send(peer_index, data)
+        self.forward_gossip(data)
+
+    def _send_datagram(self, peer_index: int, data: bytes) -> None:
+        if self._socket is not None:
+            self._socket.send(peer_index, data)
+
+    def _on_datagram(self, sender_index: int, data: bytes) -> None:
+        if self.membership.handle_datagram(sender_index, data):
+            return
+        message = codec.decode(data)
+        if is_peer_message(message):
+            self._dispatcher.queue_event(GossipReceived(sender_index, message))
+        else:
+            self._count_invalid_message()
+
+    def _count_invalid_message(self) -> None:
+        self._metrics.invalid_peer_messages += 1
--- /dev/null
+++ b/larchhaven/net/reload.py
@@ -0,0 +1,171 @@
+"""What SIGHUP reads again: the platform's configuration, and the operators' file.
+
+Connections, the endpoint list and the loads known stay. A file that cannot be used changes nothing.
+"""
+
+from __future__ import annotations
+
+import logging
+import os
+from collections.abc import Callable
+from dataclasses import replace
+from typing import Protocol
+
+from larchhaven.memory.plan import MemoryPlan, MemoryPlanError
+from larchhaven.net.admin.memory_accounting import read_resident_bytes
+from larchhaven.net.admin.metrics import Metrics
+from larchhaven.net.admin.operator_file import OperatorFileReader
+from larchhaven.net.configuration import Config, ConfigurationError, load_configuration
+from larchhaven.net.control.connection_limits import ConnectionLimits
+from larchhaven.net.control.membership_switch import MembershipSwitch
+from larchhaven.net.core import log_setup
+from larchhaven.net.core.rate_limited_log import RateLimitedLog
+from larchhaven.net.resources import ProxyResources, grant_bytes, plan_memory
+from larchhaven.operator.settings import Complaint, Reading, Settings
+
+# Of one reading.
+MAX_LOGGED_COMPLAINTS = 20
+
+_log = logging.getLogger("larchhaven")
+
+
+class UnreadClientLimit(Protocol):
+    """Closes clients that do not read what is sent to them."""
+
+    unread_us: int
+
+
+class OperatorSettings:
+    """Applies the operators' settings, but for the caps of memory.
+
+    Args:
+        log: The log, whose repetitions they limit.
+        limits: The limits of clients.
+        listener: Closes clients that do not read.
+        membership: Is enabled and disabled by them.
+        is_log_json: Whether the log is in JSON already.
+
+    """
+
+    def __init__(
+        self,
+        log: RateLimitedLog,
+        limits: ConnectionLimits,
+        listener: UnreadClientLimit,
+        membership: MembershipSwitch,
+        is_log_json: bool,
+    ) -> None:
+        self._log = log
+        self._limits = limits
+        self._listener = listener
+        self._membership = membership
+        self._is_log_json = is_log_json
+
+    def apply(self, settings: Settings) -> None:
+        """Apply settings in place of the earlier ones."""
+        self._limits.admission.reserve_ratio = settings.reserve_share
+        self._listener.unread_us = settings.unread_us
+        self._log.repeat_interval_us = settings.quiet_us
+        self._membership.apply_settings(settings)
+        if settings.log_json != self._is_log_json:
+            log_setup.configure_logging(settings.log_json)
+            self._is_log_json = settings.log_json
+
+
+class OperatorFileReload:
+    """Reads the operators' file again, and applies all of it or nothing.
+
+    Args:
+        path: The file; empty if there is none.
+        resources: What the parts of the proxy share.
+        config: The configuration, which says what the machine grants.
+        metrics: Counts the reloads.
+        settings: Applies what was read.
+
+    """
+
+    def __init__(
+        self,
+        path: str,
+        resources: ProxyResources,
+        config: Config,
+        metrics: Metrics,
+        settings: OperatorSettings,
+    ) -> None:
+        self._path = path
+        self._accounting = resources.accounting
+        self._limits = config.limits
+        self._program_bytes = resources.program_bytes
+        self._metrics = metrics
+        self._settings = settings
+        self._reader = OperatorFileReader(resources.loop, path, self._on_read)
+
+    def start(self) -> None:
+        """Begin to read the file, if there is one; it is applied once it is read."""
+        if self._path:
+            self._reader.read(grant_bytes(self._limits) - read_resident_bytes())
+
+    def _on_read(self, reading: Reading) -> None:
+        if reading.complaints:
+            self._reject(reading.complaints)
+            return
+        try:
+            memory_plan = plan_memory(self._limits, self._program_bytes, reading.settings)
+        except MemoryPlanError as error:
+            self._reject([Complaint(*reading.memory_at, str(error))])
+            return
+        self._apply(memory_plan, reading.settings)
+
+    def _apply(self, memory_plan: MemoryPlan, settings: Settings) -> None:
+        self._metrics.config_reloads += 1
+        self._accounting.apply_plan(memory_plan)
+        self._settings.apply(settings)
+        _log.info("operators' file reloaded: %s", self._path)
+
+    def _reject(self, complaints: list[Complaint]) -> None:
+        self._metrics.config_reload_errors += 1
+        for complaint in complaints[:MAX_LOGGED_COMPLAINTS]:
+            _log.warning("operators' file not reloaded: %s", complaint.at(self._path))
+
+
+class ConfigurationReload:
+    """Reads the configuration again, and follows discovery to its new address.
+
+    Whatever else has changed takes effect at the next start.
+
+    Args:
+        config: The configuration at the start.
+        metrics: Counts the reloads.
+        change_discovery_address: Has discovery called at another host and port.
+
+    """
+
+    def __init__(
+        self,
+        config: Config,
+        metrics: Metrics,
+        change_discovery_address: Callable[[tuple[str, int]], None],
+    ) -> None:
+        self._config = config
+        self._metrics = metrics
+        self._change_discovery_address = change_discovery_address
+
+    def run(self) -> None:
+        """Read the configuration, and apply it if it can be used."""
+        try:
+            config = load_configuration(os.environ)
+        except ConfigurationError as error:
+            self._metrics.config_reload_errors += 1
+            _log.warning("configuration not reloaded: %s", error)
+            return
+        self._metrics.config_reloads += 1
+        note = "; other changes take effect at the next start" if self._differs(config) else ""
+        _log.info("configuration reloaded: discovery=%s:%d%s", *config.discovery, note)
+        if config.discovery != self._config.discovery:
+            self._config = replace(self._config, discovery=config.discovery)
+            self._change_discovery_address(config.discovery)
+
+    def _differs(self, config: Config) -> bool:
+        """Tell whether anything differs but discovery's address and the list to start with."""
+        comparable = replace(config, discovery=self._config.discovery, known=self._config.known)
+        return comparable != self._config
--- /dev/null
+++ b/larchhaven/net/upstream_servers.py
@@ -0,0 +1,119 @@
+"""The servers as this proxy learns of them: the endpoint list, health checks and load reports."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from larchhaven.memory import item_costs
+from larchhaven.memory.purposes import MemoryPurpose
+from larchhaven.net.configuration import Config
+from larchhaven.net.control.dispatcher import Dispatcher
+from larchhaven.net.control.endpoint_directory import (
+    MAX_REMEMBERED_SERVERS,
+    EndpointDirectory,
+    EndpointListMessage,
+)
+from larchhaven.net.control.endpoint_watch import EndpointWatch
+from larchhaven.net.resources import ProxyResources
+from larchhaven.net.text_protocol.health_check_connection import Probes
+from larchhaven.routing.events import (
+    AttemptResult,
+    EndpointListKind,
+    EndpointListUpdate,
+    HealthCheckCompleted,
+    LoadReport,
+)
+
+# The part of the memory for tables that servers remembered as once listed may fill.
+REMEMBERED_SERVERS_RATIO = 0.10
+
+
+@dataclass(slots=True)
+class ReceivedReport:
+    """A load report, and when it came."""
+
+    received_at_us: int
+    report: LoadReport
+
+
+class UpstreamServers:
+    """Turns what discovery and health checks say into events for the decisions.
+
+    Args:
+        resources: What the parts of the proxy share.
+        config: The configuration.
+        dispatcher: Takes the events.
+
+    Attributes:
+        directory: The endpoint list.
+        health_checks: The connections for health checks.
+        endpoint_watch: The calls to discovery.
+        latest_reports: The latest load report of each server, by its id.
+
+    """
+
+    def __init__(self, resources: ProxyResources, config: Config, dispatcher: Dispatcher) -> None:
+        self._loop = resources.loop
+        self._config = config
+        self._dispatcher = dispatcher
+        self.latest_reports: dict[str, ReceivedReport] = {}
+        self.directory = _build_directory(resources, config)
+        self.directory.on_server_removed = self._forget_server
+        self.health_checks = Probes(
+            resources.loop,
+            resources.health_check_pool,
+            config.settings.connect_timeout_us,
+            self._on_health_check_completed,
+        )
+        self.endpoint_watch = EndpointWatch(
+            resources.loop,
+            resources.admin_pool,
+            resources.log,
+            config.discovery,
+            config.known.version,
+            self._on_endpoint_list,
+        )
+
+    def start(self) -> None:
+        """Begin with the list of the configuration, and ask discovery where lists are pushed."""
+        update = self.directory.apply_list(
+            EndpointListKind.CACHED, self._config.known, self._loop.now_us
+        )
+        self._dispatcher.queue_event(update)
+        if not self._config.settings.subscribes_to_endpoints:
+            # The simulator pushes such lists; over HTTP nothing comes without a watch.
+            self.endpoint_watch.start_with_poll()
+            self._dispatcher.wait_for_endpoint_list()
+
+    def _on_endpoint_list(self, message: EndpointListMessage | None) -> None:
+        if message is None:
+            update = EndpointListUpdate(EndpointListKind.FAILED)
+        else:
+            kind = EndpointListKind.COMPLETE if message.is_complete else EndpointListKind.CHANGES
+            # A delayed list counts as notified before: the grace of a drain runs from then.
+            notified_at_us = self._loop.now_us - self.endpoint_watch.notification_delay_us
+            update = self.directory.apply_list(kind, message, notified_at_us)
+        self._dispatcher.receive_endpoint_list(update)
+
+    def _on_health_check_completed(
+        self, server_id: str, result: AttemptResult, latency_us: int, report: LoadReport | None
+    ) -> None:
+        if report is not None:
+            self.latest_reports[server_id] = ReceivedReport(self._loop.now_us, report)
+        self._dispatcher.queue_event(HealthCheckCompleted(server_id, result, latency_us, report))
+
+    def _forget_server(self, server_id: str) -> None:
+        """Forget a server that is gone; the decisions do so by themselves."""
+        self.health_checks.drop(server_id)
+        self._dispatcher.forget_server(server_id)
+        self.latest_reports.pop(server_id, None)
+
+
+def _build_directory(resources: ProxyResources, config: Config) -> EndpointDirectory:
+    tables_bytes = resources.account.cap_bytes(MemoryPurpose.TABLES)
+    remembered_bytes = int(REMEMBERED_SERVERS_RATIO * tables_bytes)
+    return EndpointDirectory(
+        config.zones,
+        config.kinds,
+        min(MAX_REMEMBERED_SERVERS, remembered_bytes // item_costs.REMEMBERED_SERVER_BYTES),
+    )
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -14,10 +14,13 @@
 
 # Packages and modules that are finished; ``docs/ROADMAP.md`` lists the others.
 FINISHED: tuple[str, ...] = (
+    "__main__.py",
     "gossip",
     "membership",
     "net/admin/administrative_ejection.py",
+    "net/admin/backend.py",
     "net/admin/http_api.py",
+    "net/admin/sampled_memory.py",
     "net/configuration.py",
     "net/control/membership_log.py",
     "net/control/membership_report.py",
@@ -27,6 +30,13 @@
     "net/hot_restart.py",
     "net/hot_restart_messages.py",
     "net/hot_restart_socket.py",
+    "net/lifecycle.py",
+    "net/peer_messaging.py",
+    "net/proxy.py",
+    "net/reload.py",
+    "net/resources.py",
+    "net/state_transfer.py",
+    "net/upstream_servers.py",
     "simulator",
 )
 PURE = ("routing", "gossip", "membership", "memory")
