--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -19,7 +19,7 @@
 
 from larchhaven.gossip.codec import LOAD_REPORTS
 from larchhaven.gossip.codec import decode as decode_message
-from larchhaven.net.configuration import decode
+from larchhaven.net.configuration import decode_configuration
 from larchhaven.net.control.event_queue import order_events_after_pause
 from larchhaven.routing.events import (
     EndpointListKind,
@@ -608,7 +608,7 @@
         "discovery": "127.0.0.1:1",
         "settings": {**SETTINGS, "parties": parties},
     }
-    assert set(decode(json.dumps(raw).encode(), {}).tenants) <= {"a"}
+    assert set(decode_configuration(json.dumps(raw).encode(), {}).tenants) <= {"a"}
 
 
 def test_no_address_but_the_given_one_is_listened_on(proxy: Proxy) -> None:
