--- a/larchhaven/membership/membership.py
+++ b/larchhaven/membership/membership.py
@@ -190,10 +190,10 @@
         return self._queue.pending_numbers()
 
     def fingerprint(self) -> tuple[object, ...]:
-        """Return all that decides the local member's future behaviour, as a hashable value.
+        """Return a hashable summary of what decides the local member's next actions.
 
-        Two members with equal fingerprints act alike on equal input; an exhaustive search need
-        not follow both.
+        An exhaustive search takes two members with equal fingerprints for the same and follows
+        only one of them. The order of the parts and their content are not meant for anything else.
         """
         members = sorted(self.view.members.values(), key=lambda member: member.number)
         known = tuple((m.number, m.stamp, m.accusers, m.info_incarnation) for m in members)
--- a/larchhaven/membership/state_exchange.py
+++ b/larchhaven/membership/state_exchange.py
@@ -117,7 +117,7 @@
         return min(self._next_exchange_us, self._next_reconnect_us)
 
     def fingerprint(self) -> tuple[object, ...]:
-        """Return all that later decisions depend on, as a hashable value."""
+        """Return a hashable summary of the schedule and of what waits."""
         return self._next_exchange_us, self._next_reconnect_us, len(self._pending)
 
     def _request_any(self, candidates: list[int]) -> None:
--- a/larchhaven/net/control/membership_transport.py
+++ b/larchhaven/net/control/membership_transport.py
@@ -41,7 +41,7 @@
 # Datagrams dropped because ``MAX_QUEUED_DATAGRAMS`` waited; a key that operators read.
 _OVERFLOW_COUNTER = "dropped unread"
 # How operators read the capabilities.
-_CAPABILITY_NAMES = {
+CAPABILITY_NAMES = {
     Capability.LOAD_REPORTS: "reports",
     Capability.REPLICAS: "copies",
     Capability.LOAD_SHEDDING: "shedding",
@@ -267,6 +267,6 @@
             report.protocol_version = info.protocol_version
             report.started_unix_s = info.started_unix_s
             report.capabilities = [
-                name for flag, name in _CAPABILITY_NAMES.items() if flag in info.capabilities
+                name for flag, name in CAPABILITY_NAMES.items() if flag in info.capabilities
             ]
         return report
--- a/tests/test_membership_transport.py
+++ b/tests/test_membership_transport.py
@@ -63,9 +63,9 @@
         self.loop = ManualLoop()
         self.cut_off: set[int] = set()
         self.present: dict[int, frozenset[int]] = {}
-        self.transports = {number: self._start(number, table_size) for number in range(size)}
+        self.transports = {number: self.start(number, table_size) for number in range(size)}
 
-    def _start(self, number: int, table_size: int) -> MembershipTransport:
+    def start(self, number: int, table_size: int) -> MembershipTransport:
         def send_datagram(receiver: int, data: bytes) -> None:
             is_lost = bool({number, receiver} & self.cut_off)
             if receiver in self.transports and not is_lost:
@@ -113,7 +113,7 @@
 
 
 def test_capabilities_have_the_names_that_operators_read() -> None:
-    names = membership_transport._CAPABILITY_NAMES
+    names = membership_transport.CAPABILITY_NAMES
     assert [names[flag] for flag in Capability] == ["reports", "copies", "shedding"]
 
 
@@ -172,7 +172,7 @@
     sent_before = fleet.report(2)["counts"]["sent"]
     fleet.loop.run_until(6 * SECOND_US)
     assert fleet.report(2)["counts"]["sent"] == sent_before
-    fleet.transports[2] = successor = fleet._start(2, 4)
+    fleet.transports[2] = successor = fleet.start(2, 4)
     successor.take_over(incarnation)
     fleet.loop.run_until(10 * SECOND_US)
     assert fleet.report(2)["incarnation"] > incarnation
