--- a/larchhaven/membership/codec.py
+++ b/larchhaven/membership/codec.py
@@ -37,7 +37,8 @@
     MAX_NAME_BYTES,
     Capability,
     MemberInfo,
-    stamp_incarnation,
+    MemberState,
+    make_stamp,
 )
 from larchhaven.membership.messages import (
     DIGEST_BUCKETS,
@@ -58,6 +59,8 @@
 # Number, incarnation, zone, protocol version, start, capabilities, length of the name.
 _INFO_UPDATE = struct.Struct(">HIBHIHB")
 _TAG_PERSONALIZATION = b"larchhaven-membr"
+# A member that has not joined says nothing of itself; 32 bits bound the largest stamp.
+_MIN_STAMP = make_stamp(1, MemberState.ALIVE)
 _PUSH_PULL_KINDS = (MessageKind.PUSH_PULL_REQUEST, MessageKind.PUSH_PULL_RESPONSE)
 _UINT8_MASK = 0xFF
 _UINT16_MASK = 0xFFFF
@@ -216,7 +219,7 @@
     packed = signed[_HEADER.size : end]
     updates = tuple(StateUpdate(*fields) for fields in _STATE_UPDATE.iter_unpack(packed))
     for update in updates:
-        if not 0 < stamp_incarnation(update.stamp) <= MAX_INCARNATION:
+        if update.stamp < _MIN_STAMP:
             raise DatagramError(RejectReason.INCARNATION)
     return updates
 
--- a/larchhaven/membership/context.py
+++ b/larchhaven/membership/context.py
@@ -9,6 +9,9 @@
 from larchhaven.membership.counters import ProtocolCounters
 from larchhaven.membership.sampling import RandomSource
 
+# Later than any deadline: the deadline of a part that has nothing to do.
+NEVER_US = 1 << 62
+
 
 @dataclass(frozen=True, slots=True)
 class ProtocolContext:
--- a/larchhaven/membership/dissemination.py
+++ b/larchhaven/membership/dissemination.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from larchhaven.membership.context import ProtocolContext
+from larchhaven.membership.context import NEVER_US, ProtocolContext
 from larchhaven.membership.member_table import MemberTable
 from larchhaven.membership.message_sender import MessageSender
 from larchhaven.membership.messages import MessageKind
@@ -54,9 +54,9 @@
         for _ in range(LEAVE_ROUNDS):
             self._send_round(LEAVE_FANOUT)
 
-    def next_deadline_us(self) -> int | None:
-        """Return when ``run_timers`` has something to do, or None."""
-        return self._next_round_us if self._queue else None
+    def next_deadline_us(self) -> int:
+        """Return when ``run_timers`` has something to do, or ``NEVER_US``."""
+        return self._next_round_us if self._queue else NEVER_US
 
     def fingerprint(self) -> object:
         """Return all that later decisions depend on, as a hashable value."""
--- a/larchhaven/membership/indirect_probes.py
+++ b/larchhaven/membership/indirect_probes.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from larchhaven.membership.context import ProtocolContext
+from larchhaven.membership.context import NEVER_US, ProtocolContext
 from larchhaven.membership.local_member import LocalMember
 from larchhaven.membership.member_table import MemberTable
 from larchhaven.membership.message_sender import MessageSender
@@ -97,9 +97,11 @@
         """Forget all requests."""
         self._requests.clear()
 
-    def deadlines_us(self) -> list[int]:
-        """Return when ``run_timers`` has something to do."""
-        return [request.deadline_us for request in self._requests.values()]
+    def next_deadline_us(self) -> int:
+        """Return when ``run_timers`` has something to do, or ``NEVER_US``."""
+        if not self._requests:
+            return NEVER_US
+        return min(request.deadline_us for request in self._requests.values())
 
     def fingerprint(self) -> tuple[object, ...]:
         """Return all that later decisions depend on, as a hashable value."""
--- a/larchhaven/membership/member.py
+++ b/larchhaven/membership/member.py
@@ -32,6 +32,10 @@
     LEFT = 3
 
 
+# Looked up for each update of each message, where a call of the enum costs more.
+_STATES = tuple(MemberState)
+
+
 class Capability(IntFlag):
     """What the program of a member supports."""
 
@@ -53,7 +57,7 @@
 
 def stamp_state(stamp: int) -> MemberState:
     """Return the state of a stamp."""
-    return MemberState(stamp & _STATE_MASK)
+    return _STATES[stamp & _STATE_MASK]
 
 
 @dataclass(frozen=True, slots=True)
--- a/larchhaven/membership/member_table.py
+++ b/larchhaven/membership/member_table.py
@@ -41,7 +41,7 @@
 
     def get(self, number: int) -> Member | None:
         """Return what is known of a member, or None if it was never heard of."""
-        return self.view.get(number)
+        return self.view.members.get(number)
 
     def put(self, member: Member, *, quiet: bool = False) -> None:
         """Replace what is known of a member; unless ``quiet``, the host is notified."""
--- a/larchhaven/membership/membership.py
+++ b/larchhaven/membership/membership.py
@@ -14,7 +14,6 @@
 from __future__ import annotations
 
 from collections import Counter
-from collections.abc import Iterator
 from typing import ClassVar
 
 from larchhaven.membership.actions import Action, ActionBatch
@@ -268,9 +267,25 @@
 
     def _end_call(self) -> list[Action]:
         # A confirmation may have moved a suspicion's deadline into the past.
-        self.due_us = max(min(self._deadlines_us()), self._batch.now_us)
+        self.due_us = max(self._next_deadline_us(), self._batch.now_us)
         return self._batch.drain()
 
+    def _next_deadline_us(self) -> int:
+        always_us = min(
+            self._synchronizer.next_deadline_us(),
+            self._suspicion_monitor.next_deadline_us(),
+            self._exchange.pending_deadline_us(),
+        )
+        if not self.has_joined:
+            return min(always_us, self._join_deadline_us)
+        return min(
+            always_us,
+            self._prober.next_deadline_us(),
+            self._indirect_prober.next_deadline_us(),
+            self._exchange.next_deadline_us(),
+            self._disseminator.next_deadline_us(),
+        )
+
     def _discard_observations(self) -> None:
         """Trust nothing that was due during a pause of this process, until it is heard again."""
         now_us = self._batch.now_us
@@ -322,22 +337,3 @@
                 self._exchange.send_differences(sender, message.digests)
             case MessageKind.GOSSIP:
                 pass
-
-    # Deadlines
-
-    def _deadlines_us(self) -> Iterator[int]:
-        synchronizer_us = self._synchronizer.next_deadline_us()
-        if synchronizer_us is not None:
-            yield synchronizer_us
-        yield from self._suspicion_monitor.deadlines_us()
-        if self._exchange.has_pending:
-            yield self._batch.now_us + self._sender.refill_interval_us
-        if not self.has_joined:
-            yield self._join_deadline_us
-            return
-        yield self._prober.next_deadline_us()
-        yield self._exchange.next_deadline_us()
-        yield from self._indirect_prober.deadlines_us()
-        gossip_us = self._disseminator.next_deadline_us()
-        if gossip_us is not None:
-            yield gossip_us
--- a/larchhaven/membership/message_budget.py
+++ b/larchhaven/membership/message_budget.py
@@ -17,6 +17,9 @@
         now_us: The time.
         config: Limits of the protocol.
 
+    Attributes:
+        refill_interval_us: How long it takes until there is one more token.
+
     """
 
     def __init__(self, now_us: int, config: ProtocolConfig) -> None:
@@ -24,11 +27,7 @@
         self._capacity = float(config.message_burst)
         self._tokens = self._capacity
         self._refilled_at_us = now_us
-
-    @property
-    def refill_interval_us(self) -> int:
-        """How long it takes until there is one more token."""
-        return int(_US_PER_S / self._refill_per_s)
+        self.refill_interval_us = int(_US_PER_S / config.messages_per_second)
 
     def has_token(self, now_us: int) -> bool:
         """Tell whether a message that is not a reply may be sent."""
--- a/larchhaven/membership/state_exchange.py
+++ b/larchhaven/membership/state_exchange.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from larchhaven.membership.codec import MAX_BODY_BYTES, MAX_STATE_UPDATES, info_update_bytes
-from larchhaven.membership.context import ProtocolContext
+from larchhaven.membership.context import NEVER_US, ProtocolContext
 from larchhaven.membership.member import Member
 from larchhaven.membership.member_table import MemberTable
 from larchhaven.membership.message_sender import MessageSender
@@ -63,11 +63,6 @@
         self._next_exchange_us = first_us
         self._next_reconnect_us = first_us
 
-    @property
-    def has_pending(self) -> bool:
-        """Whether messages wait for the budget."""
-        return bool(self._pending)
-
     def request(self, receiver: int) -> None:
         """Ask a member to compare views."""
         digests = self._table.digests()
@@ -116,6 +111,12 @@
         """Return when ``run_timers`` has something to do."""
         return min(self._next_exchange_us, self._next_reconnect_us)
 
+    def pending_deadline_us(self) -> int:
+        """Return when ``send_pending`` has something to do, or ``NEVER_US``."""
+        if not self._pending:
+            return NEVER_US
+        return self._batch.now_us + self._sender.refill_interval_us
+
     def fingerprint(self) -> tuple[object, ...]:
         """Return a hashable summary of the schedule and of what waits."""
         return self._next_exchange_us, self._next_reconnect_us, len(self._pending)
--- a/larchhaven/membership/suspicion.py
+++ b/larchhaven/membership/suspicion.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 import math
-from collections.abc import Iterable
+from collections.abc import Collection
 from dataclasses import dataclass, field
 
 from larchhaven.membership.config import ProtocolConfig
@@ -100,7 +100,7 @@
         """Return the suspected members with their suspicions, in a list of its own."""
         return list(self._suspicions.items())
 
-    def values(self) -> Iterable[Suspicion]:
+    def values(self) -> Collection[Suspicion]:
         """Return the suspicions; none may begin or end while they are iterated over."""
         return self._suspicions.values()
 
--- a/larchhaven/membership/suspicion_monitor.py
+++ b/larchhaven/membership/suspicion_monitor.py
@@ -2,9 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterator
-
-from larchhaven.membership.context import ProtocolContext
+from larchhaven.membership.context import NEVER_US, ProtocolContext
 from larchhaven.membership.local_member import LocalMember
 from larchhaven.membership.member_table import MemberTable
 from larchhaven.membership.message_sender import MessageSender
@@ -59,17 +57,22 @@
             elif self._is_probed_here(suspicion) and suspicion.next_probe_us <= now_us:
                 self._probe_again(number, suspicion)
 
-    def deadlines_us(self) -> Iterator[int]:
-        """Return when ``run_timers`` has something to do."""
-        least_us = 0
-        if not self._synchronizer.trusts_own_observations():
-            # Nothing happens to suspicions until then: look again with the next request.
-            least_us = self._batch.now_us + self._config.join_retry_interval_us
-        for suspicion in self._suspicions.values():
-            deadline_us = suspicion.deadline_us(self._own_number)
-            if self._is_probed_here(suspicion):
-                deadline_us = min(deadline_us, suspicion.next_probe_us)
-            yield max(deadline_us, least_us)
+    def next_deadline_us(self) -> int:
+        """Return when ``run_timers`` has something to do, or ``NEVER_US``."""
+        suspicions = self._suspicions.values()
+        if not suspicions:
+            return NEVER_US
+        deadline_us = min(self._deadline_us(suspicion) for suspicion in suspicions)
+        if self._synchronizer.trusts_own_observations():
+            return deadline_us
+        # Nothing happens to suspicions until then: look again with the next request.
+        return max(deadline_us, self._batch.now_us + self._config.join_retry_interval_us)
+
+    def _deadline_us(self, suspicion: Suspicion) -> int:
+        deadline_us = suspicion.deadline_us(self._own_number)
+        if self._is_probed_here(suspicion):
+            return min(deadline_us, suspicion.next_probe_us)
+        return deadline_us
 
     def _is_probed_here(self, suspicion: Suspicion) -> bool:
         return self._local.has_joined and self._own_number in suspicion.accusers
--- a/larchhaven/membership/synchronization.py
+++ b/larchhaven/membership/synchronization.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from larchhaven.membership.context import ProtocolContext
+from larchhaven.membership.context import NEVER_US, ProtocolContext
 from larchhaven.membership.local_member import LocalMember
 from larchhaven.membership.member_table import MemberTable
 from larchhaven.membership.sampling import sample
@@ -68,9 +68,9 @@
         for number in sample(self._rng, self._config.join_fanout, self._table.peers):
             self._exchange.request(number)
 
-    def next_deadline_us(self) -> int | None:
-        """Return when ``run_timers`` has something to do, or None."""
-        return None if self._stale_since_us is None else self._next_request_us
+    def next_deadline_us(self) -> int:
+        """Return when ``run_timers`` has something to do, or ``NEVER_US``."""
+        return NEVER_US if self._stale_since_us is None else self._next_request_us
 
     def fingerprint(self) -> tuple[object, ...]:
         """Return all that later decisions depend on, as a hashable value."""
--- a/larchhaven/membership/update_merger.py
+++ b/larchhaven/membership/update_merger.py
@@ -70,14 +70,16 @@
     def apply_state(self, update: StateUpdate) -> None:
         """Apply a state update."""
         number = update.number
-        if not self._is_in_table(number):
+        if number >= self._table.size:
+            self._counters[ProtocolCounter.NUMBERS_BEYOND_TABLE] += 1
             return
         if number == self._table.own_number:
             self._local.apply_state(update)
             return
         member = self._table.get(number)
         if member is not None and update.stamp <= member.stamp:
-            self._confirm_suspicion(member, update)
+            if update.stamp == member.stamp:
+                self._confirm_suspicion(member, update)
             return
         if member is not None and _implies_return(member, update):
             # The member was back before it was accused: the host is notified of both, in order.
@@ -90,7 +92,8 @@
     def apply_info(self, update: InfoUpdate) -> None:
         """Apply an info update: the later incarnation wins, at one incarnation the larger info."""
         number = update.number
-        if not self._is_in_table(number):
+        if number >= self._table.size:
+            self._counters[ProtocolCounter.NUMBERS_BEYOND_TABLE] += 1
             return
         if number == self._table.own_number:
             self._local.apply_info(update)
@@ -116,21 +119,15 @@
         )
         self._queue.add_state(StateUpdate(number, stamp, accusers[0]))
 
-    def _is_in_table(self, number: int) -> bool:
-        if number < self._table.size:
-            return True
-        self._counters[ProtocolCounter.NUMBERS_BEYOND_TABLE] += 1
-        return False
-
     def _accuser_of(self, update: StateUpdate) -> int:
         return update.accuser if update.accuser < self._table.size else NO_MEMBER
 
     def _confirm_suspicion(self, member: Member, update: StateUpdate) -> None:
-        accuser = self._accuser_of(update)
         suspicion = self._suspicions.get(member.number)
-        if update.stamp != member.stamp or suspicion is None or accuser == NO_MEMBER:
+        if suspicion is None:
             return
-        if suspicion.confirm(accuser):
+        accuser = self._accuser_of(update)
+        if accuser != NO_MEMBER and suspicion.confirm(accuser):
             confirmed = replace(member, accusers=tuple(suspicion.accusers))
             self._table.put(confirmed, quiet=True)
             self._queue.add_state(update)
