--- a/larchhaven/membership/dissemination.py
+++ b/larchhaven/membership/dissemination.py
@@ -44,7 +44,7 @@
     def run_timers(self) -> None:
         """Send a gossip round if one is due."""
         now_us = self._batch.now_us
-        if now_us < self._next_round_us or not self._queue:
+        if now_us < self._next_round_us or not self._queue.has_states:
             return
         self._next_round_us = now_us + self._config.gossip_interval_us
         self._send_round(self._config.gossip_fanout)
@@ -56,7 +56,7 @@
 
     def next_deadline_us(self) -> int:
         """Return when ``run_timers`` has something to do, or ``NEVER_US``."""
-        return self._next_round_us if self._queue else NEVER_US
+        return self._next_round_us if self._queue.has_states else NEVER_US
 
     def fingerprint(self) -> object:
         """Return all that later decisions depend on, as a hashable value."""
--- a/larchhaven/membership/update_queue.py
+++ b/larchhaven/membership/update_queue.py
@@ -47,7 +47,8 @@
         self._states: OrderedDict[int, _PiggybackedUpdate] = OrderedDict()
         self._infos: OrderedDict[int, int] = OrderedDict()  # how often each was sent, by number
 
-    def __bool__(self) -> bool:
+    @property
+    def has_states(self) -> bool:
         """Whether state updates wait to be sent."""
         return bool(self._states)
 
