--- a/larchhaven/routing/affinity.py
+++ b/larchhaven/routing/affinity.py
@@ -1,6 +1,6 @@
 """Connection affinity: the sticky table, by which a mid-flow connection finds its server.
 
-Where packets pass through, connections outlive their proxy. Each proxy tells some others, the
+Where packets pass through, connections outlive their proxy. Each proxy notifies some others, the
 replica holders, where its connections are established.
 """
 
@@ -25,7 +25,7 @@
 
 MAX_ENTRIES_PER_MESSAGE = 42
 MAX_ENTRIES_AT_START = 10 * MAX_ENTRIES_PER_MESSAGE  # sent to a proxy that has just started
-MIN_PROXIES_FOR_REPLICAS = 8  # with fewer each proxy tells only the next one
+MIN_PROXIES_FOR_REPLICAS = 8  # with fewer each proxy notifies only the next one
 REPLICA_COUNT = 4
 
 
@@ -93,13 +93,13 @@
         return server if is_usable else None
 
     def remember_connection(self, key_hash: bytes, server: Server) -> None:
-        """Remember a connection that is established here, and tell the replica holders."""
+        """Remember a connection that is established here, and notify the replica holders."""
         self.remember(key_hash, server.hash)
         for peer_index in self.replica_holders(key_hash):
             self.send_entries(peer_index, [key_hash])
 
     def replica_holders(self, key_hash: bytes) -> list[int]:
-        """Return the other proxies that are told where a connection is established."""
+        """Return the other proxies that remember a connection which is established here."""
         first, count = self._proxy_index + 1, 1
         if self._has_replica_ring:
             first, count = int.from_bytes(key_hash, "big"), REPLICA_COUNT
@@ -108,7 +108,7 @@
         return [index for index in islice(live, count) if index != self._proxy_index]
 
     def send_entries(self, peer_index: int, key_hashes: Sequence[bytes]) -> None:
-        """Tell another proxy where connections are established, as far as that is known."""
+        """Notify another proxy where connections are established, as far as that is known."""
         if not self.is_replicated:
             return
         known = self._server_hashes
@@ -135,7 +135,7 @@
             self._scheduler.emit(SendGossip(neighbour, ProxyStarted()))
 
     def answer_start(self, peer_index: int, established: Sequence[bytes]) -> None:
-        """Tell a proxy that has just started which connections it is to know.
+        """Notify a proxy that has just started of the connections that it is to know.
 
         Args:
             peer_index: That proxy; this one's own index at a hot restart.
--- a/larchhaven/routing/attempts.py
+++ b/larchhaven/routing/attempts.py
@@ -1,4 +1,4 @@
-"""What becomes of attempts: established connections, failures, load and delay on the way."""
+"""What becomes of attempts: established connections, failures, and the load that they bring."""
 
 from __future__ import annotations
 
@@ -16,11 +16,7 @@
     ConnectionEstablished,
     ConnectionLoadChanged,
     ConnectionRestored,
-    HealthCheckCompleted,
-    MessageDelayObserved,
-    ServerUnresponsive,
 )
-from larchhaven.routing.health_checks import HealthChecks
 from larchhaven.routing.migration import Migration
 from larchhaven.routing.outlier_ejection import (
     OUTLIER_RESULTS,
@@ -37,11 +33,10 @@
 
 # A failure within this part of the latency objective may be the fault of the request.
 FAST_FAILURE_OBJECTIVES = 0.5
-SLOW_MESSAGE_OBJECTIVES = 3  # a message is slow from the objective divided by this
 
 
 class AttemptEvents:
-    """Learns from how attempts and health checks fare, and goes on with their requests."""
+    """Learns from how attempts end, and goes on with their requests."""
 
     def __init__(
         self,
@@ -56,16 +51,11 @@
         ejection: OutlierEjection,
         retry_policy: RetryPolicy,
         ranking: Ranking,
-        health_checks: HealthChecks,
         sticky_table: StickyTable,
         migration: Migration,
         placement: Placement,
     ) -> None:
         self._can_cancel = settings.can_cancel
-        self._message_objective_us = min(
-            each.message_latency_objective_us or each.latency_objective_us
-            for each in settings.classes
-        )
         self._scheduler = scheduler
         self._requests = requests
         self._servers = servers
@@ -75,7 +65,6 @@
         self._ejection = ejection
         self._retry_policy = retry_policy
         self._ranking = ranking
-        self._health_checks = health_checks
         self._sticky_table = sticky_table
         self._migration = migration
         self._placement = placement
@@ -139,37 +128,6 @@
             self._ranking.apply_load_change(request.server, event.load - request.load)
         request.load = event.load
 
-    def on_message_delay_observed(self, event: MessageDelayObserved) -> None:
-        """Rank a server by the delay of its messages; a very long one may show an overload."""
-        server = self._servers.get(event.server_id)
-        if server is None:
-            return
-        objective_us = self._message_objective_us
-        is_slow = event.delay_us > objective_us / SLOW_MESSAGE_OBJECTIVES
-        self._ranking.mark_slow(server, is_slow)
-        if event.delay_us > objective_us:
-            self._migration.check_overload(server)
-
-    def on_server_unresponsive(self, event: ServerUnresponsive) -> None:
-        """Migrate a connection whose server is silent: its client reconnects elsewhere."""
-        request = self._requests.get(event.request_id)
-        server = self._servers.get(event.server_id)
-        if server is not None:
-            self._ejection.eject_server(server)
-        if request is not None and request.attempt_in_flight == event.attempt:
-            self._migration.migrate(request)
-
-    def on_health_check_completed(self, event: HealthCheckCompleted) -> None:
-        """Learn from a health check, and go on with the requests that waited for it."""
-        server = self._servers.get(event.server_id)
-        if server is not None and event.result is AttemptResult.OK:
-            self._ranking.apply_report(server, event.report, event.latency_us)
-            self._migration.rebalance_server(server)
-        elif server is not None and event.result in OUTLIER_RESULTS:
-            self._ejection.eject_server(server)
-        for request in self._health_checks.finish_check(event.server_id):
-            self._placement.resume_after_checks(request)
-
     def _add_connection(self, request: Request) -> None:
         self._connections.add_connection(request)
         if request.server is not None and request.key_hash:
--- a/larchhaven/routing/balancer.py
+++ b/larchhaven/routing/balancer.py
@@ -47,6 +47,7 @@
 from larchhaven.routing.retries import RetryPolicy
 from larchhaven.routing.scheduler import Scheduler
 from larchhaven.routing.server import Server
+from larchhaven.routing.server_signals import ServerSignals
 from larchhaven.routing.settings import RoutingSettings
 from larchhaven.routing.slow_start import SlowStart
 
@@ -55,7 +56,7 @@
     """All decisions of one proxy.
 
     Attributes:
-        settings: What it was told at its start.
+        settings: The settings that it was given at its start.
         servers: What it knows of each server, by id.
         requests: The requests that are not closed, by number.
         arrivals: What arrivals have shown.
@@ -91,6 +92,7 @@
         self._endpoint_list = self._build_endpoint_list()
         self.placement = self._build_placement()
         self._attempts = self._build_attempt_events()
+        self._signals = self._build_server_signals()
         self._gossip = PeerGossip(
             proxy_index=settings.proxy_index,
             scheduler=self._scheduler,
@@ -145,17 +147,18 @@
 
     def _event_handlers(self) -> dict[type, Callable[..., None]]:
         attempts = self._attempts
+        signals = self._signals
         endpoint_list = self._endpoint_list
         return {
             RequestArrived: self.placement.on_request_arrived,
             ConnectionRestored: attempts.on_connection_restored,
             TimerFired: self._scheduler.fire_timer,
             EndpointListUpdate: endpoint_list.on_endpoint_list_update,
-            HealthCheckCompleted: attempts.on_health_check_completed,
+            HealthCheckCompleted: signals.on_health_check_completed,
             GossipReceived: self._gossip.on_gossip_received,
             ConnectionLoadChanged: attempts.on_connection_load_changed,
-            MessageDelayObserved: attempts.on_message_delay_observed,
-            ServerUnresponsive: attempts.on_server_unresponsive,
+            MessageDelayObserved: signals.on_message_delay_observed,
+            ServerUnresponsive: signals.on_server_unresponsive,
             ProxyDraining: self.migration.on_proxy_draining,
             AdministrativeEjection: endpoint_list.on_administrative_ejection,
             ClientDisconnected: attempts.on_client_disconnected,
@@ -228,6 +231,18 @@
             ejected_server_ids=self._endpoint_list.ejected_server_ids,
         )
 
+    def _build_server_signals(self) -> ServerSignals:
+        return ServerSignals(
+            settings=self.settings,
+            requests=self.requests,
+            servers=self.servers,
+            ejection=self._ejection,
+            ranking=self.ranking,
+            health_checks=self._health_checks,
+            migration=self.migration,
+            placement=self.placement,
+        )
+
     def _build_attempt_events(self) -> AttemptEvents:
         return AttemptEvents(
             settings=self.settings,
@@ -240,7 +255,6 @@
             ejection=self._ejection,
             retry_policy=self._retry_policy,
             ranking=self.ranking,
-            health_checks=self._health_checks,
             sticky_table=self.sticky_table,
             migration=self.migration,
             placement=self.placement,
--- a/larchhaven/routing/load_estimate.py
+++ b/larchhaven/routing/load_estimate.py
@@ -73,7 +73,7 @@
             latency_us: How long the answer that held it took.
 
         Returns:
-            Whether it told the load.
+            Whether it held the load.
         """
         if report is None:
             return False
--- a/larchhaven/routing/outlier_ejection.py
+++ b/larchhaven/routing/outlier_ejection.py
@@ -11,7 +11,7 @@
 
 BASE_EJECTION_US = 2_000_000
 MAX_EJECTION_US = 30_000_000
-MAX_EJECTED_FRACTION = 0.5  # with more the cause is shared, and ejections are not heeded
+MAX_EJECTED_FRACTION = 0.5  # with more the cause is shared, and ejections are not enforced
 
 OUTLIER_RESULTS = (
     AttemptResult.ERROR,
@@ -46,7 +46,7 @@
         """Have a server count as one that was never ejected."""
         server.ejected_until_us = self._scheduler.now_us - EJECTION_RESET_US
 
-    def is_heeded(self, ranking: Sequence[RankingEntry]) -> bool:
+    def is_enforced(self, ranking: Sequence[RankingEntry]) -> bool:
         """Return whether few enough of the ready servers are ejected; else the cause is shared."""
         now_us = self._scheduler.now_us
         ejected = sum(entry[2].ejected_until_us > now_us for entry in ranking)
--- a/larchhaven/routing/peer_gossip.py
+++ b/larchhaven/routing/peer_gossip.py
@@ -21,7 +21,7 @@
 
 
 class PeerGossip:
-    """Learns what other proxies know, and tells them what this one knows."""
+    """Learns what other proxies know, and notifies them of what this one knows."""
 
     def __init__(
         self,
--- a/larchhaven/routing/ranking.py
+++ b/larchhaven/routing/ranking.py
@@ -69,7 +69,7 @@
         self._live_peers = live_peers
         self._arrivals = arrivals
         self._load_estimate = load_estimate
-        self._load_ratio = load_estimate.load_ratio  # called for each change: saves a look-up
+        self._load_ratio = load_estimate.load_ratio  # called for every change of load
         self._ejection = ejection
         self._retry_policy = retry_policy
         self._ranked_at_us = 0
@@ -124,12 +124,12 @@
         if request.group_hash is not None:
             server = self._draw_for_group(request, request.group_hash, for_health_check)
             return Candidates([], []) if server is None else Candidates([server], [1.0])
-        return self._pour_expected_load(request)
+        return self._near_ties_by_water_filling(request)
 
     def usable_servers(self, request: Request) -> Iterator[tuple[float, Server]]:
         """Yield the servers that a request may go to now, lowest first, each behind its ratio."""
         now_us = self._scheduler.now_us
-        ejections_heeded = self._ejection.is_heeded(self.entries)
+        ejections_enforced = self._ejection.is_enforced(self.entries)
         entries = self.entries
         tried_servers = request.tried_servers
         is_first = request.first_executed_on is None
@@ -138,7 +138,7 @@
             entries = sorted((r + load / server.weight, t, server) for r, t, server in entries)
         for ratio, _, server in entries:
             if (
-                (server.ejected_until_us > now_us and ejections_heeded)
+                (server.ejected_until_us > now_us and ejections_enforced)
                 or server.closed_until_us > now_us
                 or server in tried_servers
             ):
@@ -147,9 +147,9 @@
                 yield ratio, server
 
     def count_unavailable_servers(self) -> int:
-        """Count the listed servers that get nothing new: draining, or ejected while heeded."""
+        """Count the listed servers that get nothing new: draining, or with an enforced ejection."""
         until_us = math.inf
-        if self._ejection.is_heeded(self.entries):
+        if self._ejection.is_enforced(self.entries):
             until_us = self._scheduler.now_us
         return sum(
             server.state is ServerState.DRAINING or server.ejected_until_us > until_us
@@ -176,24 +176,25 @@
         entries.sort()
         self.entries = entries
 
-    def _pour_expected_load(self, request: Request) -> Candidates:
-        """Pour the load expected meanwhile over the lowest ratios, as water would settle.
+    def _near_ties_by_water_filling(self, request: Request) -> Candidates:
+        """Return the servers that the load expected meanwhile would raise to a common level.
 
-        All proxies read the same late reports, and would flood the lowest server together.
+        All proxies read the same late reports, and would overload the lowest server together. So
+        the load that they place within the lag of reports is spread over the lowest ratios.
         """
         peer_load = self._arrivals.expected_load(REPORT_LAG_US)
-        poured = request.load + (self._live_peers.count - 1) * peer_load
+        expected = request.load + (self._live_peers.count - 1) * peer_load
         level, capacity, filled = 0.0, 0.0, 0.0
         near: list[tuple[float, Server]] = []
         for ratio, server in self.usable_servers(request):
             needed = (ratio - level) * capacity
-            if filled + needed > poured:
+            if filled + needed > expected:
                 break
             filled += needed
             level = ratio
             capacity += server.weight
             near.append((ratio, server))
-        level += (poured - filled) / capacity if near else 0.0
+        level += (expected - filled) / capacity if near else 0.0
         shares = [max(level - ratio, MIN_SHARE) * server.weight for ratio, server in near]
         return Candidates([server for _, server in near], shares)
 
