--- a/larchhaven/net/control/dispatcher.py
+++ b/larchhaven/net/control/dispatcher.py
@@ -189,6 +189,8 @@
 
     def dispatch_events(self) -> None:
         """Pass the events on to the decisions, and carry out the actions that follow."""
+        if not self._events.pending:
+            return
         events = self._events.take_events()
         if not events:
             return
@@ -196,7 +198,7 @@
             events = self._shared_health_checks.process_events(events)
         for action in self._balancer.handle(self._loop.now_us, events):
             self._handlers[type(action)](action)
-        if self._events:
+        if self._events.pending:
             # Some actions end at once; their events must not wait for a socket.
             self._loop.skip_next_wait()
 
--- a/larchhaven/net/control/event_queue.py
+++ b/larchhaven/net/control/event_queue.py
@@ -32,20 +32,20 @@
 
 
 class EventQueue:
-    """Events in the order in which they happened."""
+    """Events in the order in which they happened.
+
+    Attributes:
+        pending: The events that wait; only this class changes it.
+    """
 
     def __init__(self, loop: EventLoop) -> None:
         self._loop = loop
-        self._events: list[Event] = []
+        self.pending: list[Event] = []
         self._gather_until_us = 0  # 0 unless the process was paused
 
-    def __len__(self) -> int:
-        """Return the number of events that wait."""
-        return len(self._events)
-
     def append(self, event: Event) -> None:
         """Add an event, which is handed over at the end of this iteration."""
-        self._events.append(event)
+        self.pending.append(event)
 
     def gather_after_pause(self) -> None:
         """Hold events back until all that arrived during a process pause has been read."""
@@ -55,10 +55,10 @@
 
     def take_events(self) -> list[Event]:
         """Return the events to be handed over now; they leave the queue."""
-        if not self._events or self._loop.now_us < self._gather_until_us:
+        if self._loop.now_us < self._gather_until_us:
             return []
-        events, self._events = self._events, []
-        if self._gather_until_us:
+        events, self.pending = self.pending, []
+        if events and self._gather_until_us:
             self._gather_until_us = 0
             return order_events_after_pause(events)
         return events
--- a/larchhaven/net/control/request_table.py
+++ b/larchhaven/net/control/request_table.py
@@ -36,6 +36,10 @@
         account: Is charged for them.
         queue_event: Takes events for the decisions.
         admit_arrival: Takes arrivals for them, which may have to wait.
+
+    Attributes:
+        find_request: Returns the open request of an id; None once it has ended.
+        last_arrival_us: When the latest request arrived; 0 before the first.
     """
 
     def __init__(
@@ -57,6 +61,8 @@
         self._queue_event = queue_event
         self._admit_arrival = admit_arrival
         self._requests: SlotTable[Request] = SlotTable()
+        # Bound here, without a method between: it is called for each message of a connection.
+        self.find_request = self._requests.get
         self._identities = OpenIdentities()
         # Set once this process is to end: every request has its answer by then.
         self._answer_deadline_us: int | None = None
@@ -84,13 +90,9 @@
             if request.connection is not None
         ]
 
-    def find_request(self, request_id: int) -> Request | None:
-        """Return an open request; None once it has ended."""
-        return self._requests.get(request_id)
-
     def find_remaining_budget_us(self, request_id: int) -> int | None:
         """Return the time to the deadline of a request; None unless it is owed an answer."""
-        request = self._requests.get(request_id)
+        request = self.find_request(request_id)
         if request is None or not request.is_pending():
             return None
         return max(request.deadline_us - self._loop.now_us, 0)
@@ -164,7 +166,7 @@
 
     def on_client_disconnected(self, request_id: int) -> None:
         """Take notice that a client has left while it waited."""
-        request = self._requests.get(request_id)
+        request = self.find_request(request_id)
         if request is not None and request.is_pending():
             self._queue_event(ClientDisconnected(request_id))
             self._end_pending(request)
@@ -175,7 +177,7 @@
         Returns:
             False if it had its answer already.
         """
-        request = self._requests.get(request_id)
+        request = self.find_request(request_id)
         if request is None or not request.is_pending():
             return False
         client = self._end_pending(request)
@@ -209,7 +211,7 @@
 
     def answer_rejected(self, action: RejectRequest) -> None:
         """Answer that a request is not served, and that a retry does no harm."""
-        request = self._requests.get(action.request_id)
+        request = self.find_request(action.request_id)
         if request is None or not request.is_pending():
             return
         client = self._end_pending(request)
@@ -218,7 +220,7 @@
 
     def answer_failed(self, action: FailRequest) -> None:
         """Answer that a request failed."""
-        request = self._requests.get(action.request_id)
+        request = self.find_request(action.request_id)
         if request is None or not request.is_pending():
             return
         client = self._end_pending(request)
