--- a/larchhaven/net/control/peer_socket.py
+++ b/larchhaven/net/control/peer_socket.py
@@ -1,9 +1,9 @@
-"""Messages to the other proxies of the tier: UDP datagrams that come late or never."""
+"""Datagrams to and from the other proxies: they may arrive late or never."""
 
 from __future__ import annotations
 
 import socket
-from collections.abc import Callable, Sequence
+from collections.abc import Callable, Iterable, Sequence
 
 from larchhaven.net.core.event_loop import READ, EventLoop
 from larchhaven.net.core.rate_limited_log import RateLimitedLog
@@ -15,60 +15,84 @@
 
 
 class PeerSocket:
-    """Sends to one proxy or to all, and tells from whom a message came."""
+    """The UDP socket of this proxy, and the addresses of its peers.
+
+    Args:
+        loop: The event loop.
+        log: Where datagrams are reported that are not sent or are dropped.
+        own_address: Where to listen.
+        peers: Addresses of all proxies by their indexes, this one among them.
+        broadcast_address: Where a datagram reaches all other proxies; None to send to each.
+        on_datagram: Takes the index of the sender and the datagram.
+        is_shared: Whether the other process of a hot restart listens there too; the younger one
+            gets what arrives.
+        on_invalid_datagram: Is called for each datagram that is dropped.
+    """
 
     def __init__(
         self,
         loop: EventLoop,
-        notices: RateLimitedLog,
-        listen: Address,
+        log: RateLimitedLog,
+        own_address: Address,
         peers: Sequence[Address],
-        everyone: Address | None,
-        heard: Callable[[int, bytes], None],
-        shared: bool,
-        strange: Callable[[], None],
+        broadcast_address: Address | None,
+        on_datagram: Callable[[int, bytes], None],
+        is_shared: bool,
+        on_invalid_datagram: Callable[[], None],
     ) -> None:
-        self._notices = notices
+        self._log = log
         self._peers = list(peers)
-        self._numbers = {address: i for i, address in enumerate(peers)}
-        self._everyone = everyone
-        self._heard = heard
-        self._strange = strange
-        self._own = listen
+        self._peer_indexes = {address: index for index, address in enumerate(peers)}
+        self._broadcast_address = broadcast_address
+        self._on_datagram = on_datagram
+        self._on_invalid_datagram = on_invalid_datagram
+        self._own_address = own_address
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM | socket.SOCK_NONBLOCK)
-        if shared:  # with the other process of an upgrade; the younger one gets what comes
+        if is_shared:
             self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        self._sock.bind(listen)
-        loop.register(self._sock, READ, self._on_ready)
+        self._sock.bind(own_address)
+        loop.register(self._sock, READ, self._on_readable)
 
     def send(self, peer_index: int | None, data: bytes) -> None:
-        """Send a message to one proxy, or to every other one."""
+        """Send a datagram to one peer, or to all if ``peer_index`` is None."""
         if len(data) > MAX_DATAGRAM_BYTES:
-            self._notices.warning("message to peers left out", f"{len(data)} bytes")
+            self._log.warning("datagram too long, not sent", f"{len(data)} bytes")
             return
-        if peer_index is not None:
-            targets = self._peers[peer_index : peer_index + 1] if peer_index >= 0 else []
-        elif self._everyone is not None:
-            targets = [self._everyone]
-        else:
-            targets = [address for address in self._peers if address != self._own]
-        for address in targets:
+        for address in self._find_targets(peer_index):
             try:
                 self._sock.sendto(data, address)
             except OSError as error:
-                self._notices.warning("message to peers lost", str(error))
+                self._log.warning("datagram not sent", str(error))
+
+    def _find_targets(self, peer_index: int | None) -> Iterable[Address]:
+        if peer_index is None:
+            if self._broadcast_address is not None:
+                return (self._broadcast_address,)
+            return [address for address in self._peers if address != self._own_address]
+        if 0 <= peer_index < len(self._peers):
+            return (self._peers[peer_index],)
+        return ()
 
-    def _on_ready(self, _: int) -> None:
-        for _turn in range(MAX_READS_PER_WAKEUP):
+    def _on_readable(self, _events: int) -> None:
+        for _read in range(MAX_READS_PER_WAKEUP):
             try:
+                # One byte more, by which a datagram that is too long is seen.
                 data, sender = self._sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 return
             except OSError:
-                continue  # an earlier datagram was refused at its target
-            number = self._numbers.get(sender)
-            if number is None or len(data) > MAX_DATAGRAM_BYTES:
-                self._strange()
-                self._notices.warning("strange datagram", f"{len(data)} bytes from {sender[0]}")
-            else:
-                self._heard(number, data)
+                continue  # a datagram sent before was refused by its target
+            self._receive(data, sender)
+
+    def _receive(self, data: bytes, sender: Address) -> None:
+        peer_index = self._peer_indexes.get(sender)
+        if peer_index is None:
+            self._drop("datagram from unknown address dropped", data, sender)
+        elif len(data) > MAX_DATAGRAM_BYTES:
+            self._drop("datagram too long, dropped", data, sender)
+        else:
+            self._on_datagram(peer_index, data)
+
+    def _drop(self, reason: str, data: bytes, sender: Address) -> None:
+        self._on_invalid_datagram()
+        self._log.warning(reason, f"{len(data)} bytes from {sender[0]}")
--- a/tests/test_discovery.py
+++ b/tests/test_endpoint_watch.py
@@ -9,7 +9,7 @@
 import pytest
 
 from larchhaven.memory.account import MemoryAccount
-from larchhaven.net.control import endpoint_watch as discovery_module
+from larchhaven.net.control import endpoint_watch as watch_module
 from larchhaven.net.control.endpoint_directory import (
     EndpointDirectory,
     EndpointEntry,
@@ -97,10 +97,10 @@
 @pytest.fixture
 def service(monkeypatch: pytest.MonkeyPatch) -> _Service:
     """Make a service whose watches are soon taken for silent; every other limit is far away."""
-    monkeypatch.setattr(discovery_module, "HOLD_MS", 60)
-    monkeypatch.setattr(discovery_module, "SILENT_US", 60_000)
-    monkeypatch.setattr(discovery_module, "DOUBT_US", 60_000_000)
-    monkeypatch.setattr(discovery_module, "ANSWER_US", 60_000_000)
+    monkeypatch.setattr(watch_module, "WATCH_HOLD_MS", 60)
+    monkeypatch.setattr(watch_module, "WATCH_SILENCE_US", 60_000)
+    monkeypatch.setattr(watch_module, "PROMPT_POLL_TIMEOUT_US", 60_000_000)
+    monkeypatch.setattr(watch_module, "COMPLETE_LIST_TIMEOUT_US", 60_000_000)
     return _Service()
 
 
@@ -140,7 +140,7 @@
     service: _Service, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards against a new connection that is silent as well: the second call was the last, and too late."""
-    monkeypatch.setattr(discovery_module, "DOUBT_US", 60_000)
+    monkeypatch.setattr(watch_module, "PROMPT_POLL_TIMEOUT_US", 60_000)
     service.calls.set_enabled(True)
     calls = [service.take() for _ in range(3)]
     assert [call.split("=")[-1] for _, call in calls] == ["60 HTTP/1.1", "0 HTTP/1.1", "0 HTTP/1.1"]
@@ -153,7 +153,7 @@
 
 def test_last_call_in_doubt_is_out_before_what_was_missed_counts_as_told() -> None:
     """Guards the constants: by the protocol that is two seconds after the end of the wait asked for."""
-    assert discovery_module.SILENT_US + discovery_module.DOUBT_US < 2_000_000
+    assert watch_module.WATCH_SILENCE_US + watch_module.PROMPT_POLL_TIMEOUT_US < 2_000_000
 
 
 @pytest.mark.parametrize(
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -411,7 +411,7 @@
     assert old.file.read().endswith(b"\r\n\r\n")  # the old watch ends with no more calls
     if first == "is not there":
         assert "reloaded" in proxy.log_line()
-        assert "discovery failed" in proxy.log_line()
+        assert "watch failed, retrying" in proxy.log_line()
         moved = socket.create_server(address)
         moved.settimeout(PATIENCE)
     if first == "fails":
