--- a/larchhaven/net/core/event_loop.py
+++ b/larchhaven/net/core/event_loop.py
@@ -69,13 +69,9 @@
     return int(info[_MEMINFO_RECEIVED]) + int(info[_MEMINFO_SEND_QUEUED])
 
 
-def _monotonic_us() -> int:
-    return time.monotonic_ns() // 1000
-
-
 def unix_offset_us() -> int:
     """Return the offset from the loop's clock to Unix time: the one place where the two meet."""
-    return time.time_ns() // 1000 - _monotonic_us()
+    return time.time_ns() // 1000 - time.monotonic_ns() // 1000
 
 
 class EventLoop:
@@ -101,7 +97,7 @@
         self._signal_handlers: dict[int, Callable[[], None]] = {}
         self._signal_sockets: tuple[socket.socket, socket.socket] | None = None
         self._no_traceback_until_us = 0
-        self.now_us = _monotonic_us()
+        self.now_us = time.monotonic_ns() // 1000
         self.on_iteration_end: Callable[[], None] = lambda: None
         self.on_process_resumed: Callable[[int], None] = lambda late_us: None
 
@@ -224,7 +220,7 @@
         previous_us = self.now_us
         ready = self._selector.select(self._seconds_to_wait())
         self._skips_next_wait = False
-        self.now_us = _monotonic_us()
+        self.now_us = time.monotonic_ns() // 1000
         late_us = 0 if next_due_us is None else self.now_us - max(next_due_us, previous_us)
         # What is ready was found before the pause; the rest is read in the next iteration, and
         # timers run only then: else a request line would be read after its deadline.
@@ -265,4 +261,4 @@
             return 0
         if not self._timers:
             return None
-        return max(self._timers[0][0] - _monotonic_us(), 0) / 1e6
+        return max(self._timers[0][0] - time.monotonic_ns() // 1000, 0) / 1e6
