--- a/larchhaven/routing/admission.py
+++ b/larchhaven/routing/admission.py
@@ -10,7 +10,7 @@
 
 from larchhaven.routing.arrival_statistics import MIN_LOAD_CORES
 from larchhaven.routing.live_peers import LivePeers
-from larchhaven.routing.load_estimate import LoadEstimate
+from larchhaven.routing.load_estimate import FULL_LOAD_RATIO, LoadEstimate
 from larchhaven.routing.ranking import Ranking
 from larchhaven.routing.request import Request
 from larchhaven.routing.server import Server
@@ -68,16 +68,17 @@
         usable = [server for _, server in self._ranking.usable_servers(request)]
         # Where nobody reports, slow messages alone tell how full the fleet is.
         has_reports = self._load_estimate.has_reports()
+        occupancy_ratio = self._load_estimate.occupancy_ratio
         open_servers = usable
         if has_reports:
-            open_servers = [each for each in usable if self._load_estimate.has_capacity(each)]
+            open_servers = [each for each in usable if occupancy_ratio(each) <= FULL_LOAD_RATIO]
         if not open_servers:
             return bool(usable)
         weights = list(accumulate(server.weight for server in open_servers))
         middle = open_servers[bisect_left(weights, weights[-1] / 2)]
-        pressure = self._load_estimate.occupancy_ratio(middle)
+        pressure = occupancy_ratio(middle)
         if has_reports:
-            lowest = self._load_estimate.occupancy_ratio(open_servers[0])
+            lowest = occupancy_ratio(open_servers[0])
             pressure = min(pressure, lowest + THRESHOLDS.max_spread_ratio)
         shed_range = THRESHOLDS.shed_all_ratio - THRESHOLDS.shed_from_ratio
         return rank < (pressure - THRESHOLDS.shed_from_ratio) / shed_range
@@ -107,5 +108,5 @@
         """Return the fraction of recent arrivals with a lower priority density."""
         if not self._recent_densities:
             return 1.0
-        below = sum((d < density) + 0.5 * (d == density) for d in self._recent_densities)
+        below = sum([(d < density) + 0.5 * (d == density) for d in self._recent_densities])
         return below / len(self._recent_densities)
--- a/larchhaven/routing/balancer.py
+++ b/larchhaven/routing/balancer.py
@@ -121,8 +121,9 @@
             if self.settings.subscribes_to_endpoints:
                 self._poll_backoff.start_first_poll()
             self.sticky_table.announce_start()
+        handlers = self._handlers
         for event in events:
-            self._handlers[type(event)](event)
+            handlers[type(event)](event)
         return self._scheduler.actions
 
     def may_start_attempt(self, now_us: int, request_id: int) -> bool:
--- a/larchhaven/routing/health_checks.py
+++ b/larchhaven/routing/health_checks.py
@@ -117,7 +117,9 @@
 
     def finish_check(self, server_id: str) -> Sequence[Request]:
         """Note that a check has ended; return the requests that wait for no other."""
-        requests = self._waiting.pop(server_id, ())
+        requests = self._waiting.pop(server_id, None)
+        if not requests:
+            return ()
         for request in requests:
             request.pending_checks -= 1
         return [request for request in requests if request.pending_checks == 0]
--- a/larchhaven/routing/load_estimate.py
+++ b/larchhaven/routing/load_estimate.py
@@ -87,11 +87,9 @@
         server.reported_ratio = ratio
         server.reported_at_us = self._scheduler.now_us
         seen_us = self._scheduler.now_us - REPORT_LAG_US - latency_us
-        server.unreported_changes = deque(
-            (change for change in server.unreported_changes if change[0] > seen_us),
-            MAX_UNREPORTED_CHANGES,
-        )
-        server.unreported_load = sum(load for _, load in server.unreported_changes)
+        unseen = [change for change in server.unreported_changes if change[0] > seen_us]
+        server.unreported_changes = deque(unseen, MAX_UNREPORTED_CHANGES)
+        server.unreported_load = sum([load for _, load in unseen])
         return True
 
     def record_change(self, server: Server, load: float) -> None:
--- a/larchhaven/routing/migration.py
+++ b/larchhaven/routing/migration.py
@@ -132,10 +132,12 @@
 
     def rebalance_server(self, server: Server) -> None:
         """Migrate this proxy's part of an overloaded server's excess, the heaviest first."""
-        ratio = server.reported_ratio or 0.0
+        ratio = server.reported_ratio
+        if ratio is None or ratio <= REBALANCING.from_ratio:
+            return
         target = max(self._load_estimate.mean_ratio(), REBALANCING.target_ratio)
         connections = self._connections.on_server(server)
-        if not target < REBALANCING.from_ratio < ratio or not connections:
+        if target >= REBALANCING.from_ratio or not connections:
             return
         if server.migrated_until_us > self._scheduler.now_us:
             return
--- a/larchhaven/routing/outlier_ejection.py
+++ b/larchhaven/routing/outlier_ejection.py
@@ -49,5 +49,5 @@
     def is_enforced(self, ranking: Sequence[RankingEntry]) -> bool:
         """Return whether few enough of the ready servers are ejected; else the cause is shared."""
         now_us = self._scheduler.now_us
-        ejected = sum(entry[2].ejected_until_us > now_us for entry in ranking)
+        ejected = sum([server.ejected_until_us > now_us for _, _, server in ranking])
         return ejected <= MAX_EJECTED_FRACTION * len(ranking)
--- a/larchhaven/routing/request.py
+++ b/larchhaven/routing/request.py
@@ -3,14 +3,14 @@
 from __future__ import annotations
 
 from dataclasses import dataclass, field
-from enum import Enum, auto
+from enum import IntEnum, auto
 
 from larchhaven.routing.server import Server
 from larchhaven.routing.settings import RequestClass
 
 
-class RequestState(Enum):
-    """How far a request has come."""
+class RequestState(IntEnum):
+    """How far a request has come; an integer, as it is a key at each transition."""
 
     WAITING = auto()  # no attempt is in flight; it waits for a server, or is being placed
     ATTEMPTING = auto()  # an attempt is in flight, the answer is still owed
