--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -28,7 +28,7 @@
 from larchhaven.net.core.event_loop import EventLoop
 from larchhaven.net.core.rate_limited_log import RateLimitedLog
 from larchhaven.net.text_protocol.listener import Listener
-from larchhaven.net.text_protocol.upstream_attempt import TextExecution
+from larchhaven.net.text_protocol.upstream_attempt import TextUpstreamAttempt
 from larchhaven.routing.events import Endpoint, EndpointListKind, EndpointListUpdate
 from larchhaven.routing.settings import RequestClass, RoutingSettings
 
@@ -117,7 +117,7 @@
         self, token: int, payload: bytes, address: tuple[str, int], wait_us: int
     ) -> UpstreamAttempt:
         """Begin an execution."""
-        return TextExecution(
+        return TextUpstreamAttempt(
             self.loop,
             self.pool,
             self.dispatcher.attempts,
--- a/larchhaven/net/admin/backend.py
+++ b/larchhaven/net/admin/backend.py
@@ -28,10 +28,10 @@
 class ClientListener(Protocol):
     """The listener that accepts the clients."""
 
-    away: bool  # whether PING is answered so that clients are sent elsewhere
+    is_draining: bool  # whether PING is answered so that clients are sent elsewhere
 
     @property
-    def accepting(self) -> bool:
+    def is_accepting(self) -> bool:
         """Whether clients are accepted."""
 
 
@@ -78,7 +78,7 @@
 
     def is_ready(self) -> bool:
         """Tell whether this process accepts clients and knows servers for them."""
-        return self._listener.accepting and self._endpoints.count_listed() > 0
+        return self._listener.is_accepting and self._endpoints.count_listed() > 0
 
     def encode_metrics(self) -> bytes:
         """Return the metrics as JSON."""
@@ -112,8 +112,8 @@
 
     def set_draining(self, is_draining: bool) -> None:
         """Drain the proxy, or activate it again."""
-        if self._listener.away == is_draining:
+        if self._listener.is_draining == is_draining:
             return
-        self._listener.away = is_draining
+        self._listener.is_draining = is_draining
         _log.info("proxy draining" if is_draining else "proxy activated")
         self._migrate_connections(DRAIN_US if is_draining else 0)
--- a/larchhaven/net/graceful_shutdown.py
+++ b/larchhaven/net/graceful_shutdown.py
@@ -136,7 +136,7 @@
         """Answer all requests and migrate all connections now, and end once that was sent."""
         if self.phase is ShutdownPhase.FINISHED:
             return
-        self._listener.empty_queue()
+        self._listener.accept_backlog()
         self._listener.stop()
         self._close_idle_clients()
         self._dispatcher.requests.set_answer_deadline(self._loop.now_us)
@@ -168,7 +168,7 @@
         """Close the listener once its queue is empty: who waits there would be reset."""
         if self.phase is not ShutdownPhase.LAME_DUCK:
             return
-        if self._listener.accepting and not self._listener.empty_queue():
+        if self._listener.is_accepting and not self._listener.accept_backlog():
             self._loop.call_later(POLL_INTERVAL_US, self._close_listener)
             return
         self._listener.stop()
@@ -180,7 +180,7 @@
         if self.phase in (ShutdownPhase.LINGERING, ShutdownPhase.FINISHED):
             return
         self.phase = ShutdownPhase.LINGERING
-        self._listener.part_all()
+        self._listener.reject_awaiting_clients()
         self._stop_when_idle()
 
     def _stop_when_idle(self) -> None:
--- a/larchhaven/net/hot_restart_messages.py
+++ b/larchhaven/net/hot_restart_messages.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from larchhaven.errors import LarchhavenError
-from larchhaven.net.text_protocol.connection_relay import RelayState
+from larchhaven.net.text_protocol.relay_state import RelayState
 from larchhaven.routing.events import LoadReport
 
 PROTOCOL_VERSION = 1
--- a/larchhaven/net/proxy.py
+++ b/larchhaven/net/proxy.py
@@ -25,7 +25,7 @@
 from larchhaven.net.resources import ProxyResources, build_resources, raise_descriptor_limit
 from larchhaven.net.state_transfer import StateTransfer
 from larchhaven.net.text_protocol.listener import SPARE_DESCRIPTORS, Listener
-from larchhaven.net.text_protocol.upstream_attempt import TextExecution
+from larchhaven.net.text_protocol.upstream_attempt import TextUpstreamAttempt
 from larchhaven.net.upstream_servers import UpstreamServers
 from larchhaven.operator.settings import Reading, Settings
 from larchhaven.routing.settings import RoutingSettings
@@ -121,8 +121,8 @@
         return Transport(
             endpoints=servers.directory,
             start_attempt=self._start_attempt,
-            check_health=servers.health_checks.probe,
-            close_idle_connections=servers.health_checks.drop,
+            check_health=servers.health_checks.check,
+            close_idle_connections=servers.health_checks.close,
             set_watch_enabled=servers.endpoint_watch.set_enabled,
             poll_endpoints=servers.endpoint_watch.poll_complete_list,
             send_gossip=self._peers.send_gossip,
@@ -133,7 +133,7 @@
     def _start_attempt(
         self, request_id: int, payload: bytes, address: tuple[str, int], timeout_us: int
     ) -> UpstreamAttempt:
-        return TextExecution(
+        return TextUpstreamAttempt(
             self._resources.loop,
             self._resources.pool,
             self._dispatcher.attempts,
--- a/larchhaven/net/state_transfer.py
+++ b/larchhaven/net/state_transfer.py
@@ -22,7 +22,8 @@
     identity_hash,
 )
 from larchhaven.net.resources import ProxyResources
-from larchhaven.net.text_protocol.connection_relay import Relay, RelayState
+from larchhaven.net.text_protocol.connection_relay import ConnectionRelay
+from larchhaven.net.text_protocol.relay_state import RelayState
 from larchhaven.net.upstream_servers import ReceivedReport
 from larchhaven.routing.events import AttemptResult, GossipReceived, HealthCheckCompleted
 from larchhaven.routing.settings import RoutingSettings
@@ -110,11 +111,11 @@
             return
         for request in self._dispatcher.connections.list_connections():
             relay = request.connection
-            state = relay.state() if isinstance(relay, Relay) else None
-            if state is None or not isinstance(relay, Relay):
+            state = relay.export_state() if isinstance(relay, ConnectionRelay) else None
+            if state is None or not isinstance(relay, ConnectionRelay):
                 continue  # it is about to end
             transfer = _make_transfer(request, state)
-            if not self.hot_restart.transfer_connection(transfer, relay.descriptors()):
+            if not self.hot_restart.transfer_connection(transfer, relay.file_descriptors()):
                 # The loop wakes for it, and its iteration tries again.
                 self._loop.call_later(TRANSFER_RETRY_US, lambda: None)
                 return
@@ -162,7 +163,9 @@
         connections.adopt_connection(
             self._make_spec(transfer),
             transfer.server_id,
-            lambda request_id: Relay(loop, client, server, connections, request_id, transfer.relay),
+            lambda request_id: ConnectionRelay(
+                loop, client, server, connections, request_id, transfer.relay
+            ),
         )
 
     def _make_spec(self, transfer: ConnectionTransfer) -> RequestSpec:
--- a/larchhaven/net/text_protocol/connection_relay.py
+++ b/larchhaven/net/text_protocol/connection_relay.py
@@ -1,339 +1,386 @@
-"""Passes lines both ways between a service client and the instance that serves it, until one side ends."""
+"""Forwards lines both ways between a client and its server, until one side ends."""
 
 from __future__ import annotations
 
 from collections import deque
-
-import msgspec
+from enum import Enum, auto
 
 from larchhaven.net.control.interfaces import ConnectionObserver
 from larchhaven.net.core.event_loop import EventLoop, TimerHandle
 from larchhaven.net.core.lingering_close import LINGER_US
 from larchhaven.net.core.stream import Stream
-from larchhaven.net.text_protocol import codec as lines
-from larchhaven.routing.events import AttemptResult, LoadReport
-
-# Client lines without an answer are looked at this often; their age is told as a delay.
-LOOK_US = 1_000_000
-# From this age on the connection is told as stalled, and the decision module may move it.
-STALLED_US = 4_000_000
-# At this age it is ended whatever the module does: within 7 s it must be, and looks are a second apart.
-SILENT_MOST_US = 5_500_000
-# A connection on which neither side sends anything for so long is ended: a client whose machine vanished
-# never says so, and its connection would stay for ever. Terminals send a line every few seconds.
-IDLE_US = 600_000_000
-# An instance that has said its last line is given so long to end the connection by itself.
-LAST_LINE_US = 300_000
-# A move waits so long for the end of the line under way, and goes without a word after that.
-MOVE_WAIT_US = 500_000
-# Times of unanswered lines that are kept; a client that sends more at once is measured on these.
-ASKED_MOST = 64
+from larchhaven.net.text_protocol import codec
+from larchhaven.net.text_protocol.line_counter import LineCounter
+from larchhaven.net.text_protocol.relay_state import RelayState, SideState
+from larchhaven.routing.events import AttemptResult
 
+# How often unanswered lines are looked at; their age is reported as a delay.
+UNANSWERED_CHECK_INTERVAL_US = 1_000_000
+# From this age on the server is reported as unresponsive, and the connection may be migrated.
+UNRESPONSIVE_US = 4_000_000
+# At this age the connection is ended in any case: it must be within 7 s, and checks are 1 s apart.
+MAX_UNANSWERED_US = 5_500_000
+# A client whose machine has vanished never ends its connection. Clients send every few seconds.
+IDLE_TIMEOUT_US = 600_000_000
+# A server that has sent its final line is given so long to end the connection by itself.
+FINAL_LINE_GRACE_US = 300_000
+# A migration waits so long for the end of the line in progress, and goes without MOVE after that.
+MIGRATION_GRACE_US = 500_000
+# A client with more unanswered lines is measured on the oldest of them.
+MAX_UNANSWERED_LINES = 64
 
-class SideState(msgspec.Struct):
-    """One side of a relay: bytes read and not passed on, bytes to be sent, and where its lines are."""
 
-    inbox: bytes
-    outbox: bytes
-    head: bytes
-    cr: bool
-    midline: bool
+class _Phase(Enum):
+    """How far a relay has come."""
 
+    RELAYING = auto()
+    MIGRATING = auto()  # waits for the end of a line, to send MOVE behind it
+    MIGRATED = auto()  # reported as ended; nothing more is forwarded to the client
+    ENDED = auto()  # reported as ended; what is left is still forwarded
 
-class RelayState(msgspec.Struct):
-    """All that another process needs, beside the descriptors, to go on with a connection."""
 
-    client: SideState
-    instance: SideState
-    asked: list[int]
+# Compared for every block of bytes; to look up a member of an enum takes several times as long.
+_RELAYING = _Phase.RELAYING
 
 
 class _Side:
-    """One side of the relay, as the owner of its stream."""
+    """One side of a relay, as the protocol of its stream.
+
+    Attributes:
+        relay: The relay.
+        other: The side across.
+        stream: The connection.
+        line_counter: The lines that were forwarded from this side.
+    """
+
+    __slots__ = ("line_counter", "other", "relay", "stream")
 
-    __slots__ = ("count", "relay", "stream")
+    other: _Side
 
-    def __init__(self, relay: Relay, stream: Stream) -> None:
+    def __init__(self, relay: ConnectionRelay, stream: Stream) -> None:
         self.relay = relay
         self.stream = stream
-        self.count = lines.LineCounter()
+        self.line_counter = LineCounter()
         stream.protocol = self
 
-    def state(self) -> SideState:
+    def release(self) -> None:
+        """Break the cycle of relay and sides."""
+        del self.relay, self.other
+
+    def export_state(self) -> SideState:
         """Return what another process needs to go on with this side."""
         inbox = self.stream.inbox
-        held = bytes(inbox.readable()) if inbox is not None else b""
-        count = self.count
         return SideState(
-            held, self.stream.pending_data(), bytes(count.head), count.cr, count.midline
+            inbox=bytes(inbox.readable()) if inbox is not None else b"",
+            outbox=self.stream.pending_data(),
+            line_head=bytes(self.line_counter.head),
+            ends_with_cr=self.line_counter.ends_with_cr,
+            is_mid_line=self.line_counter.is_mid_line,
         )
 
-    def go_on(self, state: SideState) -> None:
+    def restore(self, state: SideState) -> None:
         """Go on from where another process was."""
         self.stream.write(state.outbox)
         self.stream.prefill(state.inbox)
-        self.count.head[:] = state.head
-        self.count.cr, self.count.midline = state.cr, state.midline
+        self.line_counter.head[:] = state.line_head
+        self.line_counter.ends_with_cr = state.ends_with_cr
+        self.line_counter.is_mid_line = state.is_mid_line
 
     def connection_made(self) -> None:
-        """Nothing: the connection stands already."""
+        """Do nothing: the connection is established already."""
 
     def data_received(self) -> None:
-        """Pass on what came."""
-        self.relay.pass_on(self)
+        """Forward what came."""
+        self.relay.forward(self)
 
     def write_buffer_drained(self) -> None:
         """Go on with what the other side had to keep back."""
-        self.relay.pass_on(self.relay.other(self))
+        self.relay.forward(self.other)
 
     def eof_received(self) -> None:
-        """Pass on the end."""
-        self.relay.on_side_end(self)
+        """Forward the end."""
+        self.relay.on_side_ended(self)
 
     def connection_lost(self, code: int) -> None:
-        """Pass on the break."""
-        self.relay.on_side_broken(self)
+        """Forward the loss."""
+        self.relay.on_side_lost(self)
+
 
+class ConnectionRelay:
+    """An established connection between a client and its server.
 
-class Relay:
-    """One served connection."""
+    Args:
+        loop: The event loop.
+        client: The connection to the client.
+        server: The connection to the server.
+        observer: What is notified of the life of the connection.
+        request_id: The request.
+        initial: The line by which the server accepted the connection, or the state in which another
+            process has handed it over.
+    """
 
     __slots__ = (
-        "_asked",
         "_client",
-        "_closing",
-        "_ending",
-        "_heard_at",
-        "_idle",
-        "_instance",
-        "_look",
+        "_close_timeout",
+        "_final_line",
+        "_idle_timeout",
+        "_last_data_us",
         "_loop",
-        "_moving",
-        "_over",
-        "_owner",
+        "_observer",
+        "_phase",
         "_request_id",
+        "_server",
+        "_unanswered_check",
+        "_unanswered_since_us",
     )
 
     def __init__(
         self,
         loop: EventLoop,
         client: Stream,
-        instance: Stream,
-        owner: ConnectionObserver,
+        server: Stream,
+        observer: ConnectionObserver,
         request_id: int,
-        first: bytes | RelayState,
+        initial: bytes | RelayState,
     ) -> None:
         self._loop = loop
-        self._owner = owner
+        self._observer = observer
         self._request_id = request_id
         self._client = _Side(self, client)
-        self._instance = _Side(self, instance)
-        self._asked: deque[int] = deque()
-        self._look: TimerHandle | None = None
-        self._closing: TimerHandle | None = None
-        self._ending: tuple[AttemptResult, LoadReport | None] | None = (
-            None  # the instance's last line
-        )
-        self._moving = False
-        self._over = False
-        self._heard_at = loop.now_us
-        self._idle = loop.call_later(IDLE_US, self._on_idle)
-        client.on_shed = self.give_way
-        client.on_closed = instance.on_closed = self._on_gone
-        if isinstance(first, bytes):
-            client.write(first + lines.END)
+        self._server = _Side(self, server)
+        self._client.other = self._server
+        self._server.other = self._client
+        self._unanswered_since_us: deque[int] = deque()
+        self._unanswered_check: TimerHandle | None = None
+        self._close_timeout: TimerHandle | None = None
+        self._final_line: codec.Ending | None = None
+        self._phase = _RELAYING
+        self._last_data_us = loop.now_us
+        self._idle_timeout = loop.call_later(IDLE_TIMEOUT_US, self._on_idle_timeout)
+        client.on_shed = self._shed_client
+        client.on_closed = self._release_sides
+        server.on_closed = self._release_sides
+        if isinstance(initial, RelayState):
+            self._restore(initial)
         else:
-            self._client.go_on(first.client)
-            self._instance.go_on(first.instance)
-            self._asked.extend(first.asked)
-            if self._asked:
-                self._look = loop.call_later(LOOK_US, self._look_again)
-        self.pass_on(self._client)
-        self.pass_on(self._instance)
-        if instance.at_eof:
-            self.on_side_end(self._instance)
-
-    # To another process
-
-    def state(self) -> RelayState | None:
-        """Return what another process needs to go on with the connection; None if it is about to end."""
-        if self._over or self._moving or self._ending is not None:
+            client.write(initial + codec.LINE_END)
+        self.forward(self._client)
+        self.forward(self._server)
+        if server.at_eof:
+            self.on_side_ended(self._server)
+
+    # To and from another process
+
+    def _restore(self, state: RelayState) -> None:
+        self._client.restore(state.client)
+        self._server.restore(state.server)
+        self._unanswered_since_us.extend(state.unanswered_since_us)
+        if self._unanswered_since_us:
+            self._unanswered_check = self._loop.call_later(
+                UNANSWERED_CHECK_INTERVAL_US, self._check_unanswered
+            )
+
+    def export_state(self) -> RelayState | None:
+        """Return what another process needs to go on; None if the connection is about to end."""
+        if self._phase is not _RELAYING or self._final_line is not None:
             return None
-        return RelayState(self._client.state(), self._instance.state(), list(self._asked))
+        return RelayState(
+            client=self._client.export_state(),
+            server=self._server.export_state(),
+            unanswered_since_us=list(self._unanswered_since_us),
+        )
 
-    def descriptors(self) -> tuple[int, int]:
-        """Return the descriptors of the client's and the instance's side."""
-        return self._client.stream.file_descriptor, self._instance.stream.file_descriptor
+    def file_descriptors(self) -> tuple[int, int]:
+        """Return the file descriptors of the client's and the server's side."""
+        return self._client.stream.file_descriptor, self._server.stream.file_descriptor
 
     def detach_sockets(self) -> None:
-        """Let go of a connection that another process holds now; nobody at its ends notices."""
-        self._over = True
-        for deadline in (self._look, self._idle, self._closing):
-            self._loop.cancel(deadline)
+        """Close this process's descriptors; another process has taken the connection over."""
+        self._phase = _Phase.ENDED
+        for timer in (self._unanswered_check, self._idle_timeout, self._close_timeout):
+            self._loop.cancel(timer)
         self._client.stream.close()
-        self._instance.stream.close()
-
-    def other(self, side: _Side) -> _Side:
-        """Return the side across."""
-        return self._instance if side is self._client else self._client
+        self._server.stream.close()
 
     # Bytes
 
-    def pass_on(self, side: _Side) -> None:
-        """Pass on what has come from one side, as far as the other takes it now."""
+    def forward(self, side: _Side) -> None:
+        """Forward what has come from one side, as far as the other takes it now."""
         inbox = side.stream.inbox
-        if inbox is not None and not (self._over and side is self._instance and self._moving):
+        if inbox is not None and (self._phase is _RELAYING or self._may_forward(side)):
             data = bytes(inbox.readable())
-            taken = self.other(side).stream.write(data)
+            taken = side.other.stream.write(data)
             if taken < len(data):
-                side.stream.pause_reading()  # backpressure: read on when the other side has room
+                side.stream.pause_reading()  # until the other side has taken the rest
             if taken:
                 if taken == len(data):
                     side.stream.consume(taken)
                 else:
                     inbox.start += taken
-                self._note(side, side.count.feed(data[:taken]))
+                self._note_lines(side, side.line_counter.feed(data[:taken]))
         if side.stream.at_eof and side.stream.inbox is None:
-            self._after_end(side)
+            if side is self._server:
+                self._close_both_sides()
+            else:
+                self._server.stream.write_eof()
+
+    def _may_forward(self, side: _Side) -> bool:
+        return side is self._client or self._phase is not _Phase.MIGRATED
 
-    def _note(self, side: _Side, done: list[bytes]) -> None:
-        if self._over:
+    def _note_lines(self, side: _Side, lines: list[bytes]) -> None:
+        """Take notice of the beginnings of lines that were forwarded completely."""
+        if self._phase is not _RELAYING and self._has_ended:
             return
-        self._heard_at = self._loop.now_us
+        self._last_data_us = self._loop.now_us
         if side is self._client:
-            if done:
-                room = ASKED_MOST - len(self._asked)  # the oldest must stay: they tell of silence
-                self._asked.extend([self._loop.now_us] * min(len(done), room))
-                if self._look is None:
-                    self._look = self._loop.call_later(LOOK_US, self._look_again)
+            if lines:
+                self._note_client_lines(len(lines))
             return
-        for line in done:
-            load = lines.read_load(line)
-            if load is not None:
-                self._owner.on_load_changed(self._request_id, load)
-                continue
-            ending = lines.read_last(line)
-            if ending is not None:
-                self._ending = ending
-                self._closing = self._closing or self._loop.call_later(
-                    LAST_LINE_US, self._finish_both
-                )
-            elif self._asked:
-                self._owner.on_message_answered(
-                    self._request_id, self._loop.now_us - self._asked.popleft()
-                )
-                # A hung instance may never answer what it swallowed; each later answer would look late.
-                while self._asked and self._loop.now_us - self._asked[0] >= STALLED_US:
-                    self._asked.popleft()
-        if self._moving and not side.count.midline:
-            self._send_move()
-
-    # Silence
-
-    def _look_again(self) -> None:
-        """Tell of lines without an answer: a hung instance keeps its connections open and says nothing."""
-        self._look = None
-        if self._over or not self._asked:
+        for line in lines:
+            self._note_server_line(line)
+        if self._phase is not _RELAYING and not side.line_counter.is_mid_line:
+            self._complete_migration()
+
+    def _note_client_lines(self, count: int) -> None:
+        space = MAX_UNANSWERED_LINES - len(self._unanswered_since_us)  # the oldest must stay
+        self._unanswered_since_us.extend([self._loop.now_us] * min(count, space))
+        if self._unanswered_check is None:
+            self._unanswered_check = self._loop.call_later(
+                UNANSWERED_CHECK_INTERVAL_US, self._check_unanswered
+            )
+
+    def _note_server_line(self, line: bytes) -> None:
+        load = codec.parse_load(line)
+        if load is not None:
+            self._observer.on_load_changed(self._request_id, load)
             return
-        age = self._loop.now_us - self._asked[0]
-        if age >= SILENT_MOST_US:
-            self._end_now(AttemptResult.TIMEOUT)
+        final_line = codec.parse_final_line(line)
+        if final_line is not None:
+            self._final_line = final_line
+            self._schedule_close(FINAL_LINE_GRACE_US)
+        elif self._unanswered_since_us:
+            now_us = self._loop.now_us
+            delay_us = now_us - self._unanswered_since_us.popleft()
+            self._observer.on_message_answered(self._request_id, delay_us)
+            # A hung server may never answer what it has read; each later answer would seem late.
+            while (
+                self._unanswered_since_us
+                and now_us - self._unanswered_since_us[0] >= UNRESPONSIVE_US
+            ):
+                self._unanswered_since_us.popleft()
+
+    # Unanswered lines
+
+    def _check_unanswered(self) -> None:
+        """Report lines without an answer: a hung server keeps its connections open."""
+        self._unanswered_check = None
+        if self._has_ended or not self._unanswered_since_us:
             return
-        if age >= STALLED_US:
-            self._owner.on_server_unresponsive(self._request_id, age)
-        elif age >= LOOK_US:
-            self._owner.on_message_waiting(self._request_id, age)
-        self._look = self._loop.call_later(max(LOOK_US - age, LOOK_US // 2), self._look_again)
-
-    def _end_now(self, result: AttemptResult) -> None:
-        self._instance.stream.close(reset=True)
-        if self._client.stream.is_closed:
-            self._tell_over(result, None)
+        age_us = self._loop.now_us - self._unanswered_since_us[0]
+        if age_us >= MAX_UNANSWERED_US:
+            self._abort(AttemptResult.TIMEOUT)
             return
-        self._write_move()
-        self._client.stream.start_lingering_close()
-        self._tell_over(result, None)
-
-    def _on_idle(self) -> None:
-        left = self._heard_at + IDLE_US - self._loop.now_us
-        if left > 0:
-            self._idle = self._loop.call_later(left, self._on_idle)
+        if age_us >= UNRESPONSIVE_US:
+            self._observer.on_server_unresponsive(self._request_id, age_us)
+        elif age_us >= UNANSWERED_CHECK_INTERVAL_US:
+            self._observer.on_message_waiting(self._request_id, age_us)
+        delay_us = max(UNANSWERED_CHECK_INTERVAL_US - age_us, UNANSWERED_CHECK_INTERVAL_US // 2)
+        self._unanswered_check = self._loop.call_later(delay_us, self._check_unanswered)
+
+    def _on_idle_timeout(self) -> None:
+        left_us = self._last_data_us + IDLE_TIMEOUT_US - self._loop.now_us
+        if left_us > 0:
+            self._idle_timeout = self._loop.call_later(left_us, self._on_idle_timeout)
         else:
-            self._end_now(AttemptResult.CANCELLED)
+            self._abort(AttemptResult.CANCELLED)
 
-    def give_way(self) -> None:
-        """End both sides, as the client does not read what it asked for and others need the room."""
-        self._client.stream.close(reset=True)
-        self.on_side_broken(self._client)
-
-    # Moves
+    # Migration
 
     def migrate(self) -> None:
-        """Tell the client to come again, between two lines, and end both sides."""
-        if self._over or self._moving or self._ending is not None:
+        """Ask the client to reconnect, between two lines, and end both sides."""
+        if self._phase is not _RELAYING or self._final_line is not None:
             return
-        self._moving = True
-        if self._instance.count.midline:
-            self._closing = self._closing or self._loop.call_later(MOVE_WAIT_US, self._finish_both)
+        self._phase = _Phase.MIGRATING
+        if self._server.line_counter.is_mid_line:
+            self._schedule_close(MIGRATION_GRACE_US)
         else:
-            self._send_move()
+            self._complete_migration()
 
-    def _send_move(self) -> None:
-        if self._over:
+    def _complete_migration(self) -> None:
+        if self._phase is not _Phase.MIGRATING:
             return
-        self._write_move()
-        self._tell_over(AttemptResult.CANCELLED, None)
-        self._finish_both()
+        self._send_move()
+        self._report_ended(codec.Ending(AttemptResult.CANCELLED))
+        self._close_both_sides()
 
-    def _write_move(self) -> None:
-        """Write it whole and between two lines, or not at all."""
-        if not self._instance.count.midline and self._client.stream.can_buffer(len(lines.MOVE)):
-            self._client.stream.write(lines.MOVE)
+    def _send_move(self) -> None:
+        """Send MOVE completely and between two lines, or not at all."""
+        is_mid_line = self._server.line_counter.is_mid_line
+        if not is_mid_line and self._client.stream.can_buffer(len(codec.MOVE)):
+            self._client.stream.write(codec.MOVE)
 
     # Ends
 
-    def on_side_end(self, side: _Side) -> None:
-        """Pass on the end of one side after what it sent before."""
-        if side is self._instance:
-            self._tell_over(*(self._ending or (AttemptResult.RESET, None)))
-        else:
-            self._tell_over(AttemptResult.CANCELLED, None)
-        self._closing = self._closing or self._loop.call_later(LINGER_US, self._finish_both)
-        self.pass_on(side)
+    @property
+    def _has_ended(self) -> bool:
+        return self._phase is _Phase.ENDED or self._phase is _Phase.MIGRATED
 
-    def _after_end(self, side: _Side) -> None:
-        if side is self._instance:
-            self._finish_both()
+    def on_side_ended(self, side: _Side) -> None:
+        """Forward the end of one side after what it sent before."""
+        if side is self._server:
+            self._report_ended(self._final_line or codec.Ending(AttemptResult.RESET))
         else:
-            self._instance.stream.write_eof()
-
-    def on_side_broken(self, side: _Side) -> None:
-        """Pass on a break as a break; after the instance's last line it is only an end."""
-        if side is self._instance and self._ending is not None:
-            self._tell_over(*self._ending)
-            self._finish_both()
+            self._report_ended(codec.Ending(AttemptResult.CANCELLED))
+        self._schedule_close(LINGER_US)
+        self.forward(side)
+
+    def on_side_lost(self, side: _Side) -> None:
+        """Forward a loss as a reset; after the server's final line it is only an end."""
+        if side is self._server and self._final_line is not None:
+            self._close_both_sides()
             return
-        self._tell_over(
-            AttemptResult.RESET if side is self._instance else AttemptResult.CANCELLED, None
-        )
-        self.other(side).stream.close(reset=True)
-        self._loop.cancel(self._closing)
+        is_server = side is self._server
+        result = AttemptResult.RESET if is_server else AttemptResult.CANCELLED
+        self._report_ended(codec.Ending(result))
+        side.other.stream.close(reset=True)
+        self._loop.cancel(self._close_timeout)
+
+    def _shed_client(self) -> None:
+        """Reset both sides, as the client does not read and others need the capacity."""
+        self._client.stream.close(reset=True)
+        self.on_side_lost(self._client)
+
+    def _abort(self, result: AttemptResult) -> None:
+        """Reset the server, and ask the client to reconnect if it is still there."""
+        self._server.stream.close(reset=True)
+        if not self._client.stream.is_closed:
+            self._send_move()
+            self._client.stream.start_lingering_close()
+        self._report_ended(codec.Ending(result))
 
-    def _on_gone(self) -> None:
-        """Let go once both streams are closed: relay and sides hold each other, and nobody else does."""
-        if self._client.stream.is_closed and self._instance.stream.is_closed:
-            del self._client.relay, self._instance.relay
+    def _schedule_close(self, delay_us: int) -> None:
+        """Close both sides after a time, unless that is scheduled already."""
+        if self._close_timeout is None:
+            self._close_timeout = self._loop.call_later(delay_us, self._close_both_sides)
 
-    def _finish_both(self) -> None:
-        self._tell_over(*(self._ending or (AttemptResult.CANCELLED, None)))
-        self._loop.cancel(self._closing)
+    def _close_both_sides(self) -> None:
+        self._report_ended(self._final_line or codec.Ending(AttemptResult.CANCELLED))
+        self._loop.cancel(self._close_timeout)
         self._client.stream.start_lingering_close()
-        self._instance.stream.start_lingering_close()
-
-    def _tell_over(self, result: AttemptResult, report: LoadReport | None) -> None:
-        if not self._over:
-            self._over = True
-            self._loop.cancel(self._look)
-            self._loop.cancel(self._idle)
-            self._asked.clear()
-            self._owner.on_connection_ended(self._request_id, result, report)
+        self._server.stream.start_lingering_close()
+
+    def _release_sides(self) -> None:
+        """Let go of the sides once both streams are closed."""
+        if self._client.stream.is_closed and self._server.stream.is_closed:
+            self._client.release()
+            self._server.release()
+
+    def _report_ended(self, ending: codec.Ending) -> None:
+        if self._has_ended:
+            return
+        is_migrating = self._phase is _Phase.MIGRATING
+        self._phase = _Phase.MIGRATED if is_migrating else _Phase.ENDED
+        self._loop.cancel(self._unanswered_check)
+        self._loop.cancel(self._idle_timeout)
+        self._unanswered_since_us.clear()
+        self._observer.on_connection_ended(self._request_id, ending.result, ending.report)
--- /dev/null
+++ b/larchhaven/net/text_protocol/line_counter.py
@@ -0,0 +1,51 @@
+"""Finds the ends of lines in a byte stream that is forwarded as it comes."""
+
+from __future__ import annotations
+
+from larchhaven.net.text_protocol.codec import LINE_END
+
+# Of each line so many bytes are kept; the lines that are looked at are short.
+MAX_HEAD_BYTES = 256
+
+
+class LineCounter:
+    """Follows the lines of a byte stream, and keeps the beginning of each.
+
+    Attributes:
+        head: The beginning of the line in progress.
+        ends_with_cr: Whether the last byte was a CR, which an LF would make the end of the line.
+        is_mid_line: Whether a line is in progress.
+    """
+
+    __slots__ = ("ends_with_cr", "head", "is_mid_line")
+
+    def __init__(self) -> None:
+        self.head = bytearray()
+        self.ends_with_cr = False
+        self.is_mid_line = False
+
+    def feed(self, data: bytes) -> list[bytes]:
+        """Take the next bytes.
+
+        Returns:
+            The beginnings of the lines that they complete.
+        """
+        completed: list[bytes] = []
+        start = 0
+        if self.ends_with_cr and data.startswith(b"\n"):
+            completed.append(bytes(self.head).removesuffix(b"\r"))
+            self.head.clear()
+            start = 1
+        while (end := data.find(LINE_END, start)) >= 0:
+            self._extend_head(data[start:end])
+            completed.append(bytes(self.head))
+            self.head.clear()
+            start = end + len(LINE_END)
+        self._extend_head(data[start:])
+        if data:
+            self.is_mid_line = start < len(data)
+            self.ends_with_cr = self.is_mid_line and data.endswith(b"\r")
+        return completed
+
+    def _extend_head(self, data: bytes) -> None:
+        self.head += data[: max(MAX_HEAD_BYTES - len(self.head), 0)]
--- a/larchhaven/net/text_protocol/upstream_attempt.py
+++ b/larchhaven/net/text_protocol/upstream_attempt.py
@@ -1,133 +1,169 @@
-"""Executions: single attempts of a command at an instance, from the connect to ``UP`` or an outcome."""
+"""One attempt of a request at a server, from the connect to its acceptance or failure."""
 
 from __future__ import annotations
 
 import errno
+from enum import Enum, auto
 
 from larchhaven.net.control.interfaces import AttemptObserver
 from larchhaven.net.core.buffer_pool import BufferPool
 from larchhaven.net.core.event_loop import EventLoop
 from larchhaven.net.core.stream import RESOURCE_EXHAUSTION_ERRNOS, Stream
-from larchhaven.net.text_protocol import codec as lines
+from larchhaven.net.text_protocol import codec
 from larchhaven.routing.events import AttemptResult, LoadReport
 
 
-class TextExecution:
-    """One attempt; its owner hears exactly once how it came out, unless it cancels."""
+class _Phase(Enum):
+    """How far an attempt has come."""
+
+    NOT_SENT = auto()  # the server cannot have run anything
+    SENT = auto()  # the last byte of the request line is written: it may have run
+    ENDED = auto()
+
+
+class TextUpstreamAttempt:
+    """One attempt; its observer is notified exactly once how it ended, unless it is cancelled.
+
+    Args:
+        loop: The event loop.
+        pool: The buffers and streams of clients.
+        observer: What is notified of the progress.
+        request_id: The request.
+        request_line: Its line, without its end.
+        address: The server's host and port.
+        connect_timeout_us: The time for the connect.
+        budget_us: The time for the whole attempt.
+
+    Attributes:
+        stream: The connection to the server; None if it failed at once.
+        acceptance_line: The line by which the server accepted the connection, without its end.
+    """
 
     def __init__(
         self,
         loop: EventLoop,
         pool: BufferPool,
-        owner: AttemptObserver,
+        observer: AttemptObserver,
         request_id: int,
-        first_line: bytes,
+        request_line: bytes,
         address: tuple[str, int],
-        connect_us: int,
-        wait_us: int,
+        connect_timeout_us: int,
+        budget_us: int,
     ) -> None:
         self._loop = loop
-        self._owner = owner
+        self._observer = observer
         self._request_id = request_id
-        self._first_line = first_line
-        self._until = loop.now_us + wait_us
-        self._written = False
-        self._over = False
-        self.up_line = b""
-        self._connect_limit = loop.call_later(min(connect_us, wait_us), self._on_late_connect)
-        self._limit = loop.call_later(wait_us, self._on_late)
+        self._request_line = request_line
+        self._expires_us = loop.now_us + budget_us
+        self._phase = _Phase.NOT_SENT
+        self.acceptance_line = b""
+        self._connect_timeout = loop.call_later(
+            min(connect_timeout_us, budget_us), self._on_connect_timeout
+        )
+        self._timeout = loop.call_later(budget_us, self._on_timeout)
         self.stream: Stream | None = None
         try:
             self.stream = Stream.connect(loop, pool, address, self)
         except OSError as error:
-            short = error.errno in RESOURCE_EXHAUSTION_ERRNOS
-            result = AttemptResult.NOT_SENT if short else AttemptResult.UNREACHABLE
-            # Told in a turn of its own: the owner is still at work on the action that began this.
-            loop.call_later(0, lambda: self._end(result))
+            result = _result_of_connect_error(error.errno)
+            # Reported later: the observer is still at work on the action that began this.
+            loop.call_later(0, lambda: self._fail(result))
 
-    # The stream's owner
+    # The stream's protocol
 
     def connection_made(self) -> None:
-        """Send the first line, unless the instance was told to drain while the connect took its time."""
-        self._loop.cancel(self._connect_limit)
+        """Send the request line, unless the server began to drain during the connect."""
+        self._loop.cancel(self._connect_timeout)
         stream = self.stream
-        if stream is None or self._over:
+        if stream is None or self._phase is _Phase.ENDED:
             return
-        if not self._owner.may_send_request(self._request_id):
-            self._end(AttemptResult.NOT_SENT)
+        if not self._observer.may_send_request(self._request_id):
+            self._fail(AttemptResult.NOT_SENT)
             return
-        line = lines.with_wait(self._first_line, self._until - self._loop.now_us)
+        line = codec.encode_request_line(self._request_line, self._expires_us - self._loop.now_us)
         if stream.write(line) < len(line):
-            self._end(AttemptResult.NOT_SENT)  # no buffer left for the rest
+            self._fail(AttemptResult.NOT_SENT)  # no buffer is left for the rest
             return
         if not stream.pending_bytes:
             self.write_buffer_drained()
 
     def write_buffer_drained(self) -> None:
-        """Note that the last byte of the line is written: from here on it may have run."""
-        if not self._written:
-            self._written = True
-            self._owner.on_request_sent(self._request_id)
+        """Take notice that the request line is sent completely."""
+        if self._phase is _Phase.NOT_SENT:
+            self._phase = _Phase.SENT
+            self._observer.on_request_sent(self._request_id)
 
     def data_received(self) -> None:
-        """Read the instance's answer."""
-        inbox = self.stream.inbox if self.stream is not None else None
-        if self._over or inbox is None or self.stream is None:
+        """Handle the server's answer."""
+        stream = self.stream
+        if self._phase is _Phase.ENDED or stream is None or stream.inbox is None:
             return
         try:
-            line = lines.take_line(inbox)
-        except lines.BadLineError:
-            self._end(AttemptResult.ERROR)
+            line = codec.take_line(stream.inbox)
+        except codec.RemoteProtocolError:
+            self._fail(AttemptResult.ERROR)
             return
         if line is None:
             return
-        self.stream.consume(0)
-        if lines.is_up(line):
-            self._over = True
-            self._stop_clocks()
-            self.up_line = line
-            self._owner.on_attempt_established(self._request_id)
+        stream.consume(0)
+        if codec.is_acceptance(line):
+            self._phase = _Phase.ENDED
+            self._cancel_timeouts()
+            self.acceptance_line = line
+            self._observer.on_attempt_established(self._request_id)
             return
-        result, report = lines.read_ending(line) or (AttemptResult.ERROR, None)
-        self._end(result, report)
+        ending = codec.parse_ending(line) or codec.Ending(AttemptResult.ERROR)
+        self._fail(ending.result, ending.report)
 
     def eof_received(self) -> None:
-        """Take an end without an answer."""
-        self._end(AttemptResult.RESET if self._written else AttemptResult.UNREACHABLE)
+        """Fail: the server has ended the connection without an answer."""
+        self._fail(self._result_of_lost_connection())
 
     def connection_lost(self, code: int) -> None:
-        """Take a break, which proves that nothing ran only before the line's last byte was written."""
+        """Fail: only before its last byte was written can the request not have run."""
         if code in RESOURCE_EXHAUSTION_ERRNOS and code != errno.ENOBUFS:
-            self._end(AttemptResult.NOT_SENT)
+            self._fail(AttemptResult.NOT_SENT)
         else:
-            self._end(AttemptResult.RESET if self._written else AttemptResult.UNREACHABLE)
+            self._fail(self._result_of_lost_connection())
+
+    def _result_of_lost_connection(self) -> AttemptResult:
+        is_sent = self._phase is _Phase.SENT
+        return AttemptResult.RESET if is_sent else AttemptResult.UNREACHABLE
 
-    # Limits
+    # Timeouts
 
-    def _on_late_connect(self) -> None:
-        self._end(AttemptResult.UNREACHABLE)
+    def _on_connect_timeout(self) -> None:
+        self._fail(AttemptResult.UNREACHABLE)
 
-    def _on_late(self) -> None:
-        """Give up; an answer that has just come still counts."""
-        if self.stream is not None and self._written:
+    def _on_timeout(self) -> None:
+        """Fail; an answer that has just come still counts."""
+        if self._phase is _Phase.SENT and self.stream is not None:
             self.stream.read_available()
-        self._end(AttemptResult.TIMEOUT if self._written else AttemptResult.UNREACHABLE)
+        is_sent = self._phase is _Phase.SENT
+        self._fail(AttemptResult.TIMEOUT if is_sent else AttemptResult.UNREACHABLE)
+
+    def _cancel_timeouts(self) -> None:
+        self._loop.cancel(self._connect_timeout)
+        self._loop.cancel(self._timeout)
 
     # Ending
 
     def cancel(self) -> None:
-        """Give up without a word to the owner."""
-        if not self._over:
-            self._over = True
-            self._stop_clocks()
+        """Give up; the observer is not notified."""
+        if self._phase is not _Phase.ENDED:
+            self._phase = _Phase.ENDED
+            self._cancel_timeouts()
             if self.stream is not None:
                 self.stream.close()
 
-    def _end(self, result: AttemptResult, report: LoadReport | None = None) -> None:
-        if not self._over:
-            self.cancel()  # closed before the owner hears of it: the next execution must not overlap
-            self._owner.on_attempt_failed(self._request_id, result, report)
+    def _fail(self, result: AttemptResult, report: LoadReport | None = None) -> None:
+        if self._phase is not _Phase.ENDED:
+            # Closed before the observer is notified: the next attempt must not overlap.
+            self.cancel()
+            self._observer.on_attempt_failed(self._request_id, result, report)
+
 
-    def _stop_clocks(self) -> None:
-        self._loop.cancel(self._connect_limit)
-        self._loop.cancel(self._limit)
+def _result_of_connect_error(code: int | None) -> AttemptResult:
+    if code in RESOURCE_EXHAUSTION_ERRNOS:
+        return AttemptResult.NOT_SENT
+    return AttemptResult.UNREACHABLE
--- a/larchhaven/net/upstream_servers.py
+++ b/larchhaven/net/upstream_servers.py
@@ -15,7 +15,7 @@
 )
 from larchhaven.net.control.endpoint_watch import EndpointWatch
 from larchhaven.net.resources import ProxyResources
-from larchhaven.net.text_protocol.health_check_connection import Probes
+from larchhaven.net.text_protocol.health_check_connection import HealthCheckConnections
 from larchhaven.routing.events import (
     AttemptResult,
     EndpointListKind,
@@ -59,7 +59,7 @@
         self.latest_reports: dict[str, ReceivedReport] = {}
         self.directory = _build_directory(resources, config)
         self.directory.on_server_removed = self._forget_server
-        self.health_checks = Probes(
+        self.health_checks = HealthCheckConnections(
             resources.loop,
             resources.health_check_pool,
             config.settings.connect_timeout_us,
@@ -104,7 +104,7 @@
 
     def _forget_server(self, server_id: str) -> None:
         """Forget a server that is gone; the decisions do so by themselves."""
-        self.health_checks.drop(server_id)
+        self.health_checks.close(server_id)
         self._dispatcher.forget_server(server_id)
         self.latest_reports.pop(server_id, None)
 
--- a/tests/net/text_protocol/test_codec.py
+++ b/tests/net/text_protocol/test_codec.py
@@ -6,7 +6,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from larchhaven.net.text_protocol import codec as lines
+from larchhaven.net.text_protocol import codec
+from larchhaven.net.text_protocol.line_counter import LineCounter
 from larchhaven.routing.events import AttemptResult, LoadReport
 
 PIECES = st.lists(
@@ -25,7 +26,7 @@
     ],
 )
 def test_tenant_of_a_request(fields: bytes, tenants: dict[str, int], tenant: int) -> None:
-    assert lines.read_opening(b"OPEN 1 2 " + fields, {"a": 0}, tenants).tenant_index == tenant
+    assert codec.parse_request_line(b"OPEN 1 2 " + fields, {"a": 0}, tenants).tenant_index == tenant
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
@@ -33,10 +34,14 @@
 def test_lines_are_counted_alike_however_they_are_split(pieces: list[bytes]) -> None:
     """Guards the gap between two lines, where alone a MOVE may be written."""
     whole = b"".join(pieces)
-    at_once, bit_by_bit = lines.LineCounter(), lines.LineCounter()
+    at_once, bit_by_bit = LineCounter(), LineCounter()
     found = [head for piece in pieces for head in bit_by_bit.feed(piece)]
     assert len(at_once.feed(whole)) == len(found) == whole.count(b"\r\n")
-    assert at_once.midline == bit_by_bit.midline == (not whole.endswith(b"\r\n") and bool(whole))
+    assert (
+        at_once.is_mid_line
+        == bit_by_bit.is_mid_line
+        == (not whole.endswith(b"\r\n") and bool(whole))
+    )
     assert [head[:200] for head in found] == [part[:200] for part in whole.split(b"\r\n")[:-1]]
 
 
@@ -49,7 +54,7 @@
     ],
 )
 def test_only_the_deadline_is_changed(line: bytes, sent: bytes) -> None:
-    assert lines.with_wait(line, 1_234_567) == sent
+    assert codec.encode_request_line(line, 1_234_567) == sent
 
 
 @pytest.mark.parametrize(
@@ -68,7 +73,8 @@
     ],
 )
 def test_health_check_answers(line: bytes, answer: tuple[AttemptResult, LoadReport | None]) -> None:
-    assert lines.read_probe(line) == answer
+    result, report = answer
+    assert codec.parse_health_check_answer(line) == codec.Ending(result, report)
 
 
 @pytest.mark.parametrize(
@@ -76,4 +82,4 @@
     [(b"LOAD 120000", 0.12), (b"LOAD", None), (b"LOAD x", None), (b"LOADS 1", None)],
 )
 def test_load_is_reported_in_microseconds_a_second(line: bytes, load: float | None) -> None:
-    assert lines.read_load(line) == load
+    assert codec.parse_load(line) == load
--- a/tests/test_caps.py
+++ b/tests/test_caps.py
@@ -169,7 +169,7 @@
     assert made.call("GET", "/v1/metrics")[1]["config_reload_errors"] == 1
     assert "Traceback" not in made.close()
     assert all(tuple(line) == log_setup.JSON_KEYS for line in lines)
-    assert lines[0]["event"] == "bad first line"
+    assert lines[0]["event"] == "request line invalid"
     assert "\x1b" not in lines[0]["detail"]
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -263,8 +263,8 @@
     bench.spin(3)
     assert list(bench.pool.lingering)
     sock.send(b"more\r\n" * 200)
-    vars(bench.listener)["_rooms"].max_descriptors = 1
-    vars(type(bench.listener))["_make_room"](bench.listener)
+    vars(bench.listener)["_limits"].max_descriptors = 1
+    vars(type(bench.listener))["_shed_clients"](bench.listener)
     assert not bench.pool.lingering
     assert read(sock) == b"ERR\r\n."
 
--- a/tests/test_leaks.py
+++ b/tests/test_leaks.py
@@ -33,9 +33,9 @@
 from larchhaven.net.core.event_loop import EventLoop
 from larchhaven.net.core.rate_limited_log import RateLimitedLog
 from larchhaven.net.core.stream import Stream
-from larchhaven.net.text_protocol.connection_relay import Relay
+from larchhaven.net.text_protocol.connection_relay import ConnectionRelay
 from larchhaven.net.text_protocol.listener import Listener
-from larchhaven.net.text_protocol.upstream_attempt import TextExecution
+from larchhaven.net.text_protocol.upstream_attempt import TextUpstreamAttempt
 from larchhaven.routing.events import Endpoint, EndpointListKind, EndpointListUpdate
 from larchhaven.routing.settings import RoutingSettings
 from tests.routing.builders import BASIC_SETTINGS as PLAIN
@@ -137,7 +137,7 @@
     def begin(
         self, token: int, payload: bytes, address: tuple[str, int], wait_us: int
     ) -> UpstreamAttempt:
-        return TextExecution(
+        return TextUpstreamAttempt(
             self.loop,
             self.pool,
             self.dispatcher.attempts,
@@ -169,7 +169,7 @@
         for purpose in (MemoryPurpose.CONNECTIONS, MemoryPurpose.TABLES, MemoryPurpose.BUFFERS):
             assert self.account.charged_bytes(purpose) == 0, purpose
         assert self.account.excess_releases == 0
-        assert self.listener.silent() == 0
+        assert self.listener.count_awaiting_request() == 0
 
     def end(self) -> None:
         """Let everybody go, and all deadlines pass."""
@@ -291,7 +291,7 @@
         bench.dispatcher.connections.adopt_connection(
             spec,
             "s0",
-            lambda token: Relay(
+            lambda token: ConnectionRelay(
                 bench.loop, client, instance, bench.dispatcher.connections, token, b"UP 9"
             ),
         )
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -25,7 +25,7 @@
     encode,
     identity_hash,
 )
-from larchhaven.net.text_protocol.connection_relay import RelayState, SideState
+from larchhaven.net.text_protocol.relay_state import RelayState, SideState
 
 SUSPENDED_FILE = b'{"v":1,"hosts":["s-\xc3\xbc","s0","s1"]}'
 
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -58,6 +58,7 @@
     "net/reload.py",
     "net/resources.py",
     "net/state_transfer.py",
+    "net/text_protocol",
     "net/upstream_servers.py",
     "routing",
     "simulator",
