--- a/larchhaven/net/configuration.py
+++ b/larchhaven/net/configuration.py
@@ -93,45 +93,45 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Config:
+class ProxyConfiguration:
     """What a proxy is started with.
 
     Attributes:
         name: The proxy's name in its log; may be empty.
-        listen: The clients' address.
-        discovery: The address of discovery.
+        listen_address: The clients' address.
+        discovery_address: The address of discovery.
         seed: The seed of the decisions' random draws.
         limits: What the machine grants.
-        mgmt: The operators' address; None if there is no admin API.
+        admin_address: The operators' address; None if there is no admin API.
         socket_fd: The clients' listening socket, if the platform holds it.
-        peer_listen: The own address for datagrams of other proxies; None if there is none.
-        peers: The addresses of all proxies, by their index.
-        peers_all: An address that reaches all proxies at once; None if there is none.
-        known: The endpoint list to start with.
+        peer_listen_address: The own address for datagrams of other proxies; None if there is none.
+        peer_addresses: The addresses of all proxies, by their index.
+        peer_broadcast_address: An address that reaches all proxies at once; None if there is none.
+        initial_endpoints: The endpoint list to start with.
         settings: The settings of the decisions.
-        classes: The index of each request class, by name.
-        tenants: The index of each tenant, by name.
+        class_indexes: The index of each request class, by name.
+        tenant_indexes: The index of each tenant, by name.
         zones: The names of the zones, by index.
-        kinds: The names of the server kinds, by index.
+        hardware_kinds: The names of the server kinds, by index.
 
     """
 
     name: str
-    listen: tuple[str, int]
-    discovery: tuple[str, int]
+    listen_address: tuple[str, int]
+    discovery_address: tuple[str, int]
     seed: int
     limits: MachineLimits
-    mgmt: tuple[str, int] | None
+    admin_address: tuple[str, int] | None
     socket_fd: int | None
-    peer_listen: tuple[str, int] | None
-    peers: tuple[tuple[str, int], ...]
-    peers_all: tuple[str, int] | None
-    known: EndpointListMessage
+    peer_listen_address: tuple[str, int] | None
+    peer_addresses: tuple[tuple[str, int], ...]
+    peer_broadcast_address: tuple[str, int] | None
+    initial_endpoints: EndpointListMessage
     settings: RoutingSettings
-    classes: dict[str, int]
-    tenants: dict[str, int]
+    class_indexes: dict[str, int]
+    tenant_indexes: dict[str, int]
     zones: tuple[str, ...]
-    kinds: tuple[str, ...]
+    hardware_kinds: tuple[str, ...]
 
     @property
     def shares_socket(self) -> bool:
@@ -139,7 +139,7 @@
         return self.socket_fd is not None
 
 
-def load_configuration(environment: Mapping[str, str]) -> Config:
+def load_configuration(environment: Mapping[str, str]) -> ProxyConfiguration:
     """Read the file that ``EDGE_CONFIG`` names; what it leaves out comes from the environment.
 
     Raises:
@@ -156,7 +156,7 @@
     return decode_configuration(raw, environment)
 
 
-def decode_configuration(raw: bytes, environment: Mapping[str, str]) -> Config:
+def decode_configuration(raw: bytes, environment: Mapping[str, str]) -> ProxyConfiguration:
     """Decode the text of a configuration file.
 
     Args:
@@ -172,26 +172,29 @@
     seed = _parse_seed(file.seed)
     socket_fd = _parse_socket_fd(environment.get("EDGE_SOCKET_FD", ""))
     tenants = _index_by_name(file.settings, "parties")
-    return Config(
+    return ProxyConfiguration(
         name=file.name or environment.get("EDGE_NAME", ""),
-        listen=_parse_address(file.listen or environment.get("EDGE_LISTEN", ""), "listen"),
-        discovery=_parse_address(
+        listen_address=_parse_address(file.listen or environment.get("EDGE_LISTEN", ""), "listen"),
+        discovery_address=_parse_address(
             file.discovery or environment.get("EDGE_DISCOVERY", ""), "discovery"
         ),
         seed=seed,
         limits=file.limits,
-        mgmt=_parse_optional_address(file.mgmt or environment.get("EDGE_MGMT", ""), "mgmt"),
+        admin_address=_parse_optional_address(
+            file.mgmt or environment.get("EDGE_MGMT", ""), "mgmt"
+        ),
         socket_fd=socket_fd,
-        peer_listen=_parse_optional_address(file.peer_listen, "peer_listen"),
-        peers=tuple(_parse_address(peer, "peers") for peer in file.peers),
-        peers_all=_parse_optional_address(file.peers_all, "peers_all"),
-        known=file.known or EndpointListMessage(version=0, endpoints=[], is_complete=True),
+        peer_listen_address=_parse_optional_address(file.peer_listen, "peer_listen"),
+        peer_addresses=tuple(_parse_address(peer, "peers") for peer in file.peers),
+        peer_broadcast_address=_parse_optional_address(file.peers_all, "peers_all"),
+        initial_endpoints=file.known
+        or EndpointListMessage(version=0, endpoints=[], is_complete=True),
         settings=settings,
-        classes=_index_by_name(file.settings, "services"),
+        class_indexes=_index_by_name(file.settings, "services"),
         # Clients that name no tenant must not be taken for one that has no name.
-        tenants={name: index for name, index in tenants.items() if name},
+        tenant_indexes={name: index for name, index in tenants.items() if name},
         zones=_list_names(file.settings, "zones"),
-        kinds=_list_names(file.settings, "kinds"),
+        hardware_kinds=_list_names(file.settings, "kinds"),
     )
 
 
--- a/larchhaven/net/control/membership_switch.py
+++ b/larchhaven/net/control/membership_switch.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from larchhaven.net.configuration import Config
+from larchhaven.net.configuration import ProxyConfiguration
 from larchhaven.net.control.membership_report import MembershipDisabledReport
 from larchhaven.net.core.event_loop import EventLoop
 from larchhaven.operator.settings import Settings
@@ -55,7 +55,7 @@
     def __init__(
         self,
         loop: EventLoop,
-        config: Config,
+        config: ProxyConfiguration,
         send_datagram: Callable[[int, bytes], None],
         shares_load_reports: bool,
     ) -> None:
@@ -77,9 +77,9 @@
             return "the operators' file does not turn it on (membership.on)"
         if not config.settings.can_gossip:
             return "the platform's settings do not let proxies talk"
-        if config.peer_listen is None or len(config.peers) < MIN_TABLE_SIZE:
+        if config.peer_listen_address is None or len(config.peer_addresses) < MIN_TABLE_SIZE:
             return "the platform's configuration names no other proxies (peer_listen, peers)"
-        if config.settings.proxy_index >= len(config.peers):
+        if config.settings.proxy_index >= len(config.peer_addresses):
             return "the own number is not in the platform's list of peers"
         if self.is_handed_over:
             return "the next process of this proxy speaks for it"
@@ -123,7 +123,7 @@
         from larchhaven.net.control.membership_transport import MembershipTransport
 
         config = self._config
-        own_number, table_size = config.settings.proxy_index, len(config.peers)
+        own_number, table_size = config.settings.proxy_index, len(config.peer_addresses)
         capabilities = Capability.LOAD_REPORTS if self._shares_load_reports else Capability.NONE
         info = MemberInfo(config.name, config.settings.zone, capabilities=capabilities)
         self._transport = MembershipTransport(
@@ -136,7 +136,7 @@
     def _forget_transport(self) -> None:
         self._transport = None
         # Without the membership nobody is known to be gone.
-        self.on_present_changed(frozenset(range(len(self._config.peers))))
+        self.on_present_changed(frozenset(range(len(self._config.peer_addresses))))
 
     # Hot restart and stop
 
@@ -174,7 +174,9 @@
 
     def memory_bytes(self) -> int:
         """Return how much memory the membership takes, for the memory account."""
-        return BYTES_PER_PEER * len(self._config.peers) if self._transport is not None else 0
+        return (
+            BYTES_PER_PEER * len(self._config.peer_addresses) if self._transport is not None else 0
+        )
 
     def report_json(self) -> bytes:
         """Return the answer to ``GET /v1/members``."""
--- a/larchhaven/net/lifecycle.py
+++ b/larchhaven/net/lifecycle.py
@@ -6,7 +6,7 @@
 from typing import Protocol
 
 from larchhaven.net.admin.administrative_ejection import AdministrativeEjections
-from larchhaven.net.configuration import Config
+from larchhaven.net.configuration import ProxyConfiguration
 from larchhaven.net.control.dispatcher import Dispatcher
 from larchhaven.net.control.membership_switch import MembershipSwitch
 from larchhaven.net.graceful_shutdown import MIGRATION_DELAY_US, GracefulShutdown
@@ -61,7 +61,7 @@
     def __init__(
         self,
         resources: ProxyResources,
-        config: Config,
+        config: ProxyConfiguration,
         dispatcher: Dispatcher,
         servers: UpstreamServers,
         listener: OpenableListener,
--- a/larchhaven/net/peer_messaging.py
+++ b/larchhaven/net/peer_messaging.py
@@ -7,7 +7,7 @@
 from larchhaven.gossip import codec
 from larchhaven.gossip.shared_health_checks import uses_shared_checks
 from larchhaven.net.admin.metrics import Metrics
-from larchhaven.net.configuration import Config
+from larchhaven.net.configuration import ProxyConfiguration
 from larchhaven.net.control.dispatcher import Dispatcher
 from larchhaven.net.control.membership_switch import MembershipSwitch
 from larchhaven.net.control.peer_socket import PeerSocket
@@ -35,7 +35,7 @@
     def __init__(
         self,
         resources: ProxyResources,
-        config: Config,
+        config: ProxyConfiguration,
         dispatcher: Dispatcher,
         metrics: Metrics,
         shares_socket: bool,
@@ -44,13 +44,13 @@
         self._metrics = metrics
         self._own_index = config.settings.proxy_index
         self._socket: PeerSocket | None = None
-        if config.peer_listen is not None:
+        if config.peer_listen_address is not None:
             self._socket = PeerSocket(
                 resources.loop,
                 resources.log,
-                config.peer_listen,
-                config.peers,
-                config.peers_all,
+                config.peer_listen_address,
+                config.peer_addresses,
+                config.peer_broadcast_address,
                 self._on_datagram,
                 shares_socket,
                 self._count_invalid_message,
--- a/larchhaven/net/proxy.py
+++ b/larchhaven/net/proxy.py
@@ -13,7 +13,7 @@
 from larchhaven.net.admin.http_api import ADMIN_DESCRIPTORS, AdminHttpApi
 from larchhaven.net.admin.metrics import Metrics
 from larchhaven.net.admin.sampled_memory import SampledMemory
-from larchhaven.net.configuration import Config, OperatorFileError
+from larchhaven.net.configuration import OperatorFileError, ProxyConfiguration
 from larchhaven.net.control.connection_limits import ConnectionLimits
 from larchhaven.net.control.dispatcher import Dispatcher
 from larchhaven.net.control.interfaces import Transport, UpstreamAttempt
@@ -49,7 +49,7 @@
     """
 
     def __init__(
-        self, config: Config, operator_path: str = "", reading: Reading | None = None
+        self, config: ProxyConfiguration, operator_path: str = "", reading: Reading | None = None
     ) -> None:
         reading = reading or Reading(Settings(), [])
         loop = EventLoop()
@@ -57,7 +57,7 @@
         self._config = config
         self._resources = _build_resources(loop, config, operator_path, reading)
         self._settings = _limit_sticky_table(config.settings, self._resources)
-        self._metrics = Metrics.for_classes(list(config.classes))
+        self._metrics = Metrics.for_classes(list(config.class_indexes))
         self._dispatcher = self._build_dispatcher()
         self._servers = UpstreamServers(self._resources, config, self._dispatcher)
         self._peers = PeerMessaging(
@@ -167,9 +167,9 @@
             resources.pool,
             self._dispatcher.requests,
             resources.log,
-            config.listen,
-            config.classes,
-            config.tenants,
+            config.listen_address,
+            config.class_indexes,
+            config.tenant_indexes,
             self._max_descriptors,
             self._limits,
             config.socket_fd,
@@ -215,7 +215,7 @@
 
     def _build_admin_api(self) -> AdminHttpApi | None:
         config, resources = self._config, self._resources
-        if config.mgmt is None:
+        if config.admin_address is None:
             return None
         backend = ProxyAdminBackend(
             resources,
@@ -229,12 +229,16 @@
             self._shutdown.migrate_connections,
         )
         return AdminHttpApi(
-            resources.loop, config.mgmt, backend, config.shares_socket, resources.admin_pool
+            resources.loop,
+            config.admin_address,
+            backend,
+            config.shares_socket,
+            resources.admin_pool,
         )
 
 
 def _build_resources(
-    loop: EventLoop, config: Config, operator_path: str, reading: Reading
+    loop: EventLoop, config: ProxyConfiguration, operator_path: str, reading: Reading
 ) -> ProxyResources:
     try:
         return build_resources(loop, config.limits, reading.settings)
@@ -249,7 +253,7 @@
     return replace(settings, sticky_table_capacity=min(settings.sticky_table_capacity, capacity))
 
 
-def _find_max_descriptors(config: Config) -> int:
+def _find_max_descriptors(config: ProxyConfiguration) -> int:
     """Return how many descriptors there are beside those of the operators' API."""
     granted = raise_descriptor_limit(config.limits.sockets)
-    return granted - (ADMIN_DESCRIPTORS if config.mgmt is not None else 0)
+    return granted - (ADMIN_DESCRIPTORS if config.admin_address is not None else 0)
--- a/larchhaven/net/reload.py
+++ b/larchhaven/net/reload.py
@@ -15,7 +15,7 @@
 from larchhaven.net.admin.metrics import Metrics
 from larchhaven.net.admin.operator_file import OperatorFileReader
 from larchhaven.net.admin.process_memory import read_resident_bytes
-from larchhaven.net.configuration import Config, ConfigurationError, load_configuration
+from larchhaven.net.configuration import ConfigurationError, ProxyConfiguration, load_configuration
 from larchhaven.net.control.connection_limits import ConnectionLimits
 from larchhaven.net.control.membership_switch import MembershipSwitch
 from larchhaven.net.core import log_setup
@@ -88,7 +88,7 @@
         self,
         path: str,
         resources: ProxyResources,
-        config: Config,
+        config: ProxyConfiguration,
         metrics: Metrics,
         settings: OperatorSettings,
     ) -> None:
@@ -142,7 +142,7 @@
 
     def __init__(
         self,
-        config: Config,
+        config: ProxyConfiguration,
         metrics: Metrics,
         change_discovery_address: Callable[[tuple[str, int]], None],
     ) -> None:
@@ -160,12 +160,16 @@
             return
         self._metrics.config_reloads += 1
         note = "; other changes take effect at the next start" if self._differs(config) else ""
-        _log.info("configuration reloaded: discovery=%s:%d%s", *config.discovery, note)
-        if config.discovery != self._config.discovery:
-            self._config = replace(self._config, discovery=config.discovery)
-            self._change_discovery_address(config.discovery)
+        _log.info("configuration reloaded: discovery=%s:%d%s", *config.discovery_address, note)
+        if config.discovery_address != self._config.discovery_address:
+            self._config = replace(self._config, discovery_address=config.discovery_address)
+            self._change_discovery_address(config.discovery_address)
 
-    def _differs(self, config: Config) -> bool:
+    def _differs(self, config: ProxyConfiguration) -> bool:
         """Tell whether anything differs but discovery's address and the list to start with."""
-        comparable = replace(config, discovery=self._config.discovery, known=self._config.known)
+        comparable = replace(
+            config,
+            discovery_address=self._config.discovery_address,
+            initial_endpoints=self._config.initial_endpoints,
+        )
         return comparable != self._config
--- a/larchhaven/net/upstream_servers.py
+++ b/larchhaven/net/upstream_servers.py
@@ -6,7 +6,7 @@
 
 from larchhaven.memory import item_costs
 from larchhaven.memory.purposes import MemoryPurpose
-from larchhaven.net.configuration import Config
+from larchhaven.net.configuration import ProxyConfiguration
 from larchhaven.net.control.dispatcher import Dispatcher
 from larchhaven.net.control.endpoint_directory import (
     MAX_REMEMBERED_SERVERS,
@@ -52,7 +52,9 @@
 
     """
 
-    def __init__(self, resources: ProxyResources, config: Config, dispatcher: Dispatcher) -> None:
+    def __init__(
+        self, resources: ProxyResources, config: ProxyConfiguration, dispatcher: Dispatcher
+    ) -> None:
         self._loop = resources.loop
         self._config = config
         self._dispatcher = dispatcher
@@ -69,15 +71,15 @@
             resources.loop,
             resources.admin_pool,
             resources.log,
-            config.discovery,
-            config.known.version,
+            config.discovery_address,
+            config.initial_endpoints.version,
             self._on_endpoint_list,
         )
 
     def start(self) -> None:
         """Begin with the list of the configuration, and ask discovery where lists are pushed."""
         update = self.directory.apply_list(
-            EndpointListKind.CACHED, self._config.known, self._loop.now_us
+            EndpointListKind.CACHED, self._config.initial_endpoints, self._loop.now_us
         )
         self._dispatcher.queue_event(update)
         if not self._config.settings.subscribes_to_endpoints:
@@ -109,11 +111,11 @@
         self.latest_reports.pop(server_id, None)
 
 
-def _build_directory(resources: ProxyResources, config: Config) -> EndpointDirectory:
+def _build_directory(resources: ProxyResources, config: ProxyConfiguration) -> EndpointDirectory:
     tables_bytes = resources.account.cap_bytes(MemoryPurpose.TABLES)
     remembered_bytes = int(REMEMBERED_SERVERS_RATIO * tables_bytes)
     return EndpointDirectory(
         config.zones,
-        config.kinds,
+        config.hardware_kinds,
         min(MAX_REMEMBERED_SERVERS, remembered_bytes // item_costs.REMEMBERED_SERVER_BYTES),
     )
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -608,7 +608,7 @@
         "discovery": "127.0.0.1:1",
         "settings": {**SETTINGS, "parties": parties},
     }
-    assert set(decode_configuration(json.dumps(raw).encode(), {}).tenants) <= {"a"}
+    assert set(decode_configuration(json.dumps(raw).encode(), {}).tenant_indexes) <= {"a"}
 
 
 def test_no_address_but_the_given_one_is_listened_on(proxy: Proxy) -> None:
