--- a/larchhaven/net/admin/sampled_memory.py
+++ b/larchhaven/net/admin/sampled_memory.py
@@ -3,22 +3,42 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from typing import Protocol
 
 from larchhaven.memory import item_costs
 from larchhaven.memory.purposes import MemoryPurpose
-from larchhaven.net.control.dispatcher import Dispatcher
 from larchhaven.net.control.endpoint_directory import EndpointDirectory
 from larchhaven.net.resources import ProxyResources
 
 _STICKY_ENTRIES_SOURCE = "holders"
 
 
+class RequestGauge(Protocol):
+    """Counts the open requests."""
+
+    last_arrival_us: int
+
+    def count_requests(self) -> int:
+        """Return how many there are, established connections included."""
+
+
+class StickyTable(Protocol):
+    """The sticky table of the decisions."""
+
+    def count_sticky_entries(self) -> int:
+        """Return how many entries there are."""
+
+    def evict_sticky_entries(self, count: int) -> None:
+        """Evict the oldest entries."""
+
+
 class SampledMemory:
     """Counts what the tables take, and evicts what can be spared.
 
     Args:
         resources: What the parts of the proxy share.
-        dispatcher: Holds the requests and the sticky table.
+        requests: The open requests.
+        sticky_table: The sticky table, which can be evicted from.
         endpoints: Holds the endpoint list.
         count_membership_bytes: Counts what the membership takes.
 
@@ -27,14 +47,16 @@
     def __init__(
         self,
         resources: ProxyResources,
-        dispatcher: Dispatcher,
+        requests: RequestGauge,
+        sticky_table: StickyTable,
         endpoints: EndpointDirectory,
         count_membership_bytes: Callable[[], int],
     ) -> None:
         self._loop = resources.loop
         self._log = resources.log
         self._account = resources.account
-        self._dispatcher = dispatcher
+        self._requests = requests
+        self._sticky_table = sticky_table
         self._endpoints = endpoints
         resources.accounting.sampled_sources = {
             (MemoryPurpose.TABLES, "first use"): self._count_first_use_bytes,
@@ -48,17 +70,17 @@
 
     def evict_table_bytes(self, size_bytes: int) -> None:
         """Evict the oldest sticky entries, which are only a help, until this much is free."""
-        self._dispatcher.evict_sticky_entries(size_bytes // item_costs.STICKY_ENTRY_BYTES + 1)
+        self._sticky_table.evict_sticky_entries(size_bytes // item_costs.STICKY_ENTRY_BYTES + 1)
         self._account.set_sampled_bytes(
             MemoryPurpose.TABLES, _STICKY_ENTRIES_SOURCE, self._count_sticky_entry_bytes()
         )
 
     def _count_first_use_bytes(self) -> int:
-        return item_costs.FIRST_REQUEST_BYTES if self._dispatcher.requests.last_arrival_us else 0
+        return item_costs.FIRST_REQUEST_BYTES if self._requests.last_arrival_us else 0
 
     def _count_timer_bytes(self) -> int:
         """Count the timers beside those that requests are charged with."""
-        charged = item_costs.TIMERS_PER_REQUEST * self._dispatcher.requests.count_requests()
+        charged = item_costs.TIMERS_PER_REQUEST * self._requests.count_requests()
         return item_costs.TIMER_BYTES * max(self._loop.timer_count() - charged, 0)
 
     def _count_server_bytes(self) -> int:
@@ -68,7 +90,7 @@
         return self._endpoints.count_remembered() * item_costs.REMEMBERED_SERVER_BYTES
 
     def _count_sticky_entry_bytes(self) -> int:
-        return self._dispatcher.count_sticky_entries() * item_costs.STICKY_ENTRY_BYTES
+        return self._sticky_table.count_sticky_entries() * item_costs.STICKY_ENTRY_BYTES
 
     def _count_log_bytes(self) -> int:
         return self._log.event_count() * item_costs.LOG_EVENT_BYTES
--- a/larchhaven/net/graceful_shutdown.py
+++ b/larchhaven/net/graceful_shutdown.py
@@ -7,14 +7,14 @@
 from __future__ import annotations
 
 import enum
+from collections.abc import Callable
 from dataclasses import dataclass
+from typing import Protocol
 
-from larchhaven.net.control.dispatcher import Dispatcher
 from larchhaven.net.core.buffer_pool import BufferPool
 from larchhaven.net.core.event_loop import EventLoop
 from larchhaven.net.core.lingering_close import LINGER_US
-from larchhaven.net.text_protocol.listener import Listener
-from larchhaven.routing.events import ProxyDraining
+from larchhaven.routing.events import Event, ProxyDraining
 from larchhaven.routing.settings import RoutingSettings
 
 # The platform kills no earlier than the longest deadline, this at most, and the grace after it.
@@ -76,14 +76,50 @@
     return ShutdownDeadlines(answers_us, migrations_us, None)
 
 
+class OpenRequests(Protocol):
+    """The requests of the proxy, established connections included."""
+
+    def count_requests(self) -> int:
+        """Return how many there are."""
+
+    def set_answer_deadline(self, deadline_us: int) -> None:
+        """Answer every request by this time, whatever its own deadline."""
+
+
+class MigratableConnections(Protocol):
+    """The established connections of the proxy."""
+
+    def migrate_all_connections(self) -> None:
+        """Ask every client to reconnect."""
+
+
+class ClosableListener(Protocol):
+    """The listener that accepts the clients."""
+
+    @property
+    def accepting(self) -> bool:
+        """Whether clients are accepted."""
+
+    def stop(self) -> None:
+        """Accept no more clients."""
+
+    def empty_queue(self) -> bool:
+        """Accept all clients that wait; return whether none is left."""
+
+    def part_all(self) -> None:
+        """Answer all idle clients, and half-close their connections."""
+
+
 class GracefulShutdown:
     """Shuts the proxy down, phase by phase.
 
     Args:
         loop: The event loop, which is stopped at the end.
-        dispatcher: Holds the requests and the established connections.
+        requests: The requests of the proxy.
+        connections: Its established connections.
         listener: Accepts the clients.
         pool: Knows the streams in a lingering close.
+        queue_event: Takes events for the decisions.
         settings: The settings of the decisions.
         shares_socket: Whether another process may hold the clients' socket too.
 
@@ -92,16 +128,20 @@
     def __init__(
         self,
         loop: EventLoop,
-        dispatcher: Dispatcher,
-        listener: Listener,
+        requests: OpenRequests,
+        connections: MigratableConnections,
+        listener: ClosableListener,
         pool: BufferPool,
+        queue_event: Callable[[Event], None],
         settings: RoutingSettings,
         shares_socket: bool,
     ) -> None:
         self._loop = loop
-        self._dispatcher = dispatcher
+        self._requests = requests
+        self._connections = connections
         self._listener = listener
         self._pool = pool
+        self._queue_event = queue_event
         self._passes_through = settings.pass_through
         self._deadlines = compute_deadlines(settings, shares_socket)
         self._shares_socket = shares_socket
@@ -121,7 +161,7 @@
         """
         self.phase = ShutdownPhase.LAME_DUCK
         loop, deadlines = self._loop, self._deadlines
-        self._dispatcher.requests.set_answer_deadline(loop.now_us + deadlines.answers_us)
+        self._requests.set_answer_deadline(loop.now_us + deadlines.answers_us)
         if self._shares_socket:
             self._listener.stop()  # newcomers wait in the socket for the process that holds it next
         if deadlines.end_us is not None:
@@ -139,9 +179,9 @@
         self._listener.empty_queue()
         self._listener.stop()
         self._close_idle_clients()
-        self._dispatcher.requests.set_answer_deadline(self._loop.now_us)
+        self._requests.set_answer_deadline(self._loop.now_us)
         if not self._passes_through:
-            self._dispatcher.connections.migrate_all_connections()
+            self._connections.migrate_all_connections()
         self.phase = ShutdownPhase.FINISHED
         self._loop.call_later(LINGER_US, self._loop.stop)
         # The answers are given at the end of this iteration.
@@ -157,12 +197,12 @@
 
         """
         if not self._passes_through and not self.is_shutting_down:
-            self._dispatcher.queue_event(ProxyDraining(within_us))
+            self._queue_event(ProxyDraining(within_us))
 
     def _migrate_remaining(self) -> None:
         """Migrate what is left; where packets pass through, others take it over at our end."""
         if not self._passes_through:
-            self._dispatcher.queue_event(ProxyDraining(self._deadlines.migrations_us))
+            self._queue_event(ProxyDraining(self._deadlines.migrations_us))
 
     def _close_listener(self) -> None:
         """Close the listener once its queue is empty: who waits there would be reset."""
@@ -186,7 +226,7 @@
     def _stop_when_idle(self) -> None:
         if self.phase is not ShutdownPhase.LINGERING:
             return
-        if self._dispatcher.requests.count_requests() or self._pool.lingering:
+        if self._requests.count_requests() or self._pool.lingering:
             self._loop.call_later(POLL_INTERVAL_US, self._stop_when_idle)
         else:
             self.phase = ShutdownPhase.FINISHED
@@ -194,9 +234,7 @@
 
     def _stop_when_sent(self) -> None:
         # Where connections end here, one whose server is in the middle of a line migrates after it.
-        if self._pool.lingering or (
-            self._dispatcher.requests.count_requests() and not self._passes_through
-        ):
+        if self._pool.lingering or (self._requests.count_requests() and not self._passes_through):
             self._loop.call_later(POLL_INTERVAL_US, self._stop_when_sent)
         else:
             self._loop.stop()
--- a/larchhaven/net/lifecycle.py
+++ b/larchhaven/net/lifecycle.py
@@ -7,7 +7,6 @@
 
 from larchhaven.net.admin.administrative_ejection import AdministrativeEjections
 from larchhaven.net.configuration import ProxyConfiguration
-from larchhaven.net.control.dispatcher import Dispatcher
 from larchhaven.net.control.membership_switch import MembershipSwitch
 from larchhaven.net.graceful_shutdown import MIGRATION_DELAY_US, GracefulShutdown
 from larchhaven.net.reload import ConfigurationReload, OperatorFileReload
@@ -20,6 +19,16 @@
 _log = logging.getLogger("larchhaven")
 
 
+class EventDispatcher(Protocol):
+    """Runs the decisions."""
+
+    def dispatch_events(self) -> None:
+        """Have the queued events handled, and carry out the actions."""
+
+    def on_process_resumed(self) -> None:
+        """Decide nothing until pending input is read."""
+
+
 class OpenableListener(Protocol):
     """Accepts the clients, from its opening on."""
 
@@ -62,7 +71,7 @@
         self,
         resources: ProxyResources,
         config: ProxyConfiguration,
-        dispatcher: Dispatcher,
+        dispatcher: EventDispatcher,
         servers: UpstreamServers,
         listener: OpenableListener,
         admin_api: AdminListener | None,
@@ -101,7 +110,7 @@
             self._open()
         self._dispatcher.dispatch_events()
         self._loop.run()
-        _log.info("stopped")
+        _log.info("proxy stopped")
 
     def on_reload_signal(self) -> None:
         """Read the operators' file and the configuration again."""
--- a/larchhaven/net/peer_messaging.py
+++ b/larchhaven/net/peer_messaging.py
@@ -8,11 +8,10 @@
 from larchhaven.gossip.shared_health_checks import uses_shared_checks
 from larchhaven.net.admin.metrics import Metrics
 from larchhaven.net.configuration import ProxyConfiguration
-from larchhaven.net.control.dispatcher import Dispatcher
 from larchhaven.net.control.membership_switch import MembershipSwitch
 from larchhaven.net.control.peer_socket import PeerSocket
 from larchhaven.net.resources import ProxyResources
-from larchhaven.routing.events import GossipReceived
+from larchhaven.routing.events import Event, GossipReceived
 from larchhaven.routing.gossip_messages import GossipMessage, is_peer_message
 
 
@@ -22,7 +21,8 @@
     Args:
         resources: What the parts of the proxy share.
         config: The configuration.
-        dispatcher: Takes what other proxies say.
+        queue_event: Takes events for the decisions.
+        set_live_peers: Takes the indexes of the proxies that are presumed present.
         metrics: Counts messages that cannot be used.
         shares_socket: Whether the other process of a hot restart may use the same address.
 
@@ -36,11 +36,12 @@
         self,
         resources: ProxyResources,
         config: ProxyConfiguration,
-        dispatcher: Dispatcher,
+        queue_event: Callable[[Event], None],
+        set_live_peers: Callable[[frozenset[int]], None],
         metrics: Metrics,
         shares_socket: bool,
     ) -> None:
-        self._dispatcher = dispatcher
+        self._queue_event = queue_event
         self._metrics = metrics
         self._own_index = config.settings.proxy_index
         self._socket: PeerSocket | None = None
@@ -59,7 +60,7 @@
         self.membership = MembershipSwitch(
             resources.loop, config, self._send_datagram, uses_shared_checks(config.settings)
         )
-        self.membership.on_present_changed = dispatcher.set_live_peers
+        self.membership.on_present_changed = set_live_peers
 
     def send_gossip(self, peer_index: int | None, message: GossipMessage) -> None:
         """Send a gossip message to a proxy by its index, or to all if it is None.
@@ -80,7 +81,7 @@
             return
         message = codec.decode(data)
         if is_peer_message(message):
-            self._dispatcher.queue_event(GossipReceived(sender_index, message))
+            self._queue_event(GossipReceived(sender_index, message))
         else:
             self._count_invalid_message()
 
--- a/larchhaven/net/proxy.py
+++ b/larchhaven/net/proxy.py
@@ -60,9 +60,7 @@
         self._metrics = Metrics.for_classes(list(config.class_indexes))
         self._dispatcher = self._build_dispatcher()
         self._servers = UpstreamServers(self._resources, config, self._dispatcher)
-        self._peers = PeerMessaging(
-            self._resources, config, self._dispatcher, self._metrics, config.shares_socket
-        )
+        self._peers = self._build_peer_messaging()
         self._transfer = self._build_transfer()
         self._dispatcher.attach_transport(self._build_transport())
         self._max_descriptors = _find_max_descriptors(config)
@@ -104,11 +102,23 @@
             resources.account,
         )
 
+    def _build_peer_messaging(self) -> PeerMessaging:
+        return PeerMessaging(
+            self._resources,
+            self._config,
+            self._dispatcher.queue_event,
+            self._dispatcher.set_live_peers,
+            self._metrics,
+            self._config.shares_socket,
+        )
+
     def _build_transfer(self) -> StateTransfer:
         transfer = StateTransfer(
             self._resources,
             self._settings,
-            self._dispatcher,
+            self._dispatcher.requests,
+            self._dispatcher.connections,
+            self._dispatcher.queue_event,
             self._peers.membership,
             self._servers.latest_reports,
             self._resources.directory if self._config.shares_socket else "",
@@ -147,6 +157,7 @@
     def _build_limits(self) -> ConnectionLimits:
         sampled_memory = SampledMemory(
             self._resources,
+            self._dispatcher.requests,
             self._dispatcher,
             self._servers.directory,
             self._peers.membership.memory_bytes,
@@ -178,9 +189,11 @@
     def _build_shutdown(self) -> GracefulShutdown:
         return GracefulShutdown(
             self._resources.loop,
-            self._dispatcher,
+            self._dispatcher.requests,
+            self._dispatcher.connections,
             self._listener,
             self._resources.pool,
+            self._dispatcher.queue_event,
             self._settings,
             self._config.shares_socket,
         )
--- a/larchhaven/net/state_transfer.py
+++ b/larchhaven/net/state_transfer.py
@@ -7,8 +7,7 @@
 from typing import Protocol
 
 from larchhaven.gossip import codec
-from larchhaven.net.control.dispatcher import Dispatcher
-from larchhaven.net.control.interfaces import EstablishedConnection
+from larchhaven.net.control.interfaces import ConnectionObserver, EstablishedConnection
 from larchhaven.net.control.membership_switch import MembershipSwitch
 from larchhaven.net.control.request_spec import RequestSpec
 from larchhaven.net.core.stream import Stream
@@ -24,7 +23,12 @@
 from larchhaven.net.resources import ProxyResources
 from larchhaven.net.text_protocol.connection_relay import Relay, RelayState
 from larchhaven.net.upstream_servers import ReceivedReport
-from larchhaven.routing.events import AttemptResult, GossipReceived, HealthCheckCompleted
+from larchhaven.routing.events import (
+    AttemptResult,
+    Event,
+    GossipReceived,
+    HealthCheckCompleted,
+)
 from larchhaven.routing.settings import RoutingSettings
 
 # A connection that could not be transferred is tried again after this time.
@@ -55,13 +59,40 @@
         """Its connection; None once that has ended."""
 
 
+class OpenIdentities(Protocol):
+    """The identities of the open requests."""
+
+    def list_identities(self) -> list[bytes]:
+        """Return all of them."""
+
+
+class TransferableConnections(ConnectionObserver, Protocol):
+    """The established connections, which may leave this process and come from another one."""
+
+    def list_connections(self) -> Sequence[TransferableRequest]:
+        """Return the requests whose connections are established."""
+
+    def release_connection(self, request_id: int) -> None:
+        """Let go of a connection that the successor has."""
+
+    def adopt_connection(
+        self,
+        spec: RequestSpec,
+        server_id: str,
+        connect: Callable[[int], EstablishedConnection],
+    ) -> None:
+        """Add a connection of the predecessor, made by ``connect`` of its request id."""
+
+
 class StateTransfer:
     """Shares the state of this process with the other one, and adopts that one's.
 
     Args:
         resources: What the parts of the proxy share.
         settings: The settings of the decisions.
-        dispatcher: Holds the requests and connections, and takes the events.
+        requests: The requests of this process.
+        connections: Its established connections.
+        queue_event: Takes events for the decisions.
         membership: Is handed over to the successor.
         latest_reports: The latest load reports of this process, by server.
         directory: The directory that the processes share; empty if there is no other process.
@@ -75,7 +106,9 @@
         self,
         resources: ProxyResources,
         settings: RoutingSettings,
-        dispatcher: Dispatcher,
+        requests: OpenIdentities,
+        connections: TransferableConnections,
+        queue_event: Callable[[Event], None],
         membership: MembershipSwitch,
         latest_reports: dict[str, ReceivedReport],
         directory: str,
@@ -83,7 +116,9 @@
         self._loop = resources.loop
         self._pool = resources.pool
         self._settings = settings
-        self._dispatcher = dispatcher
+        self._requests = requests
+        self._connections = connections
+        self._queue_event = queue_event
         self._membership = membership
         self._latest_reports = latest_reports
         self.hot_restart = HotRestart(
@@ -108,7 +143,7 @@
         """Transfer the established connections to the successor, as many as it takes now."""
         if not self.hot_restart.has_successor:
             return
-        for request in self._dispatcher.connections.list_connections():
+        for request in self._connections.list_connections():
             relay = request.connection
             state = relay.state() if isinstance(relay, Relay) else None
             if state is None or not isinstance(relay, Relay):
@@ -118,7 +153,7 @@
                 # The loop wakes for it, and its iteration tries again.
                 self._loop.call_later(TRANSFER_RETRY_US, lambda: None)
                 return
-            self._dispatcher.connections.release_connection(request.request_id)
+            self._connections.release_connection(request.request_id)
 
     # Callbacks of the hot restart
 
@@ -132,7 +167,7 @@
             )
             for server_id, received in self._latest_reports.items()
         ]
-        identities = self._dispatcher.requests.list_identities()
+        identities = self._requests.list_identities()
         hashes = [identity_hash(identity) for identity in identities]
         return SharedState(PROTOCOL_VERSION, reports, hashes, self._membership.hand_over())
 
@@ -142,20 +177,20 @@
         for shared in state.reports:
             age_us = max(self._loop.now_us - shared.received_at_us, 0)
             report = shared.report.to_report()
-            self._dispatcher.queue_event(
+            self._queue_event(
                 HealthCheckCompleted(shared.server_id, AttemptResult.OK, age_us, report)
             )
 
     def on_gossip_forwarded(self, data: bytes) -> None:
         """Handle a message of the other process's balancer, which has our index."""
         message = codec.decode(data)
-        self._dispatcher.queue_event(GossipReceived(self._settings.proxy_index, message))
+        self._queue_event(GossipReceived(self._settings.proxy_index, message))
 
     def on_connection_transferred(
         self, transfer: ConnectionTransfer, descriptors: Sequence[int]
     ) -> None:
         """Continue a connection of the predecessor."""
-        loop, connections = self._loop, self._dispatcher.connections
+        loop, connections = self._loop, self._connections
         client, server = (
             Stream(loop, self._pool, socket.socket(fileno=descriptor)) for descriptor in descriptors
         )
--- a/larchhaven/net/upstream_servers.py
+++ b/larchhaven/net/upstream_servers.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from typing import Protocol
 
 from larchhaven.memory import item_costs
 from larchhaven.memory.purposes import MemoryPurpose
 from larchhaven.net.configuration import ProxyConfiguration
-from larchhaven.net.control.dispatcher import Dispatcher
 from larchhaven.net.control.endpoint_directory import (
     MAX_REMEMBERED_SERVERS,
     EndpointDirectory,
@@ -20,6 +20,7 @@
     AttemptResult,
     EndpointListKind,
     EndpointListUpdate,
+    Event,
     HealthCheckCompleted,
     LoadReport,
 )
@@ -36,13 +37,29 @@
     report: LoadReport
 
 
+class ServerEventReceiver(Protocol):
+    """Receives what is learnt of the servers."""
+
+    def queue_event(self, event: Event) -> None:
+        """Queue an event for the decisions."""
+
+    def receive_endpoint_list(self, update: EndpointListUpdate) -> None:
+        """Receive an update of the endpoint list, or its failure."""
+
+    def wait_for_endpoint_list(self) -> None:
+        """Have new requests wait for the first list."""
+
+    def forget_server(self, server_id: str) -> None:
+        """Forget a server that is gone."""
+
+
 class UpstreamServers:
     """Turns what discovery and health checks say into events for the decisions.
 
     Args:
         resources: What the parts of the proxy share.
         config: The configuration.
-        dispatcher: Takes the events.
+        receiver: Receives the events.
 
     Attributes:
         directory: The endpoint list.
@@ -53,11 +70,14 @@
     """
 
     def __init__(
-        self, resources: ProxyResources, config: ProxyConfiguration, dispatcher: Dispatcher
+        self,
+        resources: ProxyResources,
+        config: ProxyConfiguration,
+        receiver: ServerEventReceiver,
     ) -> None:
         self._loop = resources.loop
         self._config = config
-        self._dispatcher = dispatcher
+        self._receiver = receiver
         self.latest_reports: dict[str, ReceivedReport] = {}
         self.directory = _build_directory(resources, config)
         self.directory.on_server_removed = self._forget_server
@@ -81,11 +101,11 @@
         update = self.directory.apply_list(
             EndpointListKind.CACHED, self._config.initial_endpoints, self._loop.now_us
         )
-        self._dispatcher.queue_event(update)
+        self._receiver.queue_event(update)
         if not self._config.settings.subscribes_to_endpoints:
             # The simulator pushes such lists; over HTTP nothing comes without a watch.
             self.endpoint_watch.start_with_poll()
-            self._dispatcher.wait_for_endpoint_list()
+            self._receiver.wait_for_endpoint_list()
 
     def _on_endpoint_list(self, message: EndpointListMessage | None) -> None:
         if message is None:
@@ -95,19 +115,19 @@
             # A delayed list counts as notified before: the grace of a drain runs from then.
             notified_at_us = self._loop.now_us - self.endpoint_watch.notification_delay_us
             update = self.directory.apply_list(kind, message, notified_at_us)
-        self._dispatcher.receive_endpoint_list(update)
+        self._receiver.receive_endpoint_list(update)
 
     def _on_health_check_completed(
         self, server_id: str, result: AttemptResult, latency_us: int, report: LoadReport | None
     ) -> None:
         if report is not None:
             self.latest_reports[server_id] = ReceivedReport(self._loop.now_us, report)
-        self._dispatcher.queue_event(HealthCheckCompleted(server_id, result, latency_us, report))
+        self._receiver.queue_event(HealthCheckCompleted(server_id, result, latency_us, report))
 
     def _forget_server(self, server_id: str) -> None:
         """Forget a server that is gone; the decisions do so by themselves."""
         self.health_checks.drop(server_id)
-        self._dispatcher.forget_server(server_id)
+        self._receiver.forget_server(server_id)
         self.latest_reports.pop(server_id, None)
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -312,7 +312,14 @@
     """Guards a connection that ends here: the process left before the line was over, and MOVE never came."""
     sock, instance = standing(bench, b"half ")
     shutdown = GracefulShutdown(
-        bench.loop, bench.dispatcher, bench.listener, bench.pool, PLAIN, shares_socket=False
+        bench.loop,
+        bench.dispatcher.requests,
+        bench.dispatcher.connections,
+        bench.listener,
+        bench.pool,
+        bench.dispatcher.queue_event,
+        PLAIN,
+        shares_socket=False,
     )
     vars(bench.loop)["_is_running"] = True
     shutdown.begin(0)
