--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -323,9 +323,11 @@
     sock, server = establish(harness, b"half ")
     shutdown = GracefulShutdown(
         harness.loop,
-        harness.dispatcher,
+        harness.dispatcher.requests,
+        harness.dispatcher.connections,
         harness.listener,
         harness.pool,
+        harness.dispatcher.queue_event,
         BASIC_SETTINGS,
         shares_socket=False,
     )
