--- /dev/null
+++ b/tests/net/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the proxy's network parts, package by package."""
--- /dev/null
+++ b/tests/net/control/test_http_response.py
@@ -0,0 +1,54 @@
+"""Responses of the endpoint service, and the memory that they may take."""
+
+from __future__ import annotations
+
+import httptools
+import pytest
+
+from larchhaven.memory.account import MemoryAccount
+from larchhaven.memory.purposes import MemoryPurpose
+from larchhaven.net.control.http_response import HttpResponse
+
+CAP_BYTES = 400
+HEAD = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n"
+
+
+@pytest.fixture
+def account() -> MemoryAccount:
+    return MemoryAccount(dict.fromkeys(MemoryPurpose, CAP_BYTES))
+
+
+def test_body_is_charged_part_by_part_and_released(account: MemoryAccount) -> None:
+    response = HttpResponse(account)
+    response.feed(HEAD % 8 + b"abcd")
+    assert not response.is_complete
+    assert account.charged_bytes(MemoryPurpose.MANAGEMENT) == 4
+    response.feed(b"efgh")
+    assert response.is_complete
+    assert response.keeps_connection
+    assert (response.read_status(), bytes(response.body)) == (200, b"abcdefgh")
+    response.release()
+    assert account.charged_bytes(MemoryPurpose.MANAGEMENT) == 0
+
+
+def test_body_beyond_a_quarter_of_the_memory_is_too_long(account: MemoryAccount) -> None:
+    response = HttpResponse(account)
+    response.feed(HEAD % CAP_BYTES + b"x" * (CAP_BYTES // 4))
+    assert not response.is_too_long
+    response.feed(b"x")
+    assert response.is_too_long
+    response.release()
+    assert account.charged_bytes(MemoryPurpose.MANAGEMENT) == 0
+
+
+def test_connection_is_not_kept_if_the_service_closes_it(account: MemoryAccount) -> None:
+    response = HttpResponse(account)
+    response.feed(b"HTTP/1.1 503 Busy\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
+    assert response.is_complete
+    assert not response.keeps_connection
+    assert response.read_status() == 503
+
+
+def test_bytes_of_another_protocol_are_an_error(account: MemoryAccount) -> None:
+    with pytest.raises(httptools.HttpParserError):
+        HttpResponse(account).feed(b"SSH-2.0\r\n")
