--- a/tests/net/control/test_dispatcher.py
+++ b/tests/net/control/test_dispatcher.py
@@ -24,10 +24,10 @@
 
 
 @dataclass
-class Transports:
+class World:
     """Plays servers, attempts, connections and one client."""
 
-    drain_notified_us: int | None = None
+    told: int | None = None
     started: list[tuple[int, str]] = field(default_factory=list)
     answers: list[str] = field(default_factory=list)
 
@@ -35,9 +35,9 @@
         return ("127.0.0.1", 1)
 
     def drain_notified_at_us(self, server_id: str) -> int | None:
-        return self.drain_notified_us
+        return self.told
 
-    def start_attempt(
+    def begin(
         self, request_id: int, payload: bytes, address: tuple[str, int], timeout_us: int
     ) -> UpstreamAttempt:
         self.started.append((request_id, payload.decode()))
@@ -69,75 +69,73 @@
 
 
 @pytest.fixture
-def transports() -> Transports:
-    return Transports()
+def world() -> World:
+    return World()
 
 
 @pytest.fixture
-def dispatcher(transports: Transports) -> Dispatcher:
+def dispatcher(world: World) -> Dispatcher:
     loop = EventLoop()
     made = Dispatcher(loop, RateLimitedLog(loop), PLAIN, 1, Metrics.for_classes(["chat"]))
     nothing: Any = lambda *_: None  # noqa: E731
-    made.attach_transport(Transport(transports, transports.start_attempt, *[nothing] * 7))
+    made.attach_transport(Transport(world, world.begin, *[nothing] * 7))
     made.queue_event(EndpointListUpdate(EndpointListKind.COMPLETE, 1, (Endpoint("s0"),)))
     loop.on_iteration_end = made.dispatch_events
     return made
 
 
 def test_list_is_checked_again_when_a_slow_connect_completes(
-    dispatcher: Dispatcher, transports: Transports
+    dispatcher: Dispatcher, world: World
 ) -> None:
     """Guards the drain rule: a send counts from its first byte, which a slow connect puts off."""
-    request_id = dispatcher.requests.accept_request(transports, RequestSpec(b"x", 0, None))
+    token = dispatcher.requests.accept_request(world, RequestSpec(b"x", 0, None))
     dispatcher.dispatch_events()
-    assert transports.started == [(request_id, "x")]
-    assert dispatcher.attempts.may_send_request(request_id)
-    transports.drain_notified_us = dispatcher._loop.now_us
-    assert dispatcher.attempts.may_send_request(request_id)
-    transports.drain_notified_us = (
-        dispatcher._loop.now_us - PLAIN.drain_grace_us + DRAIN_GRACE_MARGIN_US
-    )
-    assert not dispatcher.attempts.may_send_request(request_id)
-    assert not dispatcher.attempts.may_send_request(request_id + 1)
+    assert world.started == [(token, "x")]
+    assert dispatcher.attempts.may_send_request(token)
+    world.told = dispatcher._loop.now_us
+    assert dispatcher.attempts.may_send_request(token)
+    world.told = dispatcher._loop.now_us - PLAIN.drain_grace_us + DRAIN_GRACE_MARGIN_US
+    assert not dispatcher.attempts.may_send_request(token)
+    assert not dispatcher.attempts.may_send_request(token + 1)
 
 
 @pytest.mark.parametrize("last", ["up", "left", "overdue"])
 def test_request_gets_one_answer_whatever_comes_after(
-    dispatcher: Dispatcher, transports: Transports, last: str
+    dispatcher: Dispatcher, world: World, last: str
 ) -> None:
     """Guards the one final answer: events of a request that is over must find nobody."""
-    request_id = dispatcher.requests.accept_request(transports, RequestSpec(b"x", 0, 100_000))
+    token = dispatcher.requests.accept_request(world, RequestSpec(b"x", 0, 100_000))
     dispatcher.dispatch_events()
     if last == "up":
-        dispatcher.attempts.on_attempt_established(request_id)
+        dispatcher.attempts.on_attempt_established(token)
     elif last == "left":
-        dispatcher.requests.on_client_disconnected(request_id)
+        dispatcher.requests.on_client_disconnected(token)
     else:
-        dispatcher.requests._on_deadline(request_id)
-    first = list(transports.answers)
+        dispatcher.requests._on_deadline(token)
+    first = list(world.answers)
     assert (
         first == {"up": ["served"], "left": ["cancelled"], "overdue": ["cancelled", "failed"]}[last]
     )
     dispatcher.dispatch_events()
-    dispatcher.attempts.on_attempt_established(request_id)
-    dispatcher.attempts.on_attempt_failed(request_id, AttemptResult.RESET, None)
-    dispatcher.requests._on_deadline(request_id)
-    dispatcher.requests.on_client_disconnected(request_id)
+    dispatcher.attempts.on_attempt_established(token)
+    dispatcher.attempts.on_attempt_failed(token, AttemptResult.RESET, None)
+    dispatcher.requests._on_deadline(token)
+    dispatcher.requests.on_client_disconnected(token)
     dispatcher.dispatch_events()
-    assert transports.answers == first
-    dispatcher.connections.on_connection_ended(request_id, AttemptResult.OK, None)
+    assert world.answers == first
+    dispatcher.connections.on_connection_ended(token, AttemptResult.OK, None)
     assert dispatcher.requests.count_requests() == 0
 
 
 def test_slow_messages_are_reported_once_a_second_and_once_when_over(
-    dispatcher: Dispatcher, transports: Transports
+    dispatcher: Dispatcher, world: World
 ) -> None:
-    request_id = dispatcher.requests.accept_request(transports, RequestSpec(b"x", 0, None))
+    token = dispatcher.requests.accept_request(world, RequestSpec(b"x", 0, None))
     dispatcher.dispatch_events()
-    dispatcher.attempts.on_attempt_established(request_id)
+    dispatcher.attempts.on_attempt_established(token)
     dispatcher.dispatch_events()
     delays_us: list[float] = []
     dispatcher.connections._queue_event = lambda event: delays_us.append(event.delay_us)  # type: ignore
     for delay in (1_000, 90_000, 80_000, 2_000, 3_000):
-        dispatcher.connections.on_message_answered(request_id, delay)
+        dispatcher.connections.on_message_answered(token, delay)
     assert delays_us == [90_000, 2_000]
