--- a/larchhaven/routing/__init__.py
+++ b/larchhaven/routing/__init__.py
@@ -12,5 +12,6 @@
 - ``request``, ``server``, ``connections``, ``arrival_statistics``, ``live_peers`` hold state;
 - ``scheduler`` has the time, the actions and the timers of the batch in hand;
 - ``hashing`` makes the short hashes that proxies exchange;
+- ``settings_codec`` reads the settings under the names of the wire;
 - ``events``, ``actions``, ``settings``, ``gossip_messages`` are the public types.
 """
