--- a/larchhaven/net/control/attempt_runner.py
+++ b/larchhaven/net/control/attempt_runner.py
@@ -7,7 +7,11 @@
 
 from larchhaven.net.admin.metrics import Metrics
 from larchhaven.net.control.drain_guard import DrainGuard
-from larchhaven.net.control.interfaces import ConnectionObserver, Transport
+from larchhaven.net.control.interfaces import (
+    ConnectionObserver,
+    EndpointAddresses,
+    UpstreamAttempt,
+)
 from larchhaven.net.control.request import Request, RequestState
 from larchhaven.net.core.event_loop import EventLoop
 from larchhaven.routing.actions import CancelAttempt, StartAttempt
@@ -24,6 +28,19 @@
         """Connect a client to the server that has accepted its request."""
 
 
+class AttemptTransport(Protocol):
+    """By what attempts are started."""
+
+    @property
+    def endpoints(self) -> EndpointAddresses:
+        """Addresses of servers."""
+
+    def start_attempt(
+        self, request_id: int, payload: bytes, address: tuple[str, int], timeout_us: int, /
+    ) -> UpstreamAttempt:
+        """Start an attempt of a request at an address."""
+
+
 class AttemptRunner:
     """Runs at most one attempt of each request at a time.
 
@@ -55,9 +72,9 @@
         self._metrics = metrics
         self._queue_event = queue_event
         self._is_attempt_allowed = is_attempt_allowed
-        self._transport: Transport
+        self._transport: AttemptTransport
 
-    def attach_transport(self, transport: Transport) -> None:
+    def attach_transport(self, transport: AttemptTransport) -> None:
         """Set by what attempts are started."""
         self._transport = transport
 
--- a/larchhaven/net/control/health_checks.py
+++ b/larchhaven/net/control/health_checks.py
@@ -3,10 +3,11 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from typing import Protocol
 
 from larchhaven.gossip.shared_health_checks import Lookout
 from larchhaven.net.admin.metrics import Metrics
-from larchhaven.net.control.interfaces import Transport
+from larchhaven.net.control.interfaces import EndpointAddresses
 from larchhaven.net.core.event_loop import EventLoop, TimerHandle
 from larchhaven.routing.actions import CheckHealth, SendGossip
 from larchhaven.routing.events import (
@@ -20,6 +21,17 @@
 from larchhaven.routing.settings import RoutingSettings
 
 
+class HealthCheckTransport(Protocol):
+    """By what health checks are started."""
+
+    @property
+    def endpoints(self) -> EndpointAddresses:
+        """Addresses of servers."""
+
+    def check_health(self, server_id: str, address: tuple[str, int], /) -> None:
+        """Start a health check of a server at an address."""
+
+
 class HealthCheckStarter:
     """Starts health checks.
 
@@ -29,9 +41,9 @@
 
     def __init__(self, queue_event: Callable[[Event], None]) -> None:
         self._queue_event = queue_event
-        self._transport: Transport
+        self._transport: HealthCheckTransport
 
-    def attach_transport(self, transport: Transport) -> None:
+    def attach_transport(self, transport: HealthCheckTransport) -> None:
         """Set by what health checks are started."""
         self._transport = transport
 
