--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -20,12 +20,12 @@
 
 from larchhaven.memory.account import MemoryAccount
 from larchhaven.memory.purposes import MemoryPurpose
-from larchhaven.net.admin.metrics import Metrics
 from larchhaven.net.control.connection_limits import ConnectionLimits
 from larchhaven.net.control.dispatcher import Dispatcher
 from larchhaven.net.control.interfaces import Transport, UpstreamAttempt
 from larchhaven.net.core.buffer_pool import BufferPool
 from larchhaven.net.core.event_loop import EventLoop
+from larchhaven.net.core.metrics import Metrics
 from larchhaven.net.core.rate_limited_log import RateLimitedLog
 from larchhaven.net.text_protocol.listener import Listener
 from larchhaven.net.text_protocol.upstream_attempt import TextUpstreamAttempt
--- a/larchhaven/net/admin/backend.py
+++ b/larchhaven/net/admin_backend.py
@@ -14,9 +14,9 @@
 )
 from larchhaven.net.admin.http_api import EjectionOutcome
 from larchhaven.net.admin.memory_accounting import DescriptorState
-from larchhaven.net.admin.metrics import Metrics
 from larchhaven.net.control.connection_limits import ConnectionLimits
 from larchhaven.net.control.endpoint_directory import EndpointDirectory
+from larchhaven.net.core.metrics import Metrics
 from larchhaven.net.resources import ProxyResources
 
 # Where connections end at the proxy, all of them are migrated within this time of a drain.
--- a/larchhaven/net/control/attempt_runner.py
+++ b/larchhaven/net/control/attempt_runner.py
@@ -5,7 +5,6 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from larchhaven.net.admin.metrics import Metrics
 from larchhaven.net.control.drain_guard import DrainGuard
 from larchhaven.net.control.interfaces import (
     ConnectionObserver,
@@ -14,6 +13,7 @@
 )
 from larchhaven.net.control.request import Request, RequestState
 from larchhaven.net.core.event_loop import EventLoop
+from larchhaven.net.core.metrics import Metrics
 from larchhaven.routing.actions import CancelAttempt, StartAttempt
 from larchhaven.routing.events import AttemptResult, ConnectionEstablished, Event, LoadReport
 
--- a/larchhaven/net/control/dispatcher.py
+++ b/larchhaven/net/control/dispatcher.py
@@ -12,7 +12,6 @@
 
 from larchhaven.gossip.shared_health_checks import uses_shared_checks
 from larchhaven.memory.account import MemoryAccount
-from larchhaven.net.admin.metrics import Metrics
 from larchhaven.net.control.arrival_gate import ArrivalGate, find_max_wait_us
 from larchhaven.net.control.attempt_runner import AttemptRunner
 from larchhaven.net.control.drain_guard import DrainGuard
@@ -23,6 +22,7 @@
 from larchhaven.net.control.message_delay_filter import MessageDelayFilter, find_slow_threshold_us
 from larchhaven.net.control.request_table import RequestTable
 from larchhaven.net.core.event_loop import EventLoop
+from larchhaven.net.core.metrics import Metrics
 from larchhaven.net.core.rate_limited_log import RateLimitedLog
 from larchhaven.routing.actions import (
     CancelAttempt,
--- a/larchhaven/net/control/health_checks.py
+++ b/larchhaven/net/control/health_checks.py
@@ -6,9 +6,9 @@
 from typing import Protocol
 
 from larchhaven.gossip.shared_health_checks import SharedHealthChecks
-from larchhaven.net.admin.metrics import Metrics
 from larchhaven.net.control.interfaces import EndpointAddresses
 from larchhaven.net.core.event_loop import EventLoop, TimerHandle
+from larchhaven.net.core.metrics import Metrics
 from larchhaven.routing.actions import CheckHealth, SendGossip
 from larchhaven.routing.events import (
     AttemptResult,
--- a/larchhaven/net/control/membership_switch.py
+++ b/larchhaven/net/control/membership_switch.py
@@ -7,15 +7,15 @@
 
 import hashlib
 import logging
-from collections.abc import Callable
-from typing import TYPE_CHECKING
+from collections.abc import Callable, Sequence
+from typing import TYPE_CHECKING, Protocol
 
 import msgspec
 
-from larchhaven.net.configuration import ProxyConfiguration
 from larchhaven.net.control.membership_report import MembershipDisabledReport
 from larchhaven.net.core.event_loop import EventLoop
 from larchhaven.operator.settings import Settings
+from larchhaven.routing.settings import RoutingSettings
 
 if TYPE_CHECKING:
     from larchhaven.net.control.membership_transport import MembershipTransport
@@ -37,6 +37,30 @@
     return hashlib.blake2b(secret.encode(), digest_size=_KEY_BYTES).digest()
 
 
+class MembershipConfiguration(Protocol):
+    """What the membership needs of the platform's configuration."""
+
+    @property
+    def name(self) -> str:
+        """Name of this proxy."""
+
+    @property
+    def settings(self) -> RoutingSettings:
+        """The settings of the decisions."""
+
+    @property
+    def seed(self) -> int:
+        """Seed of random draws."""
+
+    @property
+    def peer_listen_address(self) -> tuple[str, int] | None:
+        """Where peers send to; None if they cannot."""
+
+    @property
+    def peer_addresses(self) -> Sequence[tuple[str, int]]:
+        """All proxies, this one included, by their numbers."""
+
+
 class MembershipSwitch:
     """Enables and disables the membership of this proxy.
 
@@ -55,7 +79,7 @@
     def __init__(
         self,
         loop: EventLoop,
-        config: ProxyConfiguration,
+        config: MembershipConfiguration,
         send_datagram: Callable[[int, bytes], None],
         shares_load_reports: bool,
     ) -> None:
--- a/larchhaven/net/control/request_table.py
+++ b/larchhaven/net/control/request_table.py
@@ -8,12 +8,12 @@
 
 from larchhaven.memory.account import MemoryAccount
 from larchhaven.memory.purposes import MemoryPurpose
-from larchhaven.net.admin.metrics import Metrics, RequestOutcomes
 from larchhaven.net.control.interfaces import ClientConnection, ConnectionObserver
 from larchhaven.net.control.open_identities import IdentityExchange, OpenIdentities
 from larchhaven.net.control.request import Request, RequestState
 from larchhaven.net.control.request_spec import RequestSpec
 from larchhaven.net.core.event_loop import EventLoop
+from larchhaven.net.core.metrics import Metrics, RequestOutcomes
 from larchhaven.net.core.rate_limited_log import RateLimitedLog
 from larchhaven.net.core.slot_table import SlotTable
 from larchhaven.routing.actions import FailRequest, RejectRequest
--- a/larchhaven/net/peer_messaging.py
+++ b/larchhaven/net/peer_messaging.py
@@ -6,10 +6,10 @@
 
 from larchhaven.gossip import codec
 from larchhaven.gossip.shared_health_checks import uses_shared_checks
-from larchhaven.net.admin.metrics import Metrics
 from larchhaven.net.configuration import ProxyConfiguration
 from larchhaven.net.control.membership_switch import MembershipSwitch
 from larchhaven.net.control.peer_socket import PeerSocket
+from larchhaven.net.core.metrics import Metrics
 from larchhaven.net.resources import ProxyResources
 from larchhaven.routing.events import Event, GossipReceived
 from larchhaven.routing.gossip_messages import GossipMessage, is_peer_message
--- a/larchhaven/net/proxy.py
+++ b/larchhaven/net/proxy.py
@@ -9,20 +9,20 @@
 from larchhaven.memory.plan import MemoryPlanError
 from larchhaven.memory.purposes import MemoryPurpose
 from larchhaven.net.admin.administrative_ejection import AdministrativeEjections
-from larchhaven.net.admin.backend import ProxyAdminBackend
 from larchhaven.net.admin.http_api import ADMIN_DESCRIPTORS, AdminHttpApi
-from larchhaven.net.admin.metrics import Metrics
-from larchhaven.net.admin.sampled_memory import SampledMemory
+from larchhaven.net.admin_backend import ProxyAdminBackend
 from larchhaven.net.configuration import OperatorFileError, ProxyConfiguration
 from larchhaven.net.control.connection_limits import ConnectionLimits
 from larchhaven.net.control.dispatcher import Dispatcher
 from larchhaven.net.control.interfaces import Transport, UpstreamAttempt
 from larchhaven.net.core.event_loop import EventLoop
+from larchhaven.net.core.metrics import Metrics
 from larchhaven.net.graceful_shutdown import GracefulShutdown
 from larchhaven.net.lifecycle import ProxyLifecycle
 from larchhaven.net.peer_messaging import PeerMessaging
 from larchhaven.net.reload import ConfigurationReload, OperatorFileReload, OperatorSettings
 from larchhaven.net.resources import ProxyResources, build_resources, raise_descriptor_limit
+from larchhaven.net.sampled_memory import SampledMemory
 from larchhaven.net.state_transfer import StateTransfer
 from larchhaven.net.text_protocol.listener import SPARE_DESCRIPTORS, Listener
 from larchhaven.net.text_protocol.upstream_attempt import TextUpstreamAttempt
--- a/larchhaven/net/reload.py
+++ b/larchhaven/net/reload.py
@@ -12,13 +12,13 @@
 from typing import Protocol
 
 from larchhaven.memory.plan import MemoryPlan, MemoryPlanError
-from larchhaven.net.admin.metrics import Metrics
 from larchhaven.net.admin.operator_file import OperatorFileReader
 from larchhaven.net.admin.process_memory import read_resident_bytes
 from larchhaven.net.configuration import ConfigurationError, ProxyConfiguration, load_configuration
 from larchhaven.net.control.connection_limits import ConnectionLimits
 from larchhaven.net.control.membership_switch import MembershipSwitch
 from larchhaven.net.core import log_setup
+from larchhaven.net.core.metrics import Metrics
 from larchhaven.net.core.rate_limited_log import RateLimitedLog
 from larchhaven.net.resources import ProxyResources, grant_bytes, plan_memory
 from larchhaven.operator.settings import Complaint, Reading, Settings
--- a/tests/net/control/test_dispatcher.py
+++ b/tests/net/control/test_dispatcher.py
@@ -7,7 +7,6 @@
 
 import pytest
 
-from larchhaven.net.admin.metrics import Metrics
 from larchhaven.net.control.dispatcher import Dispatcher
 from larchhaven.net.control.drain_guard import DRAIN_GRACE_MARGIN_US
 from larchhaven.net.control.interfaces import (
@@ -18,6 +17,7 @@
 )
 from larchhaven.net.control.request_spec import RequestSpec
 from larchhaven.net.core.event_loop import EventLoop
+from larchhaven.net.core.metrics import Metrics
 from larchhaven.net.core.rate_limited_log import RateLimitedLog
 from larchhaven.routing.events import AttemptResult, Endpoint, EndpointListKind, EndpointListUpdate
 from tests.routing.builders import BASIC_SETTINGS
--- a/tests/test_operation_page.py
+++ b/tests/test_operation_page.py
@@ -10,7 +10,7 @@
 import msgspec
 import pytest
 
-from larchhaven.net.admin.metrics import Metrics
+from larchhaven.net.core.metrics import Metrics
 
 ROOT = Path(__file__).parent.parent
 PAGE = (ROOT / "docs" / "operation.md").read_text(encoding="utf-8")
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -20,13 +20,13 @@
     "membership",
     "memory",
     "net/admin/administrative_ejection.py",
-    "net/admin/backend.py",
+    "net/admin_backend.py",
     "net/admin/http_api.py",
     "net/admin/memory_accounting.py",
-    "net/admin/metrics.py",
+    "net/core/metrics.py",
     "net/admin/operator_file.py",
     "net/admin/process_memory.py",
-    "net/admin/sampled_memory.py",
+    "net/sampled_memory.py",
     "net/configuration.py",
     "net/control/arrival_gate.py",
     "net/control/attempt_runner.py",
@@ -68,6 +68,23 @@
 )
 PURE = ("routing", "gossip", "membership", "memory")
 
+# Packages from the lowest up: each imports only itself and those before it.
+LAYERS = (
+    "errors",
+    "text_fields",
+    "routing",
+    "gossip",
+    "simulator",
+    "membership",
+    "memory",
+    "operator",
+    "net/core",
+    "net/control",
+    "net/text_protocol",
+    "net/admin",
+    "net",
+)
+
 MAX_LINE_LENGTH = 100
 MAX_FUNCTION_LINES = 40
 MAX_CLASS_LINES = 300
@@ -125,6 +142,24 @@
         assert not {name for name in names if name.startswith(("larchhaven.net", "larchhaven.sim"))}
 
 
+def layer_of(module: str) -> int | None:
+    """Return the layer of a module by its dotted name; None for one that is no part of a proxy."""
+    path = module.removeprefix("larchhaven.").replace(".", "/")
+    found = [layer for layer in LAYERS if path == layer or path.startswith(f"{layer}/")]
+    return LAYERS.index(max(found, key=len)) if found else None
+
+
+def test_packages_import_nothing_from_a_layer_above() -> None:
+    faults = []
+    for path in PACKAGE.rglob("*.py"):
+        own = layer_of(".".join(path.relative_to(ROOT).with_suffix("").parts))
+        for name in imported(ast.parse(path.read_text(encoding="utf-8"))):
+            other = layer_of(name)
+            if own is not None and other is not None and other > own:
+                faults.append(f"{path.relative_to(ROOT)} imports {name}")
+    assert not faults
+
+
 def test_deploy_file_names_every_module_with_decisions() -> None:
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text(encoding="utf-8"))
     routing = [str(path.relative_to(ROOT)) for path in modules("routing")]
