--- a/larchhaven/cli/check.py
+++ b/larchhaven/cli/check.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from larchhaven.memory import plan
-from larchhaven.memory.purposes import MemoryPurpose
+from larchhaven.memory.purposes import caps_by_purpose
 from larchhaven.operator.read import read_file
 from larchhaven.operator.settings import Complaint, Reading
 
@@ -91,9 +91,7 @@
 def _sums(reading: Reading, grant: int, sockets: int) -> list[Complaint]:
     from larchhaven.cli.memory import measure_program_bytes
 
-    wanted = {
-        p: reading.settings.caps[p.key] for p in MemoryPurpose if p.key in reading.settings.caps
-    }
+    wanted = caps_by_purpose(reading.settings.caps)
     try:
         plan.make_plan(grant, measure_program_bytes(), sockets, wanted)
     except plan.MemoryPlanError as error:
--- a/larchhaven/net/resources.py
+++ b/larchhaven/net/resources.py
@@ -10,7 +10,7 @@
 from larchhaven.memory import item_costs, plan
 from larchhaven.memory.account import MemoryAccount
 from larchhaven.memory.plan import MemoryPlan
-from larchhaven.memory.purposes import MemoryPurpose
+from larchhaven.memory.purposes import MemoryPurpose, caps_by_purpose
 from larchhaven.net.admin.memory_accounting import MemoryAccounting
 from larchhaven.net.admin.process_memory import read_resident_bytes
 from larchhaven.net.configuration import MachineLimits
@@ -100,11 +100,7 @@
         MemoryPlanError: If the operators' caps do not fit the grant.
 
     """
-    caps = {
-        purpose: settings.caps[purpose.key]
-        for purpose in MemoryPurpose
-        if purpose.key in settings.caps
-    }
+    caps = caps_by_purpose(settings.caps)
     return plan.make_plan(grant_bytes(limits), program_bytes, limits.sockets, caps)
 
 
--- a/tests/net/admin/test_memory_accounting.py
+++ b/tests/net/admin/test_memory_accounting.py
@@ -2,10 +2,15 @@
 
 from __future__ import annotations
 
+import re
+from pathlib import Path
+
+import msgspec
 import pytest
 
 from larchhaven.memory import plan
 from larchhaven.memory.account import MemoryAccount
+from larchhaven.memory.purposes import MemoryPurpose
 from larchhaven.net.admin import memory_accounting as accounting
 from larchhaven.net.core.buffer_pool import BufferPool
 from larchhaven.net.core.event_loop import EventLoop
@@ -30,3 +35,20 @@
     assert state.trim_count == len(trims) == 1
     assert log.event_count() == 1
     assert state.unaccounted_bytes == 8 << 20
+
+
+def test_operators_page_names_every_purpose_and_figure() -> None:
+    page = (Path(__file__).parents[3] / "docs" / "memory.md").read_text(encoding="utf-8")
+    rows = re.findall(r"^\| (`.*?) \|", page.partition("## Setting caps")[0], re.MULTILINE)
+    named = {name for row in rows for name in re.findall(r"`(\w+)`", row)}
+    figures = {field.encode_name for field in msgspec.structs.fields(accounting.MemoryState)}
+    assert named == {purpose.key for purpose in MemoryPurpose} | (figures - {"purposes"})
+
+
+def test_operators_page_quotes_log_events_that_exist() -> None:
+    root = Path(__file__).parents[3]
+    page = (root / "docs" / "memory.md").read_text(encoding="utf-8")
+    events = re.findall(r"log says `([^`]+)`", page)
+    source = (root / "larchhaven" / "net" / "admin" / "memory_accounting.py").read_text()
+    assert events
+    assert not [event for event in events if f'"{event}"' not in source]
