--- a/tests/net/core/test_rate_limited_log.py
+++ b/tests/net/core/test_rate_limited_log.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+import pytest
+
 from larchhaven.net.core.event_loop import EventLoop
 from larchhaven.net.core.rate_limited_log import RateLimitedLog
 
@@ -11,3 +13,28 @@
     for number in range(50):
         events.warning(f"event {number}", "x")
     assert events.event_count() == 3
+
+
+def test_suppressed_events_are_counted_in_the_next_line(
+    caplog: pytest.LogCaptureFixture,
+) -> None:
+    events = RateLimitedLog(EventLoop())
+    events.repeat_interval_us = 0
+    events.warning("watch failed", "attempt=1")
+    events.repeat_interval_us = 1_000
+    events.warning("watch failed", "attempt=2")
+    for number in range(3, 6):
+        events.warning("watch failed", f"attempt={number}")
+    vars(events)["_loop"].now_us += 1_000
+    events.warning("watch failed", "attempt=6")
+    assert [record.getMessage() for record in caplog.records] == [
+        "watch failed: attempt=1",
+        "watch failed: attempt=2",
+        "watch failed: attempt=6 suppressed=3",
+    ]
+    assert vars(caplog.records[-1])["held"] == 3
+
+
+def test_detail_is_escaped_and_truncated(caplog: pytest.LogCaptureFixture) -> None:
+    RateLimitedLog(EventLoop()).warning("request line invalid", "\x1b[2J" + "x" * 1_000)
+    assert caplog.records[0].getMessage() == "request line invalid: \\x1b[2J" + "x" * 196
--- a/tests/test_caps.py
+++ b/tests/test_caps.py
@@ -32,7 +32,7 @@
 GRANT = "grant { memory_mb: 64 sockets: 1024 }"
 
 
-def played(
+def play_scenario(
     text: str, operator: str | None = None, seconds: float = 5, exam_busy: bool = False
 ) -> Outcome:
     scenario, complaints = load(f"{USUAL} seconds: {seconds} {text}")
@@ -47,7 +47,7 @@
     return outcome
 
 
-def at_rest(outcome: Outcome) -> dict[str, Any]:
+def final_account(outcome: Outcome) -> dict[str, Any]:
     """Return the account once all clients have left: what is charged is back at 0."""
     account = outcome.rest["n0"]
     assert account["purposes"]["connections"]["used"] == 0
@@ -85,13 +85,13 @@
 def test_cap_holds_under_abuse_of_its_purpose_and_the_others_serve(
     purpose: str, operator: str, abuse: str
 ) -> None:
-    outcome = played(f"{GRANT} {SERVERS} {abuse}", operator)
-    account = at_rest(outcome)
-    line = account["purposes"][purpose]
+    outcome = play_scenario(f"{GRANT} {SERVERS} {abuse}", operator)
+    account = final_account(outcome)
+    usage = account["purposes"][purpose]
     # Bytes in the kernel are sampled four times a second: the two terminals that may come between two samples
     # bring up to 48 KB each. Without the cap they held 873 KB, three times as much.
-    most = line["cap"] + (2 * 49_152 if purpose == "kernel" else 0)
-    assert line["refused"] > 0 and line["high"] <= most, line
+    most = usage["cap"] + (2 * 49_152 if purpose == "kernel" else 0)
+    assert usage["refused"] > 0 and usage["high"] <= most, usage
     others = [
         name for name, other in account["purposes"].items() if other["refused"] and name != purpose
     ]
@@ -100,7 +100,7 @@
 
 
 def test_grant_of_32_mb_holds_with_three_times_the_connections_that_fit_at_once() -> None:
-    outcome = played(
+    outcome = play_scenario(
         "grant { memory_mb: 32 sockets: 1024 } servers { count: 40 capacity: 60 setup_ms: 2 }"
         " events { at_seconds: 1 surge: 1440 }"
         " terminals { class: 'chat' arrivals_per_second: 0 }",
@@ -108,7 +108,7 @@
         exam_busy=True,  # a lab that is busy with 1,440 terminals may be too slow to say which class one is
     )
     assert outcome.classes["exam"]["answers"]["UP"] >= 15
-    account = at_rest(outcome)
+    account = final_account(outcome)
     answers = outcome.classes["chat"]["answers"]
     # Nobody waits in vain, and as many are served as fit.
     assert answers["BUSY"] > 500
@@ -119,30 +119,30 @@
 
 
 def test_caps_set_below_usage_end_no_connection_and_hold_from_then_on() -> None:
-    outcome = played(
+    outcome = play_scenario(
         f"{GRANT} {SERVERS} terminals {{ class: 'chat' arrivals_per_second: 40 stay_seconds: 30 }}"
         " events { at_seconds: 3 operator: 'memory { connections: 0.2 }' }",
         "memory { }",
         seconds=6,
         exam_busy=True,  # even the reserve is in use
     )
-    line = at_rest(outcome)["purposes"]["connections"]
-    assert line["cap"] == int(0.2 * (1 << 20))
-    assert line["high"] > line["cap"]
-    assert line["refused"] > 0
+    usage = final_account(outcome)["purposes"]["connections"]
+    assert usage["cap"] == int(0.2 * (1 << 20))
+    assert usage["high"] > usage["cap"]
+    assert usage["refused"] > 0
     chat = outcome.classes["chat"]
     assert chat["lost"] == chat["moves"] == 0
     assert chat["answers"]["BUSY"] > 0
 
 
 def test_reload_of_a_file_with_a_mistake_or_an_impossible_sum_changes_nothing() -> None:
-    outcome = played(
+    outcome = play_scenario(
         f"{GRANT} {SERVERS} events {{ at_seconds: 0.5 operator: 'memory {{ connections: 0.2 tabels: 1 }}' }}"
         " events { at_seconds: 2 operator: 'memory { buffers: 400 }' }",
         "memory { connections: 3 } log { form: JSON }",
         seconds=4,
     )
-    assert at_rest(outcome)["purposes"]["connections"]["cap"] == 3 << 20
+    assert final_account(outcome)["purposes"]["connections"]["cap"] == 3 << 20
     assert outcome.log_lines >= 3
 
 
