--- a/benchmarks/membership_costs.py
+++ b/benchmarks/membership_costs.py
@@ -21,19 +21,19 @@
 from pathlib import Path
 from typing import Any
 
-from larchhaven.lab.discovery import Discovery
-from larchhaven.lab.network import HERE
-from larchhaven.lab.proxy import Proxy, free_port
-from larchhaven.lab.record import Recorder
-from larchhaven.lab.scenario_pb2 import Scenario
-from larchhaven.lab.servers import ExamServer, Traits
-from larchhaven.lab.site import settings
-from larchhaven.lab.tier import KEY, operator_text
 from larchhaven.membership.config import ProtocolConfig
 from larchhaven.membership.member import MemberInfo
 from larchhaven.model.programs import Swim
 from larchhaven.model.world import Datagram
 from larchhaven.net.control.membership_switch import derive_key
+from larchhaven.testbed.deployment import settings
+from larchhaven.testbed.discovery import Discovery
+from larchhaven.testbed.event_record import Recorder
+from larchhaven.testbed.faulty_network import HERE
+from larchhaven.testbed.proxy_fleet import KEY, operator_text
+from larchhaven.testbed.proxy_process import Proxy, free_port
+from larchhaven.testbed.scenario_pb2 import Scenario
+from larchhaven.testbed.upstream_servers import ExamServer, Traits
 
 TICK_S = 0.005
 
--- a/benchmarks/memory_costs.py
+++ b/benchmarks/memory_costs.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from larchhaven.lab.site import load, play
+from larchhaven.testbed.deployment import load, play
 
 CONNECTION_COUNTS = (100, 300, 1_000, 2_000)
 # Each connection has two descriptors in the proxy and two in this process.
--- a/benchmarks/tier.py
+++ b/benchmarks/tier.py
@@ -19,7 +19,7 @@
 from collections.abc import Awaitable, Callable
 from pathlib import Path
 
-from larchhaven.lab.tier import Step, Tier
+from larchhaven.testbed.proxy_fleet import Step, Tier
 
 LIMIT_S = 40.0
 LOGGED_S = 1.5  # a proxy gathers changes for a second before it tells of them
--- a/larchhaven/cli/lab.py
+++ b/larchhaven/cli/lab.py
@@ -10,12 +10,12 @@
 
 import msgspec
 
-from larchhaven.lab.proxy import NotStartedError
-from larchhaven.lab.record import Record
-from larchhaven.lab.rules import Broken, Checker
-from larchhaven.lab.site import Outcome, Site, load, play
+from larchhaven.testbed.deployment import Outcome, Site, load, play
+from larchhaven.testbed.event_record import Record
+from larchhaven.testbed.invariants import Broken, Checker
+from larchhaven.testbed.proxy_process import NotStartedError
 
-DAYS = Path(__file__).parent.parent / "lab" / "days"
+DAYS = Path(__file__).parent.parent / "testbed" / "scenarios"
 
 MAX_SHOWN_VIOLATIONS = 20
 
--- a/larchhaven/soak/days.py
+++ b/larchhaven/soak/days.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from larchhaven.lab.scenario_pb2 import Event, Scenario, Terminals
+from larchhaven.testbed.scenario_pb2 import Event, Scenario, Terminals
 
 # The site sees 2.7 arrivals a second, each standing for 32 to 67 s; 20 times as many with short stays give a
 # day's worth of connections in 40 minutes and as many standing at a time as fit.
--- a/larchhaven/soak/run.py
+++ b/larchhaven/soak/run.py
@@ -10,9 +10,9 @@
 
 import msgspec
 
-from larchhaven.lab.site import Outcome, Sample, Site, play
 from larchhaven.soak.days import day
 from larchhaven.soak.verdict import Verdict, judge
+from larchhaven.testbed.deployment import Outcome, Sample, Site, play
 
 SAMPLE_GAP_S = 2.0
 # The first part of a run does not count for slopes: tables fill, the allocator settles.
--- a/larchhaven/lab/terminals.py
+++ b/larchhaven/testbed/clients.py
@@ -11,8 +11,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from larchhaven.lab.record import Recorder
-from larchhaven.lab.scenario_pb2 import Terminals as Group
+from larchhaven.testbed.event_record import Recorder
+from larchhaven.testbed.scenario_pb2 import Terminals as Group
 
 _RESET = struct.pack("ii", 1, 0)
 # A terminal stops waiting for its answer so long after its patience has ended: the rule checker tells then.
--- a/larchhaven/lab/site.py
+++ b/larchhaven/testbed/deployment.py
@@ -14,14 +14,14 @@
 
 import msgspec
 
-from larchhaven.lab.discovery import Discovery
-from larchhaven.lab.peers import Peer
-from larchhaven.lab.proxy import Proxy, free_port
-from larchhaven.lab.record import Record, Recorder, now
-from larchhaven.lab.rules import Broken, Checker, Contract
-from larchhaven.lab.scenario_pb2 import Event, Scenario
-from larchhaven.lab.servers import ExamServer, Traits
-from larchhaven.lab.terminals import Terminals, Wishes
+from larchhaven.testbed.clients import Terminals, Wishes
+from larchhaven.testbed.discovery import Discovery
+from larchhaven.testbed.event_record import Record, Recorder, now
+from larchhaven.testbed.invariants import Broken, Checker, Contract
+from larchhaven.testbed.peers import Peer
+from larchhaven.testbed.proxy_process import Proxy, free_port
+from larchhaven.testbed.scenario_pb2 import Event, Scenario
+from larchhaven.testbed.upstream_servers import ExamServer, Traits
 
 # How soon a crashed server leaves the list.
 NOTICED_S = 1.0
--- a/larchhaven/lab/discovery.py
+++ b/larchhaven/testbed/discovery.py
@@ -8,8 +8,8 @@
 import re
 from collections.abc import Mapping
 
-from larchhaven.lab.record import Recorder
-from larchhaven.lab.servers import ExamServer
+from larchhaven.testbed.event_record import Recorder
+from larchhaven.testbed.upstream_servers import ExamServer
 
 _CALL = re.compile(r"GET /v1/endpoints(?:\?from=(\d+)&hold_ms=(\d+))? HTTP/1\.1")
 
--- a/larchhaven/lab/network.py
+++ b/larchhaven/testbed/faulty_network.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from functools import partial
 
-from larchhaven.lab.proxy import free_port
+from larchhaven.testbed.proxy_process import free_port
 
 HERE = "127.0.0.1"
 
--- a/larchhaven/lab/rules.py
+++ b/larchhaven/testbed/invariants.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from larchhaven.lab.record import Record
+from larchhaven.testbed.event_record import Record
 
 BROKEN_MOST = 100
 
--- a/larchhaven/lab/peers.py
+++ b/larchhaven/testbed/peers.py
@@ -6,7 +6,7 @@
 import random
 from collections.abc import Callable, Sequence
 
-from larchhaven.lab.record import Recorder
+from larchhaven.testbed.event_record import Recorder
 
 LONGEST = 256
 # What a peer may send beside noise: the beginnings of the decision module's own messages, cut or whole.
--- a/larchhaven/lab/tier.py
+++ b/larchhaven/testbed/proxy_fleet.py
@@ -17,13 +17,13 @@
 from pathlib import Path
 from typing import Any
 
-from larchhaven.lab.discovery import Discovery
-from larchhaven.lab.network import Network
-from larchhaven.lab.proxy import Proxy
-from larchhaven.lab.record import Recorder
-from larchhaven.lab.scenario_pb2 import Scenario
-from larchhaven.lab.servers import ExamServer, Traits
-from larchhaven.lab.site import settings
+from larchhaven.testbed.deployment import settings
+from larchhaven.testbed.discovery import Discovery
+from larchhaven.testbed.event_record import Recorder
+from larchhaven.testbed.faulty_network import Network
+from larchhaven.testbed.proxy_process import Proxy
+from larchhaven.testbed.scenario_pb2 import Scenario
+from larchhaven.testbed.upstream_servers import ExamServer, Traits
 
 KEY = "a key for the lab only"
 LOOK_S = 0.1
--- a/larchhaven/lab/servers.py
+++ b/larchhaven/testbed/upstream_servers.py
@@ -7,7 +7,7 @@
 import time
 from dataclasses import dataclass
 
-from larchhaven.lab.record import Recorder
+from larchhaven.testbed.event_record import Recorder
 
 COLD_US = 7_100_000
 OPEN_WORDS = 4  # OPEN, identity, key, options
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 from typing import Any
 
-from larchhaven.lab.proxy import free_port
+from larchhaven.testbed.proxy_process import free_port
 
 PATIENCE = 20.0  # seconds until a test gives up; none measures how long something takes
 _numbers = itertools.count()
--- a/tests/test_caps.py
+++ b/tests/test_caps.py
@@ -11,7 +11,6 @@
 
 import pytest
 
-from larchhaven.lab.site import Outcome, load, play
 from larchhaven.memory.account import MemoryAccount
 from larchhaven.memory.item_costs import REQUEST_ID_BYTES
 from larchhaven.memory.purposes import MemoryPurpose
@@ -21,6 +20,7 @@
 )
 from larchhaven.net.core import log_setup
 from larchhaven.net.hot_restart import RemoteIdentities
+from larchhaven.testbed.deployment import Outcome, load, play
 from tests.rig import Proxy, opening
 
 USUAL = """
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -11,9 +11,9 @@
 
 from larchhaven.cli.app import Day
 from larchhaven.cli.lab import DAYS
-from larchhaven.lab.record import Record
-from larchhaven.lab.rules import BROKEN_MOST, Checker
-from larchhaven.lab.site import load, play
+from larchhaven.testbed.deployment import load, play
+from larchhaven.testbed.event_record import Record
+from larchhaven.testbed.invariants import BROKEN_MOST, Checker
 
 ROOT = Path(__file__).parent.parent
 MS = 1_000
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -11,12 +11,12 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from larchhaven.lab import site
 from larchhaven.net.admin.operator_file import read_blocking, read_compiled
 from larchhaven.operator.operator_pb2 import Operator
 from larchhaven.operator.read import read_file, read_text
 from larchhaven.operator.settings import Reading, Settings
 from larchhaven.operator.text import COMPLAINTS_MOST, parse
+from larchhaven.testbed import deployment as site
 
 ROOT = Path(__file__).parent.parent
 DEFAULT = ROOT / "deploy" / "operator.textproto"
@@ -130,7 +130,7 @@
 
 
 @pytest.mark.parametrize(
-    "name", ["operator/options", "operator/operator", "lab/scenario", "model/experiment"]
+    "name", ["operator/options", "operator/operator", "testbed/scenario", "model/experiment"]
 )
 def test_generated_schema_is_that_of_its_source(name: str, tmp_path: Path) -> None:
     command = [sys.executable, "-m", "grpc_tools.protoc", "-I.", f"--python_out={tmp_path}"]
--- a/tests/test_tier.py
+++ b/tests/test_tier.py
@@ -9,12 +9,12 @@
 
 import pytest
 
-from larchhaven.lab.tier import KEY, Tier, operator_text
 from larchhaven.membership.authenticator import DatagramAuthenticator
 from larchhaven.membership.codec import MAX_DATAGRAM_BYTES
 from larchhaven.membership.member import MemberState, make_stamp
 from larchhaven.membership.messages import Message, MessageKind, StateUpdate
 from larchhaven.net.control.membership_switch import derive_key
+from larchhaven.testbed.proxy_fleet import KEY, Tier, operator_text
 
 # Generous, so that a busy machine gives the same verdict; nothing is expected to take a least time.
 SOON, LATER = 20.0, 40.0
