--- a/benchmarks/memory_costs.py
+++ b/benchmarks/memory_costs.py
@@ -2,7 +2,7 @@
 
     python -m benchmarks.memory_costs [--json]
 
-For each number of connections a proxy is started in the lab and all connect at once; the figure is the
+For each number of connections a proxy is started on the test bed and all connect at once; the figure is the
 part of the growth over the start size that no purpose explains. The target is under a tenth.
 """
 
@@ -14,7 +14,8 @@
 
 import msgspec
 
-from larchhaven.testbed.deployment import load, play
+from larchhaven.testbed.scenario_file import load_scenario
+from larchhaven.testbed.scenario_player import play_scenario
 
 CONNECTION_COUNTS = (100, 300, 1_000, 2_000)
 # Each connection has two descriptors in the proxy and two in this process.
@@ -31,19 +32,19 @@
 
 def measure(connections: int) -> Measurement:
     """Hold so many connections, and read the account of the proxy."""
-    scenario, complaints = load(
+    scenario, complaints = load_scenario(
         f"""seed: 3 seconds: 8 grant {{ memory_mb: 192 sockets: 8192 }}
         servers {{ count: 10 capacity: {connections / 5} setup_ms: 2 }}
         terminals {{ class: "chat" stay_seconds: 9999 message_seconds: 1 patience_ms: 10000 }}
         events {{ at_seconds: 1.5 surge: {connections} }}"""
     )
     assert not complaints, complaints
-    last = asyncio.run(play(scenario)).samples[-1]
-    growth_bytes = last.memory["growth"]
+    last = asyncio.run(play_scenario(scenario)).samples[-1]
+    growth_bytes = last.memory_report["growth"]
     return Measurement(
-        connections=last.standing,
-        growth_per_connection_bytes=round(growth_bytes / max(last.standing, 1)),
-        unaccounted_ratio=round(last.memory["unaccounted"] / max(growth_bytes, 1), 3),
+        connections=last.established_connections,
+        growth_per_connection_bytes=round(growth_bytes / max(last.established_connections, 1)),
+        unaccounted_ratio=round(last.memory_report["unaccounted"] / max(growth_bytes, 1), 3),
     )
 
 
--- a/benchmarks/tier.py
+++ b/benchmarks/tier.py
@@ -2,9 +2,10 @@
 
     python -m benchmarks.tier [--size 30] [--faults 12] [--seed 1] [--json]
 
-Faults follow each other, each from all well to all well: a kill and a start without files, a short and a
-long pause, a planned stop, a third killed at once, a zone cut off, a one-way cut, a bad network for a while.
-Prints how long each took until all agreed; ends with 1 if any did not within its limit.
+Faults follow each other, each from all well to all well: a kill and a restart without files, a
+short and a long pause, a graceful shutdown, a third killed at once, a zone cut off, a one-way cut,
+a bad network for a while. Prints how long each took until all agreed; exits with 1 if any did not
+within its limit.
 """
 
 from __future__ import annotations
@@ -16,150 +17,189 @@
 import resource
 import sys
 import tempfile
-from collections.abc import Awaitable, Callable
+from collections.abc import Awaitable, Callable, Sequence
 from pathlib import Path
 
-from larchhaven.testbed.proxy_fleet import Step, Tier
+from larchhaven.testbed.proxy_fleet import FleetStep, ProxyFleet
 
-LIMIT_S = 40.0
-LOGGED_S = 1.5  # a proxy gathers changes for a second before it tells of them
-Fault = Callable[[Tier, random.Random], Awaitable[list[Step]]]
+AGREEMENT_TIMEOUT_S = 40.0
+LOG_DELAY_S = 1.5  # a proxy gathers changes for a second before it logs them
+MIN_SHORT_PAUSE_S = 0.5
+MAX_SHORT_PAUSE_S = 2.0
+ONE_WAY_CUT_S = 6.0
 
+Fault = Callable[[ProxyFleet, random.Random], Awaitable[list[FleetStep]]]
 
-async def _back(tier: Tier, numbers: list[int]) -> Step:
-    await asyncio.gather(*(tier.restart(number, fresh=True) for number in numbers))
-    return await tier.expect({}, LIMIT_S, what=f"{len(numbers)} back")
 
-
-async def kill(tier: Tier, rng: random.Random) -> list[Step]:
-    """One dies and comes back with nothing."""
-    number = rng.randrange(tier.size)
-    tier.kill(number)
-    return [
-        await tier.expect({number: "dead"}, LIMIT_S, what="one killed"),
-        await _back(tier, [number]),
-    ]
+async def _expect(
+    fleet: ProxyFleet,
+    states: dict[int, str],
+    description: str,
+    observers: Sequence[int] | None = None,
+) -> FleetStep:
+    return await fleet.expect_agreement(states, AGREEMENT_TIMEOUT_S, observers, description)
 
 
-async def many(tier: Tier, rng: random.Random) -> list[Step]:
-    """A third dies at once."""
-    numbers = rng.sample(range(tier.size), tier.size // 3)
-    tier.kill(*numbers)
-    first = await tier.expect(dict.fromkeys(numbers, "dead"), LIMIT_S, what="a third killed")
-    return [first, await _back(tier, numbers)]
+async def _restart(fleet: ProxyFleet, numbers: Sequence[int]) -> FleetStep:
+    await asyncio.gather(*(fleet.restart(number, without_files=True) for number in numbers))
+    return await _expect(fleet, {}, f"{len(numbers)} back")
 
 
-async def stop(tier: Tier, rng: random.Random) -> list[Step]:
-    """One stops as planned."""
-    number = rng.randrange(tier.size)
-    tier.stop(number)
-    return [
-        await tier.expect({number: "left"}, LIMIT_S, what="one stopped"),
-        await _back(tier, [number]),
-    ]
+async def kill_one(fleet: ProxyFleet, rng: random.Random) -> list[FleetStep]:
+    """Kill one process and restart it without its files."""
+    number = rng.randrange(fleet.size)
+    fleet.kill(number)
+    killed = await _expect(fleet, {number: "dead"}, "one killed")
+    return [killed, await _restart(fleet, [number])]
 
 
-async def _said_dead(tier: Tier) -> int:
-    """Count the lines that tell of a death, once what was gathered for them is told."""
-    await asyncio.sleep(LOGGED_S)
-    return sum("dead" in line for proxy in tier.proxies for line in proxy.log)
+async def kill_third(fleet: ProxyFleet, rng: random.Random) -> list[FleetStep]:
+    """Kill a third of the processes at once and restart them without their files."""
+    numbers = rng.sample(range(fleet.size), fleet.size // 3)
+    fleet.kill(*numbers)
+    killed = await _expect(fleet, dict.fromkeys(numbers, "dead"), "a third killed")
+    return [killed, await _restart(fleet, numbers)]
 
 
-async def short_pause(tier: Tier, rng: random.Random) -> list[Step]:
-    """One sleeps for up to two seconds: nobody may say that it died."""
-    number = rng.randrange(tier.size)
-    before = await _said_dead(tier)
-    tier.pause(number)
-    await asyncio.sleep(rng.uniform(0.5, 2.0))
-    tier.resume(number)
-    step = await tier.expect({}, LIMIT_S, what="a pause of up to 2 s is over")
-    said = await _said_dead(tier) - before
-    if said:
-        step.holds, step.seen = False, f"{said} lines say that somebody died"
-    return [step]
+async def shut_down_one(fleet: ProxyFleet, rng: random.Random) -> list[FleetStep]:
+    """Shut one process down gracefully and restart it without its files."""
+    number = rng.randrange(fleet.size)
+    fleet.shut_down(number)
+    left = await _expect(fleet, {number: "left"}, "one stopped")
+    return [left, await _restart(fleet, [number])]
 
 
-async def long_pause(tier: Tier, rng: random.Random) -> list[Step]:
-    """One sleeps until it is taken for dead, and wakes."""
-    number = rng.randrange(tier.size)
-    tier.pause(number)
-    first = await tier.expect({number: "dead"}, LIMIT_S, what="one sleeps")
-    tier.resume(number)
-    return [first, await tier.expect({}, LIMIT_S, what="it wakes")]
+async def _count_logged_deaths(fleet: ProxyFleet) -> int:
+    """Count the log lines on deaths, once all that was gathered has been logged."""
+    await asyncio.sleep(LOG_DELAY_S)
+    return sum("dead" in line for proxy in fleet.proxies for line in proxy.log)
 
 
-async def zone_cut(tier: Tier, rng: random.Random) -> list[Step]:
-    """A zone is cut off from the others and heals."""
-    zone = rng.randrange(tier.zones)
-    ours = [n for n in range(tier.size) if n % tier.zones == zone]
-    theirs = [n for n in range(tier.size) if n % tier.zones != zone]
-    tier.network.cut(ours, theirs)
-    steps = [
-        await tier.expect(
-            dict.fromkeys(ours, "dead"), LIMIT_S, of=theirs, what="a zone is cut off"
-        ),
-        await tier.expect(dict.fromkeys(theirs, "dead"), LIMIT_S, of=ours, what="it sees no other"),
-    ]
-    tier.network.heal(ours, theirs)
-    return [*steps, await tier.expect({}, LIMIT_S, what="the cut heals")]
-
-
-async def one_way(tier: Tier, rng: random.Random) -> list[Step]:
-    """One is not heard by a third of the others, in a network that loses a tenth: nobody may say it died."""
-    number = rng.randrange(tier.size)
-    deaf = rng.sample([n for n in range(tier.size) if n != number], tier.size // 3)
-    before = await _said_dead(tier)
-    tier.network.cut([number], deaf, one_way=True)
-    tier.network.weather(loss=0.1, delay_s=0.003, doubled=0.1)
-    await asyncio.sleep(6)
-    tier.network.weather()
-    tier.network.heal([number], deaf)
-    step = await tier.expect({}, LIMIT_S, what="a one-way cut is over")
-    said = await _said_dead(tier) - before
-    if said:
-        step.holds, step.seen = False, f"{said} lines say that somebody died"
+async def _expect_no_death(
+    fleet: ProxyFleet, deaths_before: int, description: str
+) -> list[FleetStep]:
+    step = await _expect(fleet, {}, description)
+    logged = await _count_logged_deaths(fleet) - deaths_before
+    if logged:
+        step.holds = False
+        step.observed = f"{logged} lines say that somebody died"
     return [step]
 
 
-FAULTS: list[Fault] = [kill, many, stop, short_pause, long_pause, zone_cut, one_way]
+async def pause_briefly(fleet: ProxyFleet, rng: random.Random) -> list[FleetStep]:
+    """Pause one process for up to two seconds: nobody may declare it dead."""
+    number = rng.randrange(fleet.size)
+    deaths_before = await _count_logged_deaths(fleet)
+    fleet.pause(number)
+    await asyncio.sleep(rng.uniform(MIN_SHORT_PAUSE_S, MAX_SHORT_PAUSE_S))
+    fleet.resume(number)
+    return await _expect_no_death(fleet, deaths_before, "a pause of up to 2 s is over")
+
 
+async def pause_until_dead(fleet: ProxyFleet, rng: random.Random) -> list[FleetStep]:
+    """Pause one process until it is declared dead, and resume it."""
+    number = rng.randrange(fleet.size)
+    fleet.pause(number)
+    paused = await _expect(fleet, {number: "dead"}, "one paused")
+    fleet.resume(number)
+    return [paused, await _expect(fleet, {}, "it resumes")]
 
-async def run(size: int, faults: int, seed: int) -> tuple[list[Step], list[str]]:
-    """Play so many faults; return what was expected and what processes logged that they never should."""
+
+async def cut_zone(fleet: ProxyFleet, rng: random.Random) -> list[FleetStep]:
+    """Cut a zone off from the others and heal the cut."""
+    zone = rng.randrange(fleet.zones)
+    inside = [n for n in range(fleet.size) if n % fleet.zones == zone]
+    outside = [n for n in range(fleet.size) if n % fleet.zones != zone]
+    fleet.network.cut_links(inside, outside)
+    steps = [
+        await _expect(fleet, dict.fromkeys(inside, "dead"), "a zone is cut off", outside),
+        await _expect(fleet, dict.fromkeys(outside, "dead"), "it sees no other", inside),
+    ]
+    fleet.network.heal_links(inside, outside)
+    return [*steps, await _expect(fleet, {}, "the cut heals")]
+
+
+async def cut_one_way(fleet: ProxyFleet, rng: random.Random) -> list[FleetStep]:
+    """Cut one process's links to a third of the others in a lossy network: nobody may die."""
+    number = rng.randrange(fleet.size)
+    others = [n for n in range(fleet.size) if n != number]
+    unreached = rng.sample(others, fleet.size // 3)
+    deaths_before = await _count_logged_deaths(fleet)
+    fleet.network.cut_links([number], unreached, one_way=True)
+    fleet.network.set_link_quality(loss_ratio=0.1, mean_delay_s=0.003, duplicate_ratio=0.1)
+    await asyncio.sleep(ONE_WAY_CUT_S)
+    fleet.network.set_link_quality()
+    fleet.network.heal_links([number], unreached)
+    return await _expect_no_death(fleet, deaths_before, "a one-way cut is over")
+
+
+FAULTS: list[Fault] = [
+    kill_one,
+    kill_third,
+    shut_down_one,
+    pause_briefly,
+    pause_until_dead,
+    cut_zone,
+    cut_one_way,
+]
+
+
+async def play_faults(size: int, fault_count: int, seed: int) -> tuple[list[FleetStep], list[str]]:
+    """Play faults on a fleet.
+
+    Args:
+        size: Number of proxies.
+        fault_count: Number of faults; each kind is played once before any is repeated.
+        seed: Seed of the faults, the network and the proxies.
+
+    Returns:
+        What was expected, and what no process should ever log or send.
+    """
     rng = random.Random(seed)
     with tempfile.TemporaryDirectory(prefix="larchhaven-tier-") as folder:
-        tier = Tier(size, Path(folder), seed)
-        await tier.start()
-        steps = [await tier.expect({}, LIMIT_S, what="start")]
+        fleet = ProxyFleet(size, Path(folder), seed)
+        await fleet.start()
+        steps = [await _expect(fleet, {}, "start")]
         try:
-            for number in range(faults):
-                # Each kind once before any comes again.
+            for number in range(fault_count):
                 play = FAULTS[number] if number < len(FAULTS) else rng.choice(FAULTS)
-                steps += await play(tier, rng)
+                steps += await play(fleet, rng)
         finally:
-            errors = await tier.end()
+            errors = await fleet.stop()
     return steps, errors
 
 
+def raise_descriptor_limit() -> None:
+    """Take as many descriptors as the system allows: the network has a socket per end of a pair."""
+    _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
+    resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
+
+
 def main() -> int:
-    """Print a line a step."""
+    """Play the faults and print a line for each step; return the exit code."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--size", type=int, default=30)
     parser.add_argument("--faults", type=int, default=12)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--json", action="store_true")
-    args = parser.parse_args()
-    _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))  # a socket for each end of each pair
-    steps, errors = asyncio.run(run(args.size, args.faults, args.seed))
-    found = [
-        {"what": s.what, "seconds": s.seconds, "holds": s.holds, "seen": s.seen} for s in steps
+    options = parser.parse_args()
+    raise_descriptor_limit()
+    steps, errors = asyncio.run(play_faults(options.size, options.faults, options.seed))
+    rows = [
+        {
+            "what": step.description,
+            "seconds": step.duration_s,
+            "holds": step.holds,
+            "seen": step.observed,
+        }
+        for step in steps
     ]
-    if args.json:
-        print(json.dumps({"size": args.size, "seed": args.seed, "steps": found, "errors": errors}))
+    if options.json:
+        output = {"size": options.size, "seed": options.seed, "steps": rows, "errors": errors}
+        print(json.dumps(output))
     else:
-        for each in found:
-            print(f"{each['what']:<32} {each['seconds']} s {each['seen']}")
+        for row in rows:
+            print(f"{row['what']:<32} {row['seconds']} s {row['seen']}")
         for error in errors:
             print(error)
     return 0 if not errors and all(step.holds for step in steps) else 1
--- a/larchhaven/cli/app.py
+++ b/larchhaven/cli/app.py
@@ -130,7 +130,7 @@
     raise typer.Exit(work.show(address, watch, json))
 
 
-class Day(StrEnum):
+class BuiltInScenario(StrEnum):
     """The small days that come with the program."""
 
     HALLS = "halls"
@@ -140,8 +140,8 @@
 @app.command("try")
 def try_day(
     day: Annotated[
-        Day, typer.Argument(help="halls: two classes. charts: two members with quotas.")
-    ] = Day.HALLS,
+        BuiltInScenario, typer.Argument(help="halls: two classes. charts: two members with quotas.")
+    ] = BuiltInScenario.HALLS,
     json: Json = False,
 ) -> None:
     """Play a small day around real proxies on loopback, nothing to prepare, and say what was served.
@@ -153,7 +153,7 @@
     """
     from larchhaven.cli import lab as work
 
-    raise typer.Exit(work.try_day(day.value, json))
+    raise typer.Exit(work.try_scenario(day.value, json))
 
 
 @lab.command("play")
--- /dev/null
+++ b/larchhaven/cli/exit_codes.py
@@ -0,0 +1,18 @@
+"""The exit codes of all sub-commands."""
+
+from __future__ import annotations
+
+from enum import IntEnum
+
+
+class ExitCode(IntEnum):
+    """What a sub-command found."""
+
+    HOLDS = 0
+    DOES_NOT_HOLD = 1
+    UNUSABLE_INPUT = 2
+
+
+def exit_code_for(holds: bool) -> ExitCode:
+    """Return the exit code for a verdict."""
+    return ExitCode.HOLDS if holds else ExitCode.DOES_NOT_HOLD
--- a/larchhaven/cli/lab.py
+++ b/larchhaven/cli/lab.py
@@ -1,131 +1,200 @@
-"""``larchhaven lab``: plays scenarios and checks the rules on what the stand-ins saw."""
+"""``larchhaven lab``: plays scenarios on the test bed and checks the invariants on records."""
 
 from __future__ import annotations
 
 import asyncio
 import sys
+from collections.abc import Sequence
 from contextlib import nullcontext
-from dataclasses import asdict
 from pathlib import Path
 
 import msgspec
 
-from larchhaven.testbed.deployment import Outcome, Site, load, play
-from larchhaven.testbed.event_record import Record
-from larchhaven.testbed.invariants import Broken, Checker
-from larchhaven.testbed.proxy_process import NotStartedError
+from larchhaven.cli.exit_codes import ExitCode, exit_code_for
+from larchhaven.errors import LarchhavenError
+from larchhaven.testbed.event_record import EventRecord
+from larchhaven.testbed.invariant_checker import InvariantChecker
+from larchhaven.testbed.invariants import Violation
+from larchhaven.testbed.outcome import ScenarioOutcome
+from larchhaven.testbed.proxy_process import ProxyNotStartedError
+from larchhaven.testbed.scenario_file import load_scenario
+from larchhaven.testbed.scenario_pb2 import Scenario
+from larchhaven.testbed.scenario_player import ScenarioPlayer, play_scenario
+
+BUILT_IN_SCENARIOS = Path(__file__).parent.parent / "testbed" / "scenarios"
+MAX_SHOWN_VIOLATIONS = 20
+BYTES_PER_MB = 1 << 20
+PROGRESS_WIDTH = 78
 
-DAYS = Path(__file__).parent.parent / "testbed" / "scenarios"
 
-MAX_SHOWN_VIOLATIONS = 20
+class RecordFileError(LarchhavenError):
+    """A line of a file of records is not a record.
+
+    Attributes:
+        path: The file.
+        line: Number of the line, from 1.
+        reason: What is wrong with it.
+    """
 
+    def __init__(self, path: Path, line: int, reason: str) -> None:
+        super().__init__(f"{path}:{line}: not a record: {reason}")
+        self.path = path
+        self.line = line
+        self.reason = reason
 
-def show_progress(site: Site) -> None:
-    """Keep one line up to date for whoever watches; nothing if nobody does."""
-    if sys.stderr.isatty():
-        done = site.seconds() / site.scenario.seconds
-        last = site.samples[-1].resident / (1 << 20) if site.samples else 0.0
-        text = f"{site.scenario.name}: {done:4.0%}  {site.terminals.standing} stand, {last:.1f} MB"
-        print(f"\r{text:<78}", end="" if done < 1 else "\n", file=sys.stderr, flush=True)
+
+def show_progress(player: ScenarioPlayer) -> None:
+    """Keep one line up to date on a terminal; print nothing elsewhere."""
+    if not sys.stderr.isatty():
+        return
+    deployment = player.deployment
+    scenario = deployment.scenario
+    done_ratio = deployment.elapsed_s() / scenario.seconds
+    samples = player.sampler.samples
+    resident_mb = samples[-1].resident_bytes / BYTES_PER_MB if samples else 0.0
+    established = deployment.clients.established_connections
+    text = f"{scenario.name}: {done_ratio:4.0%}  {established} established, {resident_mb:.1f} MB"
+    end = "" if done_ratio < 1 else "\n"
+    print(f"\r{text:<{PROGRESS_WIDTH}}", end=end, file=sys.stderr, flush=True)
 
 
 def play_file(
     path: Path, operator: Path | None, record: Path | None, seed: int | None, as_json: bool
 ) -> int:
-    """Play a scenario; return the exit code."""
-    try:
-        scenario, complaints = load(path.read_text("utf-8"))
-    except (OSError, UnicodeDecodeError) as error:
-        print(f"{path}: {error}", file=sys.stderr)
-        return 2
-    for complaint in complaints:
-        print(f"{path}:{complaint}", file=sys.stderr)
-    if complaints:
-        return 2
+    """Play a scenario and print its outcome.
+
+    Args:
+        path: The scenario.
+        operator: The proxies' operators' file, if any.
+        record: Where to write the records, if anywhere.
+        seed: Seed in place of the scenario's, if any.
+        as_json: Whether to print JSON.
+
+    Returns:
+        The exit code.
+    """
+    scenario = _read_scenario(path)
+    if scenario is None:
+        return ExitCode.UNUSABLE_INPUT
     if seed is not None:
         scenario.seed = seed
     try:
-        text = operator.read_text("utf-8") if operator is not None else None
-        with record.open("wb") if record is not None else nullcontext() as file:
-            outcome = asyncio.run(
-                play(scenario, record=file, progress=show_progress, operator=text)
-            )
-    except NotStartedError as error:
-        print(f"the proxy did not start:\n{error}", file=sys.stderr)
-        return 2
+        outcome = _play(scenario, operator, record)
+    except ProxyNotStartedError as error:
+        print(f"the proxy did not start:\n{error.log}", file=sys.stderr)
+        return ExitCode.UNUSABLE_INPUT
     except OSError as error:
         print(f"larchhaven lab: {error}", file=sys.stderr)
-        return 2
+        return ExitCode.UNUSABLE_INPUT
     if as_json:
-        whole = asdict(outcome) | {"holds": outcome.holds, "samples": len(outcome.samples)}
-        print(msgspec.json.encode(whole).decode())
+        print(msgspec.json.encode(outcome.summarize()).decode())
     else:
-        _show(outcome)
-    return 0 if outcome.holds else 1
+        _print_outcome(outcome)
+    return exit_code_for(outcome.holds)
 
 
-def _show(outcome: Outcome) -> None:
-    print(f"{outcome.name}, seed {outcome.seed}: {outcome.seconds:g} s")
-    for name, counts in outcome.classes.items():
-        answers = ", ".join(f"{word} {n}" for word, n in sorted(counts["answers"].items()))
-        print(
-            f"  {name}: {counts['asked']} asked: {answers}; moved {counts['moves']}, lost {counts['lost']}"
-        )
-        if counts["setup_ms_p50"] is not None:
-            print(
-                f"    set up in {counts['setup_ms_p50']} ms (median), {counts['setup_ms_p99']} ms (p99)"
+def _read_scenario(path: Path) -> Scenario | None:
+    """Read a scenario; print what is wrong with it and return None if anything is."""
+    try:
+        scenario, complaints = load_scenario(path.read_text("utf-8"))
+    except (OSError, UnicodeDecodeError) as error:
+        print(f"{path}: {error}", file=sys.stderr)
+        return None
+    for complaint in complaints:
+        print(f"{path}:{complaint}", file=sys.stderr)
+    return None if complaints else scenario
+
+
+def _play(scenario: Scenario, operator: Path | None, record: Path | None) -> ScenarioOutcome:
+    operator_text = operator.read_text("utf-8") if operator is not None else None
+    with record.open("wb") if record is not None else nullcontext() as record_file:
+        return asyncio.run(
+            play_scenario(
+                scenario,
+                record_file=record_file,
+                progress=show_progress,
+                operator_text=operator_text,
             )
-    for name, words in outcome.members.items():
-        asked = sum(words.values())
-        print(
-            f"  of {name}: {words.get('UP', 0)} of {asked} served ({words.get('UP', 0) / asked:.0%})"
         )
+
+
+def _print_outcome(outcome: ScenarioOutcome) -> None:
+    print(f"{outcome.name}, seed {outcome.seed}: {outcome.duration_s:g} s")
+    _print_classes(outcome)
+    for name, words in outcome.tenant_answers.items():
+        requests = sum(words.values())
+        served = words.get("UP", 0)
+        print(f"  of {name}: {served} of {requests} served ({served / requests:.0%})")
     if outcome.samples:
-        peak = max(sample.resident for sample in outcome.samples)
-        print(f"  a proxy's memory at most {peak / (1 << 20):.1f} MB")
-    _show_broken(outcome.broken)
-    for text in [f"crashed: {name}" for name in outcome.crashed] + outcome.errors:
-        print(f"  {text}")
+        peak_bytes = max(sample.resident_bytes for sample in outcome.samples)
+        print(f"  a proxy's memory at most {peak_bytes / BYTES_PER_MB:.1f} MB")
+    _print_violations(outcome.violations)
+    for name in outcome.crashed_proxies:
+        print(f"  crashed: {name}")
+    for error in outcome.errors:
+        print(f"  {error}")
     print("holds" if outcome.holds else "does not hold")
 
 
-def _show_broken(broken: list[Broken]) -> None:
-    for one in broken[:MAX_SHOWN_VIOLATIONS]:
-        print(f"  {one.rule}: {one.text}")
-    if len(broken) > MAX_SHOWN_VIOLATIONS:
-        print(f"  and {len(broken) - MAX_SHOWN_VIOLATIONS} more")
+def _print_classes(outcome: ScenarioOutcome) -> None:
+    for name, found in outcome.classes.items():
+        answers = ", ".join(f"{word} {count}" for word, count in sorted(found.answers.items()))
+        ends = f"migrated {found.migrations}, lost {found.lost_connections}"
+        print(f"  {name}: {found.requests} requests: {answers}; {ends}")
+        if found.setup_p50_ms is not None:
+            times = f"{found.setup_p50_ms} ms (median), {found.setup_p99_ms} ms (p99)"
+            print(f"    established in {times}")
 
 
-def try_day(name: str, as_json: bool) -> int:
-    """Play one of the small days that come with the program; return the exit code."""
-    return play_file(DAYS / f"{name}.textproto", None, None, None, as_json)
+def _print_violations(violations: Sequence[Violation]) -> None:
+    for violation in violations[:MAX_SHOWN_VIOLATIONS]:
+        print(f"  {violation.invariant}: {violation.description}")
+    if len(violations) > MAX_SHOWN_VIOLATIONS:
+        print(f"  and {len(violations) - MAX_SHOWN_VIOLATIONS} more")
+
+
+def try_scenario(name: str, as_json: bool) -> int:
+    """Play one of the small scenarios that come with the program; return the exit code."""
+    return play_file(BUILT_IN_SCENARIOS / f"{name}.textproto", None, None, None, as_json)
 
 
 def check_file(path: Path, as_json: bool) -> int:
-    """Check the rules on records in a file; return the exit code."""
-    checker = Checker()
-    last = number = 0
+    """Check the invariants on records in a file and print the violations.
+
+    Args:
+        path: The records, as ``lab play --record`` wrote them.
+        as_json: Whether to print JSON.
+
+    Returns:
+        The exit code.
+    """
     try:
-        with path.open("rb") as file:
-            for line in file:
-                number += 1
-                record = msgspec.json.decode(line, type=Record)
-                checker.take(record)
-                last = record.at
+        violations = _check_records(path)
+    except RecordFileError as error:
+        print(error, file=sys.stderr)
+        return ExitCode.UNUSABLE_INPUT
     except OSError as error:
         print(f"{path}: {error}", file=sys.stderr)
-        return 2
-    except msgspec.DecodeError as error:
-        print(f"{path}:{number}: not a record: {error}", file=sys.stderr)
-        return 2
-    broken = checker.finish(last)
+        return ExitCode.UNUSABLE_INPUT
+    holds = not violations
     if as_json:
-        print(
-            msgspec.json.encode(
-                {"holds": not broken, "broken": [asdict(one) for one in broken]}
-            ).decode()
-        )
+        print(msgspec.json.encode({"holds": holds, "broken": violations}).decode())
     else:
-        _show_broken(broken)
-        print("does not hold" if broken else "holds")
-    return 1 if broken else 0
+        _print_violations(violations)
+        print("holds" if holds else "does not hold")
+    return exit_code_for(holds)
+
+
+def _check_records(path: Path) -> list[Violation]:
+    checker = InvariantChecker()
+    decoder = msgspec.json.Decoder(EventRecord)
+    last_at_us = 0
+    with path.open("rb") as file:
+        for number, line in enumerate(file, start=1):
+            try:
+                record = decoder.decode(line)
+            except msgspec.DecodeError as error:
+                raise RecordFileError(path, number, str(error)) from None
+            checker.handle(record)
+            last_at_us = record.at_us
+    return checker.finish(last_at_us)
--- a/larchhaven/cli/soak.py
+++ b/larchhaven/cli/soak.py
@@ -4,15 +4,42 @@
 
 import sys
 from collections.abc import Sequence
+from dataclasses import dataclass
 from pathlib import Path
 from typing import TYPE_CHECKING
 
 import msgspec
 
+from larchhaven.cli.exit_codes import ExitCode, exit_code_for
 from larchhaven.cli.lab import show_progress
+from larchhaven.errors import LarchhavenError
 
 if TYPE_CHECKING:
-    from larchhaven.soak.verdict import Verdict
+    from larchhaven.soak.slope import Slope
+    from larchhaven.soak.verdict import SoakVerdict
+
+ALL_ABUSES = "all"
+CHURN_LABEL = "churn"
+SECONDS_PER_MINUTE = 60
+BYTES_PER_KB = 1 << 10
+BYTES_PER_MB = 1 << 20
+
+
+class SoakPlanError(LarchhavenError):
+    """The options name no soak that can be played."""
+
+
+@dataclass(frozen=True, slots=True)
+class PlannedPart:
+    """One part of a soak that is to be played."""
+
+    abuse_name: str
+    duration_s: float
+
+    @property
+    def label(self) -> str:
+        """Name of its files and in the output."""
+        return self.abuse_name or CHURN_LABEL
 
 
 def run(
@@ -26,61 +53,91 @@
     out: Path,
     as_json: bool,
 ) -> int:
-    """Play the parts, write what they showed, and return the exit code."""
+    """Play the parts of a soak and write what they showed.
+
+    Args:
+        minutes: How long the churn lasts; 0 for none.
+        abuses: Names of abuses that follow, or ``all``.
+        abuse_minutes: How long each abuse lasts.
+        arrivals: New connections a second.
+        memory_mb: Memory granted to the proxy.
+        sockets: Descriptors granted to the proxy.
+        seed: Seed of the scenarios.
+        out: Folder for samples, verdicts and reports.
+        as_json: Whether to print JSON.
+
+    Returns:
+        The exit code.
+    """
     try:
-        from larchhaven.soak.days import ABUSES
-        from larchhaven.soak.report import write
+        from larchhaven.soak.results import write_results
         from larchhaven.soak.run import run_part
+        from larchhaven.soak.scenario import SoakLoad
     except ModuleNotFoundError as error:
-        print(
-            f"larchhaven soak needs the extra 'report' ({error.name} is missing)", file=sys.stderr
-        )
-        return 2
-    names = list(ABUSES) if "all" in abuses else list(abuses)
-    for name in names:
-        if name not in ABUSES:
-            print(f"there is no abuse {name!r}; known are {', '.join(ABUSES)}", file=sys.stderr)
-            return 2
-    parts = [("", 60 * minutes)] if minutes else []
-    parts += [(name, 60 * abuse_minutes) for name in names]
-    if not parts:
-        print("larchhaven soak: nothing to do: write --minutes or --abuse", file=sys.stderr)
-        return 2
+        return _fail(f"larchhaven soak needs the extra 'report' ({error.name} is missing)")
+    try:
+        planned = _plan_parts(minutes, abuses, abuse_minutes)
+    except SoakPlanError as error:
+        return _fail(str(error))
+    load = SoakLoad(arrivals, memory_mb, sockets, seed)
     out.mkdir(parents=True, exist_ok=True)
-    verdicts = {}
-    for name, seconds in parts:
-        label = name or "churn"
-        samples = out / f"{label}.jsonl"
-        samples.unlink(missing_ok=True)
-        part = run_part(seconds, arrivals, memory_mb, sockets, seed, name, samples, show_progress)
-        verdicts[label] = part.verdict
-        title = (
-            f"Soak, {label}: {seconds / 60:g} minutes at {memory_mb:g} MB,"
-            f" {arrivals:g} arrivals a second"
-        )
-        report = write(title, part.samples, part.warm_s, part.verdict)
-        (out / f"{label}.html").write_text(report, "utf-8")
-        (out / f"{label}.json").write_bytes(
-            msgspec.json.format(msgspec.json.encode(part.verdict.as_dict()))
-        )
+    verdicts: dict[str, SoakVerdict] = {}
+    for plan in planned:
+        samples_path = out / f"{plan.label}.jsonl"
+        samples_path.unlink(missing_ok=True)
+        part = run_part(plan.duration_s, load, plan.abuse_name, samples_path, show_progress)
+        verdicts[plan.label] = part.verdict
+        write_results(out, plan.label, plan.duration_s, load, part)
         if not as_json:
-            _show_verdict(label, part.verdict)
+            _print_verdict(plan.label, part.verdict)
     if as_json:
-        print(msgspec.json.encode({label: v.as_dict() for label, v in verdicts.items()}).decode())
+        output = {label: verdict.to_builtins() for label, verdict in verdicts.items()}
+        print(msgspec.json.encode(output).decode())
     else:
         print(f"reports and samples are in {out}")
-    return 1 if any(verdict.complaints for verdict in verdicts.values()) else 0
+    return exit_code_for(not any(verdict.complaints for verdict in verdicts.values()))
+
+
+def _plan_parts(minutes: float, abuses: Sequence[str], abuse_minutes: float) -> list[PlannedPart]:
+    """Return the parts of a soak in order.
+
+    Raises:
+        SoakPlanError: An abuse is not known, or there is nothing to do.
+    """
+    from larchhaven.soak.abuses import ABUSES
+
+    names = list(ABUSES) if ALL_ABUSES in abuses else list(abuses)
+    unknown = [name for name in names if name not in ABUSES]
+    if unknown:
+        known = ", ".join(ABUSES)
+        raise SoakPlanError(f"there is no abuse {unknown[0]!r}; known are {known}")
+    planned = [PlannedPart("", SECONDS_PER_MINUTE * minutes)] if minutes else []
+    planned += [PlannedPart(name, SECONDS_PER_MINUTE * abuse_minutes) for name in names]
+    if not planned:
+        raise SoakPlanError("larchhaven soak: nothing to do: write --minutes or --abuse")
+    return planned
 
 
-def _show_verdict(label: str, verdict: Verdict) -> None:
-    print(f"{label}: {'holds' if not verdict.complaints else 'does not hold'}")
-    for complaint in verdict.complaints:
+def _fail(message: str) -> int:
+    print(message, file=sys.stderr)
+    return ExitCode.UNUSABLE_INPUT
+
+
+def _print_verdict(label: str, verdict: SoakVerdict) -> None:
+    complaints = verdict.complaints
+    print(f"{label}: {'does not hold' if complaints else 'holds'}")
+    for complaint in complaints:
         print(f"  {complaint}")
-    for which, slope in (("resident", verdict.resident), ("accounted", verdict.accounted)):
-        if slope is None:
-            continue
-        share = 100 * slope.share_an_hour
-        print(
-            f"  {which}: {slope.mean / (1 << 20):.2f} MB, {share:+.2f}% an hour"
-            f" ({slope.low / 1024:+.0f} to {slope.high / 1024:+.0f} KB)"
-        )
+    _print_slope("resident", verdict.resident_slope)
+    _print_slope("accounted", verdict.accounted_slope)
+
+
+def _print_slope(name: str, slope: Slope | None) -> None:
+    if slope is None:
+        return
+    low_kb = slope.low_bytes_per_hour / BYTES_PER_KB
+    high_kb = slope.high_bytes_per_hour / BYTES_PER_KB
+    print(
+        f"  {name}: {slope.mean_bytes / BYTES_PER_MB:.2f} MB,"
+        f" {100 * slope.fraction_per_hour:+.2f}% an hour ({low_kb:+.0f} to {high_kb:+.0f} KB)"
+    )
--- a/larchhaven/model/plot.py
+++ b/larchhaven/model/plot.py
@@ -9,7 +9,7 @@
 from matplotlib.figure import Figure
 
 from larchhaven.model.sweep import Cell, Interval
-from larchhaven.plots import page, svg
+from larchhaven.plots import render_page, render_svg
 
 UNBOUNDED = 1e300  # an interval end above it means that the end is not known
 _LINES = ("-", "--", ":", "-.")
@@ -62,8 +62,9 @@
     note = (
         "Means over seeds with 95% intervals; rates of false deaths with exact Poisson intervals."
     )
-    return page(
-        title, f"<p>{html.escape(note)}</p>{svg(figure)}<table><tr>{heads}</tr>{rows}</table>"
+    return render_page(
+        title,
+        f"<p>{html.escape(note)}</p>{render_svg(figure)}<table><tr>{heads}</tr>{rows}</table>",
     )
 
 
--- a/larchhaven/plots.py
+++ b/larchhaven/plots.py
@@ -1,4 +1,4 @@
-"""Pictures for reports that are one HTML file; only what writes reports loads the plotting library."""
+"""Plots and pages of reports that are one HTML file; only report writers load this module."""
 
 from __future__ import annotations
 
@@ -10,19 +10,28 @@
 
 mpl.rcParams["svg.hashsalt"] = "larchhaven"  # the same samples give the same file
 
+_STYLE = """body{font:15px sans-serif;max-width:64em;margin:2em auto}
+td,th{padding:.2em 1em;text-align:right}
+td:first-child{text-align:left}svg{max-width:100%;height:auto}"""
 
-def svg(figure: Figure) -> str:
-    """Draw a figure as text that stands in a page."""
+
+def render_svg(figure: Figure) -> str:
+    """Return a figure as an SVG element that can stand in an HTML page."""
     out = io.StringIO()
     figure.savefig(out, format="svg", metadata={"Date": None})
     text = out.getvalue()
     return text[text.index("<svg") :]
 
 
-def page(title: str, body: str) -> str:
-    """Return a whole page; the body is HTML, the title plain text."""
-    return f"""<!doctype html><html lang="en"><meta charset="utf-8"><title>{html.escape(title)}</title>
-<style>body{{font:15px sans-serif;max-width:64em;margin:2em auto}}td,th{{padding:.2em 1em;text-align:right}}
-td:first-child{{text-align:left}}svg{{max-width:100%;height:auto}}</style>
-<h1>{html.escape(title)}</h1>{body}</html>
+def render_page(title: str, body: str) -> str:
+    """Return a whole HTML page.
+
+    Args:
+        title: Title in plain text.
+        body: Content below the title, in HTML.
+    """
+    plain_title = html.escape(title)
+    head = f'<meta charset="utf-8"><title>{plain_title}</title>\n<style>{_STYLE}</style>'
+    return f"""<!doctype html><html lang="en">{head}
+<h1>{plain_title}</h1>{body}</html>
 """
--- a/larchhaven/soak/__init__.py
+++ b/larchhaven/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Long runs of a real proxy in the lab: its memory should stay flat and each cap hold under abuse."""
+"""Long runs of a real proxy on the test bed: memory stays flat and each cap holds under abuse."""
--- a/larchhaven/soak/report.py
+++ b/larchhaven/soak/report.py
@@ -4,72 +4,104 @@
 
 import html
 from collections.abc import Sequence
-from typing import Any
 
+from matplotlib.axes import Axes
 from matplotlib.figure import Figure
 
-from larchhaven.plots import page, svg
-from larchhaven.soak.verdict import Verdict
+from larchhaven.plots import render_page, render_svg
+from larchhaven.soak.slope import Slope
+from larchhaven.soak.verdict import SoakVerdict
+from larchhaven.testbed.outcome import ProxySample
 
-_MB = 1 << 20
+BYTES_PER_KB = 1 << 10
+BYTES_PER_MB = 1 << 20
+PURPOSE_GRID_SIZE = 3
 
 
-def _sizes(samples: Sequence[dict[str, Any]], warm_s: float, verdict: Verdict) -> str:
+def _plot_sizes(samples: Sequence[ProxySample], warm_up_s: float, verdict: SoakVerdict) -> str:
     figure = Figure(figsize=(10, 4), layout="constrained")
     axes = figure.subplots()
-    full = [s for s in samples if s["memory"]]
-    minutes = [s["at"] / 60 for s in full]
-    axes.plot(minutes, [s["resident"] / _MB for s in full], label="resident", lw=1)
-    explained = [(s["memory"]["start"] + s["memory"]["accounted"]) / _MB for s in full]
-    axes.plot(minutes, explained, label="start size and accounted", lw=1)
-    axes.axhline(verdict.grant / _MB, color="0.4", ls="--", lw=1, label="granted")
-    axes.axvline(warm_s / 60, color="0.7", lw=1, label="end of warm-up")
+    minutes = [sample.at_s / 60 for sample in samples]
+    resident_mb = [sample.resident_bytes / BYTES_PER_MB for sample in samples]
+    explained_mb = [
+        (sample.memory_report["start"] + sample.memory_report["accounted"]) / BYTES_PER_MB
+        for sample in samples
+    ]
+    axes.plot(minutes, resident_mb, label="resident", lw=1)
+    axes.plot(minutes, explained_mb, label="start size and accounted", lw=1)
+    grant_mb = verdict.grant_bytes / BYTES_PER_MB
+    axes.axhline(grant_mb, color="0.4", ls="--", lw=1, label="granted")
+    axes.axvline(warm_up_s / 60, color="0.7", lw=1, label="end of warm-up")
     axes.set_xlabel("minutes")
     axes.set_ylabel("MB")
     axes.set_ylim(bottom=0)
     axes.legend(loc="lower right")
-    return svg(figure)
+    return render_svg(figure)
 
 
-def _purposes(samples: Sequence[dict[str, Any]]) -> str:
-    full = [s for s in samples if s["memory"]]
-    names = list(full[-1]["memory"]["purposes"]) if full else []
+def _plot_purposes(samples: Sequence[ProxySample]) -> str:
+    names = list(samples[-1].memory_report["purposes"]) if samples else []
     figure = Figure(figsize=(10, 6), layout="constrained")
-    grid = figure.subplots(3, 3, squeeze=False)
-    minutes = [s["at"] / 60 for s in full]
+    grid = figure.subplots(PURPOSE_GRID_SIZE, PURPOSE_GRID_SIZE, squeeze=False)
     for axes, name in zip(grid.flat, names, strict=False):
-        lines = [s["memory"]["purposes"][name] for s in full]
-        axes.plot(minutes, [line["used"] / 1024 for line in lines], lw=0.8)
-        axes.axhline(lines[-1]["cap"] / 1024, color="tab:red", lw=0.8, ls="--")
-        axes.set_title(f"{name}, KB (cap dashed)", fontsize=9)
-        axes.tick_params(labelsize=8)
-        axes.set_ylim(bottom=0)
-    return svg(figure)
-
-
-def write(title: str, samples: Sequence[dict[str, Any]], warm_s: float, verdict: Verdict) -> str:
-    """Return the report as HTML."""
-    rows = []
-    for name, slope in (("resident", verdict.resident), ("accounted", verdict.accounted)):
-        if slope is None:
-            rows.append(f"<tr><td>{name}</td><td colspan=3>too few samples</td></tr>")
-        else:
-            rows.append(
-                f"<tr><td>{name}</td><td>{slope.mean / _MB:.2f} MB</td>"
-                f"<td>{100 * slope.share_an_hour:+.2f}% an hour</td>"
-                f"<td>{slope.low / 1024:+.0f} to {slope.high / 1024:+.0f} KB an hour</td></tr>"
-            )
-    caps = "".join(
-        f"<tr><td>{name}</td><td>{cap.cap >> 10}</td><td>{cap.high >> 10}</td><td>{cap.refused}</td></tr>"
+        _plot_purpose(axes, name, samples)
+    return render_svg(figure)
+
+
+def _plot_purpose(axes: Axes, name: str, samples: Sequence[ProxySample]) -> None:
+    minutes = [sample.at_s / 60 for sample in samples]
+    purposes = [sample.memory_report["purposes"][name] for sample in samples]
+    axes.plot(minutes, [purpose["used"] / BYTES_PER_KB for purpose in purposes], lw=0.8)
+    axes.axhline(purposes[-1]["cap"] / BYTES_PER_KB, color="tab:red", lw=0.8, ls="--")
+    axes.set_title(f"{name}, KB (cap dashed)", fontsize=9)
+    axes.tick_params(labelsize=8)
+    axes.set_ylim(bottom=0)
+
+
+def _slope_row(name: str, slope: Slope | None) -> str:
+    if slope is None:
+        return f"<tr><td>{name}</td><td colspan=3>too few samples</td></tr>"
+    low_kb = slope.low_bytes_per_hour / BYTES_PER_KB
+    high_kb = slope.high_bytes_per_hour / BYTES_PER_KB
+    return (
+        f"<tr><td>{name}</td><td>{slope.mean_bytes / BYTES_PER_MB:.2f} MB</td>"
+        f"<td>{100 * slope.fraction_per_hour:+.2f}% an hour</td>"
+        f"<td>{low_kb:+.0f} to {high_kb:+.0f} KB an hour</td></tr>"
+    )
+
+
+def _cap_rows(verdict: SoakVerdict) -> str:
+    return "".join(
+        f"<tr><td>{name}</td><td>{cap.cap_bytes >> 10}</td><td>{cap.peak_bytes >> 10}</td>"
+        f"<td>{cap.rejections}</td></tr>"
         for name, cap in verdict.caps.items()
     )
+
+
+def render_report(
+    title: str, samples: Sequence[ProxySample], warm_up_s: float, verdict: SoakVerdict
+) -> str:
+    """Return the report as HTML.
+
+    Args:
+        title: Title in plain text.
+        samples: The samples in order of time.
+        warm_up_s: How long samples do not count for slopes.
+        verdict: What the samples showed.
+    """
+    reported = [sample for sample in samples if sample.memory_report]
     complaints = "".join(f"<li>{html.escape(text)}</li>" for text in verdict.complaints)
-    word = "does not hold" if complaints else "holds"
+    slopes = _slope_row("resident", verdict.resident_slope)
+    slopes += _slope_row("accounted", verdict.accounted_slope)
+    peak_mb = verdict.resident_peak_bytes / BYTES_PER_MB
+    grant_mb = verdict.grant_bytes / BYTES_PER_MB
     body = f"""<ul>{complaints}</ul>
-<p>Peak {verdict.resident_peak / _MB:.2f} MB of {verdict.grant / _MB:.0f} MB granted; at most
-{verdict.unaccounted_most >> 10} KB that no purpose explains.</p>
-<table><tr><th>size<th>mean<th>slope<th>95% interval</tr>{"".join(rows)}</table>
-{_sizes(samples, warm_s, verdict)}
-<h2>By purpose</h2><table><tr><th>purpose<th>cap, KB<th>most, KB<th>refused</tr>{caps}</table>
-{_purposes(samples)}"""
-    return page(f"{title}: {word}", body)
+<p>Peak {peak_mb:.2f} MB of {grant_mb:.0f} MB granted; at most
+{verdict.peak_unaccounted_bytes >> 10} KB that no purpose explains.</p>
+<table><tr><th>size<th>mean<th>slope<th>95% interval</tr>{slopes}</table>
+{_plot_sizes(reported, warm_up_s, verdict)}
+<h2>By purpose</h2><table><tr><th>purpose<th>cap, KB<th>most, KB<th>refused</tr>
+{_cap_rows(verdict)}</table>
+{_plot_purposes(reported)}"""
+    word = "does not hold" if complaints else "holds"
+    return render_page(f"{title}: {word}", body)
--- /dev/null
+++ b/larchhaven/soak/slope.py
@@ -0,0 +1,120 @@
+"""The slope of a series of sizes, with a confidence interval that allows for autocorrelation."""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Sequence
+
+import msgspec
+import numpy as np
+from scipy import stats
+
+CONFIDENCE = 0.95
+# Samples are averaged over blocks before a line is fitted: neighbours say much the same.
+BLOCK_S = 30.0
+MIN_BLOCKS = 8
+MIN_SAMPLES = 2
+FITTED_PARAMETERS = 2  # intercept and slope
+MAX_CORRELATION = 0.95
+MIN_EFFECTIVE_BLOCKS = 3.0
+SECONDS_PER_HOUR = 3600
+# A flat slope is under this part of the mean an hour, and its interval holds 0.
+MAX_FLAT_FRACTION_PER_HOUR = 0.01
+
+
+class Slope(
+    msgspec.Struct,
+    frozen=True,
+    rename={
+        "mean_bytes": "mean",
+        "bytes_per_hour": "an_hour",
+        "low_bytes_per_hour": "low",
+        "high_bytes_per_hour": "high",
+    },
+):
+    """A fitted line.
+
+    Attributes:
+        mean_bytes: Mean size.
+        bytes_per_hour: Slope.
+        low_bytes_per_hour: Lower end of its confidence interval.
+        high_bytes_per_hour: Upper end of its confidence interval.
+        blocks: Number of blocks that were averaged.
+        correlation: Of one block with the next, after the line is taken off.
+    """
+
+    mean_bytes: float
+    bytes_per_hour: float
+    low_bytes_per_hour: float
+    high_bytes_per_hour: float
+    blocks: int
+    correlation: float
+
+    @property
+    def fraction_per_hour(self) -> float:
+        """The slope as a part of the mean."""
+        return self.bytes_per_hour / self.mean_bytes if self.mean_bytes else 0.0
+
+    @property
+    def is_flat(self) -> bool:
+        """Whether nothing grows that an hour would show."""
+        is_small = abs(self.fraction_per_hour) < MAX_FLAT_FRACTION_PER_HOUR
+        return is_small and self.low_bytes_per_hour <= 0 <= self.high_bytes_per_hour
+
+
+def fit_slope(times_s: Sequence[float], sizes_bytes: Sequence[float]) -> Slope | None:
+    """Fit a line through samples.
+
+    Blocks are averaged, and the interval is widened for what neighbouring blocks share (a residual
+    of first-order autoregression, by the effective number of blocks n(1-r)/(1+r)): without that a
+    slow oscillation would look like a leak.
+
+    Args:
+        times_s: Times of the samples.
+        sizes_bytes: Their sizes.
+
+    Returns:
+        The slope, or None for too few samples.
+    """
+    if len(times_s) < MIN_SAMPLES:
+        return None
+    times = np.asarray(times_s)
+    sizes = np.asarray(sizes_bytes, dtype=float)
+    block_of_sample = ((times - times[0]) // BLOCK_S).astype(int)
+    blocks = np.unique(block_of_sample)
+    if len(blocks) < MIN_BLOCKS:
+        return None
+    hours = np.array([times[block_of_sample == b].mean() for b in blocks]) / SECONDS_PER_HOUR
+    means = np.array([sizes[block_of_sample == b].mean() for b in blocks])
+    line = stats.linregress(hours, means)
+    residuals = means - (line.intercept + line.slope * hours)
+    correlation = _measure_correlation(residuals)
+    count = len(blocks)
+    effective = max(count * (1 - correlation) / (1 + correlation), MIN_EFFECTIVE_BLOCKS)
+    half_width = _half_width(float(line.stderr), count, effective)
+    slope = float(line.slope)
+    return Slope(
+        mean_bytes=float(means.mean()),
+        bytes_per_hour=slope,
+        low_bytes_per_hour=slope - half_width,
+        high_bytes_per_hour=slope + half_width,
+        blocks=count,
+        correlation=correlation,
+    )
+
+
+def _measure_correlation(residuals: np.ndarray) -> float:
+    """Return the correlation of each residual with the next, limited to 0 and below 1."""
+    spread = float((residuals**2).sum())
+    if not spread:
+        return 0.0
+    correlation = float((residuals[1:] * residuals[:-1]).sum()) / spread
+    return min(max(correlation, 0.0), MAX_CORRELATION)
+
+
+def _half_width(standard_error: float, count: int, effective: float) -> float:
+    """Return half the width of the confidence interval for an effective number of blocks."""
+    freedom = effective - FITTED_PARAMETERS
+    # linregress divides by count - 2; the effective number takes its place.
+    error = standard_error * math.sqrt((count - FITTED_PARAMETERS) / freedom)
+    return float(stats.t.ppf((1 + CONFIDENCE) / 2, freedom)) * error
--- a/larchhaven/soak/verdict.py
+++ b/larchhaven/soak/verdict.py
@@ -1,170 +1,175 @@
-"""The verdict on a series of samples: slopes with confidence intervals, and each purpose against its cap."""
+"""The verdict on a soak: slopes of the sizes, and each memory purpose against its cap."""
 
 from __future__ import annotations
 
-import math
 from collections.abc import Sequence
-from dataclasses import asdict, dataclass, field
 from typing import Any
 
-import numpy as np
-from scipy import stats
+import msgspec
 
-CONFIDENCE = 0.95
-# Samples are averaged over blocks of this length before a line is fitted: neighbours tell the same story.
-BLOCK_S = 30.0
-BLOCKS_LEAST = 8
-MIN_SAMPLES = 2
-FITTED_PARAMETERS = 2  # intercept and slope
-# A slope is flat if it is under this part of the mean an hour and its interval holds 0.
-FLAT_AN_HOUR = 0.01
+from larchhaven.errors import LarchhavenError
+from larchhaven.soak.slope import Slope, fit_slope
+from larchhaven.testbed.client_statistics import ClassOutcome
+from larchhaven.testbed.outcome import ProxySample
 
 
-@dataclass(frozen=True, slots=True)
-class Slope:
-    """A fitted line: per hour, in bytes, with its confidence interval; ``mean`` is the level in bytes."""
+class NoSamplesError(LarchhavenError, ValueError):
+    """There is no sample to judge."""
 
-    mean: float
-    an_hour: float
-    low: float
-    high: float
-    blocks: int
-    correlation: float  # of one block with the next, after the line is taken off
+    def __init__(self) -> None:
+        super().__init__("there is no sample to judge")
 
-    @property
-    def share_an_hour(self) -> float:
-        """Return the slope as a part of the mean."""
-        return self.an_hour / self.mean if self.mean else 0.0
-
-    @property
-    def flat(self) -> bool:
-        """Tell whether nothing grows that an hour would show."""
-        return abs(self.share_an_hour) < FLAT_AN_HOUR and self.low <= 0 <= self.high
 
+class CapUsage(
+    msgspec.Struct,
+    rename={"cap_bytes": "cap", "peak_bytes": "high", "rejections": "refused"},
+):
+    """One memory purpose over the whole run.
 
-def fit(at: Sequence[float], sizes: Sequence[float]) -> Slope | None:
-    """Fit a line through samples (seconds, bytes); None for too few.
-
-    Blocks are averaged, and the interval is widened for what neighbouring blocks share (an AR(1) rest, by
-    the effective number of blocks n(1-r)/(1+r)): without that a slow swing would look like a leak.
+    Attributes:
+        cap_bytes: Its cap.
+        peak_bytes: The most that was used.
+        rejections: How often more was asked for than the cap allows.
     """
-    if len(at) < MIN_SAMPLES:
-        return None
-    times, values = np.asarray(at), np.asarray(sizes, dtype=float)
-    numbers = ((times - times[0]) // BLOCK_S).astype(int)
-    kept = np.unique(numbers)
-    if len(kept) < BLOCKS_LEAST:
-        return None
-    x = np.array([times[numbers == k].mean() for k in kept]) / 3600
-    y = np.array([values[numbers == k].mean() for k in kept])
-    line = stats.linregress(x, y)
-    rest = y - (line.intercept + line.slope * x)
-    spread = float((rest**2).sum())
-    r = float((rest[1:] * rest[:-1]).sum()) / spread if spread else 0.0
-    r = min(max(r, 0.0), 0.95)
-    count = len(x)
-    effective = max(count * (1 - r) / (1 + r), 3.0)
-    # linregress divides by count - 2; the effective number takes its place.
-    error = (
-        float(line.stderr)
-        * math.sqrt((count - FITTED_PARAMETERS) / (effective - FITTED_PARAMETERS))
-        if effective > FITTED_PARAMETERS
-        else math.inf
-    )
-    half = float(stats.t.ppf((1 + CONFIDENCE) / 2, max(effective - FITTED_PARAMETERS, 1))) * error
-    slope = float(line.slope)
-    return Slope(float(y.mean()), slope, slope - half, slope + half, count, r)
-
-
-@dataclass(slots=True)
-class Cap:
-    """One purpose over the whole run, in bytes and times."""
 
-    cap: int
-    high: int
-    refused: int
+    cap_bytes: int
+    peak_bytes: int
+    rejections: int
 
     @property
-    def held(self) -> bool:
-        """Tell whether the gauge stayed under its cap."""
-        return self.high <= self.cap
-
-
-@dataclass(slots=True)
-class Verdict:
-    """What a soak has shown."""
-
-    resident: Slope | None
-    accounted: Slope | None
-    resident_peak: int
-    grant: int
-    caps: dict[str, Cap]
-    unaccounted_most: int
-    broken: list[str] = field(default_factory=list)
-    errors: list[str] = field(default_factory=list)
-    account_errors: int = 0
-    answers: dict[str, Any] = field(default_factory=dict)
-    rest: dict[str, int] = field(
-        default_factory=dict
-    )  # connections' gauge once all had left, by proxy
+    def holds(self) -> bool:
+        """Whether the use stayed within the cap."""
+        return self.peak_bytes <= self.cap_bytes
+
+
+class SoakVerdict(
+    msgspec.Struct,
+    rename={
+        "resident_slope": "resident",
+        "accounted_slope": "accounted",
+        "resident_peak_bytes": "resident_peak",
+        "grant_bytes": "grant",
+        "peak_unaccounted_bytes": "unaccounted_most",
+        "violations": "broken",
+        "excess_releases": "account_errors",
+        "classes": "answers",
+        "idle_connection_bytes": "rest",
+    },
+):
+    """What a soak has shown.
+
+    Attributes:
+        resident_slope: Slope of the resident size after warm-up; None for too few samples.
+        accounted_slope: Slope of the start size and what the account explains.
+        resident_peak_bytes: The largest resident size.
+        grant_bytes: The memory granted.
+        caps: Use of each memory purpose.
+        peak_unaccounted_bytes: The most that no purpose explained.
+        violations: Sentences on violated invariants.
+        errors: Sentences on crashes and unexpected errors.
+        excess_releases: How often more was released than had been charged.
+        classes: What the clients of each request class met.
+        idle_connection_bytes: Charged to connections once all clients had left, by proxy.
+        judges_slope: Whether slopes count; an abuse lasts too short for them.
+    """
+
+    resident_slope: Slope | None
+    accounted_slope: Slope | None
+    resident_peak_bytes: int
+    grant_bytes: int
+    caps: dict[str, CapUsage]
+    peak_unaccounted_bytes: int
+    violations: list[str] = []
+    errors: list[str] = []
+    excess_releases: int = 0
+    classes: dict[str, ClassOutcome] = {}
+    idle_connection_bytes: dict[str, int] = {}
     judges_slope: bool = True
 
     @property
     def complaints(self) -> list[str]:
-        """Say in plain sentences why this does not hold; empty if it does."""
-        found = list(self.broken) + list(self.errors)
-        if self.resident_peak > self.grant:
-            found.append(
-                f"the resident size reached {self.resident_peak >> 10} KB of {self.grant >> 10} KB"
-            )
-        found += [f"{name} passed its cap" for name, cap in self.caps.items() if not cap.held]
+        """Why this does not hold, in plain sentences; empty if it does."""
+        found = [*self.violations, *self.errors]
+        if self.resident_peak_bytes > self.grant_bytes:
+            peak_kb = self.resident_peak_bytes >> 10
+            grant_kb = self.grant_bytes >> 10
+            found.append(f"the resident size reached {peak_kb} KB of {grant_kb} KB")
+        found += [f"{name} passed its cap" for name, cap in self.caps.items() if not cap.holds]
         found += [
-            f"{name} still counted {n} bytes of connections at rest"
-            for name, n in self.rest.items()
-            if n
+            f"{name} still counted {used_bytes} bytes of connections at rest"
+            for name, used_bytes in self.idle_connection_bytes.items()
+            if used_bytes
         ]
-        if self.account_errors:
-            found.append(f"{self.account_errors} give-backs exceeded what was taken")
+        if self.excess_releases:
+            found.append(f"{self.excess_releases} give-backs exceeded what was taken")
         if self.judges_slope:
-            for name, slope in (("resident", self.resident), ("accounted", self.accounted)):
-                if slope is None:
-                    found.append(f"too few samples for the slope of the {name} size")
-                elif not slope.flat:
-                    found.append(
-                        f"the {name} size is not flat: {100 * slope.share_an_hour:+.2f}% an hour"
-                    )
+            found += _judge_slope("resident", self.resident_slope)
+            found += _judge_slope("accounted", self.accounted_slope)
         return found
 
-    def as_dict(self) -> dict[str, Any]:
-        """Return all of it for JSON."""
-        whole = {name: getattr(self, name) for name in self.__slots__}
-        for name in ("resident", "accounted"):
-            slope = whole[name]
-            if slope is not None:
-                whole[name] = asdict(slope) | {
-                    "share_an_hour": slope.share_an_hour,
-                    "flat": slope.flat,
-                }
-        whole["caps"] = {name: asdict(cap) | {"held": cap.held} for name, cap in self.caps.items()}
-        return whole | {"holds": not self.complaints, "complaints": self.complaints}
-
-
-def judge(samples: Sequence[dict[str, Any]], warm_s: float, judges_slope: bool = True) -> Verdict:
-    """Judge samples as ``lab`` takes them; those before ``warm_s`` count for caps only."""
+    def to_builtins(self) -> dict[str, Any]:
+        """Return all of it for JSON, with what follows from it."""
+        output: dict[str, Any] = msgspec.to_builtins(self)
+        output["resident"] = _describe_slope(self.resident_slope)
+        output["accounted"] = _describe_slope(self.accounted_slope)
+        output["caps"] = {
+            name: msgspec.to_builtins(cap) | {"held": cap.holds} for name, cap in self.caps.items()
+        }
+        complaints = self.complaints
+        return output | {"holds": not complaints, "complaints": complaints}
+
+
+def _judge_slope(name: str, slope: Slope | None) -> list[str]:
+    if slope is None:
+        return [f"too few samples for the slope of the {name} size"]
+    if slope.is_flat:
+        return []
+    return [f"the {name} size is not flat: {100 * slope.fraction_per_hour:+.2f}% an hour"]
+
+
+def _describe_slope(slope: Slope | None) -> dict[str, Any] | None:
+    if slope is None:
+        return None
+    output: dict[str, Any] = msgspec.to_builtins(slope)
+    return output | {"share_an_hour": slope.fraction_per_hour, "flat": slope.is_flat}
+
+
+def judge_samples(
+    samples: Sequence[ProxySample], warm_up_s: float, *, judges_slope: bool = True
+) -> SoakVerdict:
+    """Judge the samples of a run.
+
+    Args:
+        samples: The samples in order of time.
+        warm_up_s: Earlier samples count for caps only.
+        judges_slope: Whether the slopes count.
+
+    Raises:
+        NoSamplesError: There is no sample.
+    """
     if not samples:
-        raise ValueError("there is no sample to judge")
-    warm = [s for s in samples if s["at"] >= warm_s and s["memory"]]
-    at = [s["at"] for s in warm]
-    full = [s for s in samples if s["memory"]]
-    last: dict[str, Any] = full[-1]["memory"] if full else {"grant": 0, "purposes": {}, "errors": 0}
-    caps = {name: Cap(p["cap"], p["high"], p["refused"]) for name, p in last["purposes"].items()}
-    return Verdict(
-        resident=fit(at, [s["resident"] for s in warm]),
-        accounted=fit(at, [s["memory"]["accounted"] + s["memory"]["start"] for s in warm]),
-        resident_peak=max(s["resident"] for s in samples),
-        grant=last["grant"],
+        raise NoSamplesError
+    reported = [sample for sample in samples if sample.memory_report]
+    warm = [sample for sample in reported if sample.at_s >= warm_up_s]
+    times_s = [sample.at_s for sample in warm]
+    resident_bytes = [sample.resident_bytes for sample in warm]
+    explained_bytes = [
+        sample.memory_report["accounted"] + sample.memory_report["start"] for sample in warm
+    ]
+    empty: dict[str, Any] = {"grant": 0, "purposes": {}, "errors": 0}
+    last = reported[-1].memory_report if reported else empty
+    caps = {
+        name: CapUsage(purpose["cap"], purpose["high"], purpose["refused"])
+        for name, purpose in last["purposes"].items()
+    }
+    unaccounted_bytes = [sample.memory_report["unaccounted"] for sample in reported]
+    return SoakVerdict(
+        resident_slope=fit_slope(times_s, resident_bytes),
+        accounted_slope=fit_slope(times_s, explained_bytes),
+        resident_peak_bytes=max(sample.resident_bytes for sample in samples),
+        grant_bytes=last["grant"],
         caps=caps,
-        unaccounted_most=max((s["memory"]["unaccounted"] for s in full), default=0),
-        account_errors=last["errors"],
+        peak_unaccounted_bytes=max(unaccounted_bytes, default=0),
+        excess_releases=last["errors"],
         judges_slope=judges_slope,
     )
--- a/larchhaven/testbed/__init__.py
+++ b/larchhaven/testbed/__init__.py
@@ -1,5 +1,5 @@
-"""A whole site on loopback sockets: stand-in exam servers, discovery and terminals around real proxies.
+"""A test bed on loopback sockets: stand-in servers, discovery and clients around real proxies.
 
-Scenarios are scripted in protobuf text format and seeded; every stand-in records what it saw, and
-``rules.Checker`` says from these records alone whether the proxies kept the site's rules.
+Scenarios are written in protobuf text format and seeded. Every stand-in records what it observed,
+and ``invariant_checker`` says from these records alone whether the proxies kept the invariants.
 """
--- a/larchhaven/testbed/discovery.py
+++ b/larchhaven/testbed/discovery.py
@@ -1,4 +1,4 @@
-"""A stand-in for discovery: the list and its watches over HTTP, with outages."""
+"""A stand-in for discovery: the endpoint list and its watches over HTTP, with outages."""
 
 from __future__ import annotations
 
@@ -8,24 +8,34 @@
 import re
 from collections.abc import Mapping
 
-from larchhaven.testbed.event_record import Recorder
-from larchhaven.testbed.upstream_servers import ExamServer
+from larchhaven.testbed.event_record import EventKind, EventRecorder
+from larchhaven.testbed.upstream_servers import UpstreamServer
 
-_CALL = re.compile(r"GET /v1/endpoints(?:\?from=(\d+)&hold_ms=(\d+))? HTTP/1\.1")
+FIRST_VERSION = 1
+_REQUEST_LINE = re.compile(r"GET /v1/endpoints(?:\?from=(\d+)&hold_ms=(\d+))? HTTP/1\.1")
+_UNAVAILABLE = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 
 
 class Discovery:
-    """Tells any number of proxies of the exam servers."""
+    """Publishes the upstream servers to any number of proxies.
 
-    def __init__(self, servers: Mapping[str, ExamServer], recorder: Recorder) -> None:
+    Attributes:
+        servers: The upstream servers by name.
+        is_down: Whether all calls fail.
+        version: Version of the endpoint list; each change raises it by one.
+        port: Its port once it has started.
+        calls: Number of calls so far.
+    """
+
+    def __init__(self, servers: Mapping[str, UpstreamServer], recorder: EventRecorder) -> None:
         self.servers = servers
-        self.down = False
-        self.seq = 1
+        self.is_down = False
+        self.version = FIRST_VERSION
         self.port = 0
         self.calls = 0
         self._recorder = recorder
         self._changed = asyncio.Event()
-        self._changes: dict[str, int] = {}  # by server: the version in which it last changed
+        self._changed_in_version: dict[str, int] = {}  # by server
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
@@ -33,19 +43,38 @@
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.port = int(self._server.sockets[0].getsockname()[1])
 
-    def change(self, name: str, health: str) -> None:
-        """Change what is told of a server."""
-        self.servers[name].health = health
-        self.seq += 1
-        self._changes[name] = self.seq
-        self._wake()
+    def publish_health(self, server_name: str, health: str) -> None:
+        """Change the health that is published of a server."""
+        self.servers[server_name].health = health
+        self.version += 1
+        self._changed_in_version[server_name] = self.version
+        self._wake_watches()
+
+    def set_down(self, is_down: bool) -> None:
+        """Fail all calls from now on, including waiting ones, or answer them again."""
+        self.is_down = is_down
+        self._wake_watches()
+
+    def describe_endpoint(self, server_name: str) -> dict[str, object]:
+        """Return the JSON of one server in the endpoint list."""
+        server = self.servers[server_name]
+        return {
+            "host": server_name,
+            "dial": f"127.0.0.1:{server.port}",
+            "site": "here",
+            "class": "k",
+            "block": 0,
+            "health": server.health,
+            "share": 1.0,
+            "born_ms": server.started_ms,
+        }
 
-    def set_down(self, down: bool) -> None:
-        """Fail all calls from now on, those that wait included; or answer again."""
-        self.down = down
-        self._wake()
+    def describe_all_endpoints(self) -> dict[str, object]:
+        """Return the JSON of the first endpoint list, as a proxy's configuration has it."""
+        endpoints = [self.describe_endpoint(name) for name in self.servers]
+        return {"seq": FIRST_VERSION, "whole": True, "hosts": endpoints}
 
-    def _wake(self) -> None:
+    def _wake_watches(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
 
@@ -53,53 +82,50 @@
         try:
             while True:
                 head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
-                call = _CALL.match(head)
-                self.calls += 1
-                seen = int(call.group(1)) if call is not None and call.group(1) else None
-                if seen is not None and call is not None and seen >= self.seq and not self.down:
-                    with contextlib.suppress(TimeoutError):
-                        await asyncio.wait_for(self._changed.wait(), int(call.group(2)) / 1000)
-                if self.down:
-                    writer.write(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
-                else:
-                    self._tell(writer, seen)
-                await writer.drain()
+                await self._answer(head, writer)
         except (
             asyncio.IncompleteReadError,
             asyncio.LimitOverrunError,
             OSError,
             asyncio.CancelledError,
         ):
-            pass  # cancelled: the loop that this task lived in ends
+            pass  # cancelled: the event loop of this task ends
         finally:
             with contextlib.suppress(OSError, RuntimeError):
                 writer.close()
 
-    def _tell(self, writer: asyncio.StreamWriter, seen: int | None) -> None:
-        whole = seen is None
-        names = [
-            name
-            for name, server in self.servers.items()
-            if (whole and server.health != "gone")
-            or (not whole and self._changes.get(name, 1) > (seen or 0))
-        ]
+    async def _answer(self, head: str, writer: asyncio.StreamWriter) -> None:
+        self.calls += 1
+        watched_version: int | None = None
+        call = _REQUEST_LINE.match(head)
+        if call is not None and call.group(1):
+            watched_version = int(call.group(1))
+            if watched_version >= self.version and not self.is_down:
+                with contextlib.suppress(TimeoutError):
+                    await asyncio.wait_for(self._changed.wait(), int(call.group(2)) / 1000)
+        if self.is_down:
+            writer.write(_UNAVAILABLE)
+        else:
+            self._write_endpoints(writer, watched_version)
+        await writer.drain()
+
+    def _write_endpoints(self, writer: asyncio.StreamWriter, watched_version: int | None) -> None:
+        names = [name for name in self.servers if self._is_listed(name, watched_version)]
         body = json.dumps(
-            {"seq": self.seq, "whole": whole, "hosts": [self.entry(name) for name in names]}
+            {
+                "seq": self.version,
+                "whole": watched_version is None,
+                "hosts": [self.describe_endpoint(name) for name in names],
+            }
         )
         writer.write(f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode())
         for name in names:
-            self._recorder.note("told", server=name, text=self.servers[name].health)
+            self._recorder.record(
+                EventKind.HEALTH_PUBLISHED, server_name=name, detail=self.servers[name].health
+            )
 
-    def entry(self, name: str) -> dict[str, object]:
-        """Describe one server as discovery does."""
-        server = self.servers[name]
-        return {
-            "host": name,
-            "dial": f"127.0.0.1:{server.port}",
-            "site": "here",
-            "class": "k",
-            "block": 0,
-            "health": server.health,
-            "share": 1.0,
-            "born_ms": server.born_ms,
-        }
+    def _is_listed(self, server_name: str, watched_version: int | None) -> bool:
+        if watched_version is None:
+            return self.servers[server_name].health != "gone"
+        changed_in = self._changed_in_version.get(server_name, FIRST_VERSION)
+        return changed_in > watched_version
--- a/larchhaven/testbed/event_record.py
+++ b/larchhaven/testbed/event_record.py
@@ -1,51 +1,121 @@
-"""What the stand-ins saw, as plain records; the only thing that the rule checker reads."""
+"""Records of what the stand-ins observed: the only input of the invariant checker."""
 
 from __future__ import annotations
 
 import time
 from collections.abc import Callable
+from enum import StrEnum
 from typing import IO
 
 import msgspec
 
 
-class Record(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One thing that one stand-in saw.
+class EventKind(StrEnum):
+    """What a stand-in observed; the values are those of recorded files."""
 
-    ``kind``: of terminals ``ask`` (the first line is out), ``answer`` (the first line that came back),
-    ``move``, ``end`` (the connection ended, ``text`` says how), ``leave`` (the terminal ended it itself); of
-    exam servers ``sent`` (a first line came), ``up``, ``turned`` (it refused), ``over`` (the connection
-    ended, for whatever cause) and ``born`` (a cold start); of discovery ``told`` (a state was written to a
-    proxy, ``text`` is the state); of peers ``long`` (a datagram over 256 bytes).
+    # Clients
+    REQUEST_SENT = "ask"  # the request line has been written
+    ANSWER_RECEIVED = "answer"  # the first line came back; an empty detail is an end without one
+    MIGRATE_RECEIVED = "move"
+    CONNECTION_LOST = "end"
+    CLIENT_LEFT = "leave"  # the client ended the connection itself
+
+    # Upstream servers
+    ATTEMPT_RECEIVED = "sent"  # a request line arrived
+    ESTABLISHED = "up"
+    ATTEMPT_REJECTED = "turned"
+    ATTEMPT_ENDED = "over"  # the detail is an ``AttemptEnd``
+    SERVER_STARTED_COLD = "born"
+    SERVER_STOPPED = "left"
+    INVALID_REQUEST = "strange"
+
+    # Discovery and peers
+    HEALTH_PUBLISHED = "told"  # the detail is the health that was written to a proxy
+    OVERSIZED_DATAGRAM = "long"
+
+    UNKNOWN = "unknown"  # written by another version; the checker skips it
+
+    @classmethod
+    def _missing_(cls, _value: object) -> EventKind:
+        return cls.UNKNOWN
+
+
+class AttemptEnd(StrEnum):
+    """Who ended an attempt; the values are those of recorded files."""
+
+    SERVER = "self"
+    PROXY = "proxy"
+
+
+class EventRecord(
+    msgspec.Struct,
+    frozen=True,
+    omit_defaults=True,
+    rename={
+        "at_us": "at",
+        "request_id": "id",
+        "server_name": "server",
+        "detail": "text",
+        "wait_us": "wait",
+    },
+):
+    """One event that one stand-in observed.
+
+    Attributes:
+        at_us: Time of the monotonic clock.
+        kind: What was observed.
+        request_id: Identity of the request or connection, if the event concerns one.
+        server_name: Name of the upstream server or peer, if the event concerns one.
+        detail: First line, health or cause, depending on the kind.
+        wait_us: For ``REQUEST_SENT`` how long the client waits; for ``SERVER_STARTED_COLD`` how
+            long the server warms up.
+        amount: For ``SERVER_STARTED_COLD`` the connections that the warm server carries; for
+            ``OVERSIZED_DATAGRAM`` the size in bytes.
     """
 
-    at: int  # microseconds on the monotonic clock
-    kind: str
-    id: str = ""
-    server: str = ""
-    text: str = ""
-    wait: int = 0  # of ``ask``: microseconds that the terminal waits; of ``born``: until it is warm
-    amount: float = 0.0  # of ``born``: the connections it carries when warm; of ``long``: bytes
+    at_us: int
+    kind: EventKind
+    request_id: str = ""
+    server_name: str = ""
+    detail: str = ""
+    wait_us: int = 0
+    amount: float = 0.0
 
 
-def now() -> int:
-    """Read the clock, in microseconds."""
+def read_clock_us() -> int:
+    """Return the time of the monotonic clock in microseconds."""
     return time.monotonic_ns() // 1000
 
 
-class Recorder:
-    """Hands records to whoever wants them, and writes them to a file of JSON lines if there is one."""
+class EventRecorder:
+    """Passes records to its listeners and appends them to a file of JSON lines, if there is one.
+
+    Attributes:
+        listeners: Called with each record, in order.
+        counts: Number of records of each kind.
+    """
 
     def __init__(self, file: IO[bytes] | None = None) -> None:
         self._file = file
-        self.takers: list[Callable[[Record], None]] = []
+        self.listeners: list[Callable[[EventRecord], None]] = []
         self.counts: dict[str, int] = {}
 
-    def note(self, kind: str, **fields: object) -> None:
-        """Record what has happened just now."""
-        record = msgspec.convert({"at": now(), "kind": kind, **fields}, Record)
-        self.counts[kind] = self.counts.get(kind, 0) + 1
-        for take in self.takers:
-            take(record)
+    def record(
+        self,
+        kind: EventKind,
+        *,
+        request_id: str = "",
+        server_name: str = "",
+        detail: str = "",
+        wait_us: int = 0,
+        amount: float = 0.0,
+    ) -> None:
+        """Record an event that has happened just now; the arguments are those of the record."""
+        record = EventRecord(
+            read_clock_us(), kind, request_id, server_name, detail, wait_us, amount
+        )
+        self.counts[kind.value] = self.counts.get(kind.value, 0) + 1
+        for notify in self.listeners:
+            notify(record)
         if self._file is not None:
             self._file.write(msgspec.json.encode(record) + b"\n")
--- a/larchhaven/testbed/faulty_network.py
+++ b/larchhaven/testbed/faulty_network.py
@@ -1,8 +1,8 @@
-"""A network between real processes: each pair's link by itself, both ways apart, with delay, loss and cuts.
+"""A faulty network between real processes: delay, loss and cuts of each link, each way by itself.
 
-Every process has addresses of its own for all others: a socket of the network stands at each, and passes what
-comes from the one on to the other, from the address under which the other knows the one. So what is done to a
-link is done outside the processes, and needs no rights on the machine.
+Every process has addresses of its own for all others. A socket of the network is bound at each of
+them; it forwards what the one process sends from the address under which the other knows it. So
+faults are injected outside the processes, without rights on the machine.
 """
 
 from __future__ import annotations
@@ -13,130 +13,158 @@
 from dataclasses import dataclass
 from functools import partial
 
-from larchhaven.testbed.proxy_process import free_port
+from larchhaven.testbed.free_ports import find_free_port
 
-HERE = "127.0.0.1"
+LOOPBACK = "127.0.0.1"
 
 
 @dataclass(slots=True)
-class Link:
-    """One way from one process to another."""
-
-    cut: bool = False
-    loss: float = 0.0
-    delay_s: float = 0.0  # mean of an exponential part
-    doubled: float = 0.0
-    passed: int = 0
+class NetworkLink:
+    """One way from one process to another.
+
+    Attributes:
+        is_cut: Whether nothing passes.
+        loss_ratio: Part of the datagrams that are lost.
+        mean_delay_s: Mean of an exponential delay; 0 forwards at once.
+        duplicate_ratio: Part of the datagrams that arrive twice.
+        forwarded: Number of datagrams that passed.
+        lost: Number of datagrams that did not.
+        longest_bytes: Size of the longest datagram.
+    """
+
+    is_cut: bool = False
+    loss_ratio: float = 0.0
+    mean_delay_s: float = 0.0
+    duplicate_ratio: float = 0.0
+    forwarded: int = 0
     lost: int = 0
-    longest: int = 0
+    longest_bytes: int = 0
 
 
-class _Post(asyncio.DatagramProtocol):
-    """Where one process sends to another, and from where it hears of that other."""
+class _Endpoint(asyncio.DatagramProtocol):
+    """The socket that stands for the remote process at the local one."""
 
-    def __init__(self, network: Network, near: int, far: int) -> None:
+    def __init__(self, network: FaultyNetwork, local: int, remote: int) -> None:
         self._network = network
-        self.near = near
-        self.far = far
+        self._local = local
+        self._remote = remote
         self.transport: asyncio.DatagramTransport | None = None
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Take what the near process sends to the far one."""
-        if addr[1] == self._network.ports[self.near]:
-            self._network.carry(self.near, self.far, data)
+        """Forward what the local process sends to the remote one."""
+        if addr[1] == self._network.ports[self._local]:
+            self._network.forward(self._local, self._remote, data)
 
     def error_received(self, exc: Exception) -> None:
-        """Nothing: the process may have ended."""
+        """Ignore the error: the process may have ended."""
 
 
-def _itself(post: _Post) -> _Post:
-    return post
+def _return_endpoint(endpoint: _Endpoint) -> _Endpoint:
+    return endpoint
 
 
-class Network:
-    """The links between so many processes."""
+class FaultyNetwork:
+    """The links between all pairs of processes.
+
+    Attributes:
+        ports: Port of each process.
+        links: The links by numbers of source and target.
+    """
 
     def __init__(self, size: int, rng: random.Random) -> None:
-        self.ports = [free_port() for _ in range(size)]
-        self.links = {(a, b): Link() for a in range(size) for b in range(size) if a != b}
-        self._posts: dict[tuple[int, int], _Post] = {}
+        self.ports = [find_free_port() for _ in range(size)]
+        self.links = {
+            (source, target): NetworkLink()
+            for source in range(size)
+            for target in range(size)
+            if source != target
+        }
+        self._endpoints: dict[tuple[int, int], _Endpoint] = {}
         self._rng = rng
 
     async def start(self) -> None:
         """Open a socket for each end of each pair."""
         loop = asyncio.get_running_loop()
-        for near, far in self.links:
-            post = _Post(self, near, far)
-            post.transport, _ = await loop.create_datagram_endpoint(
-                partial(_itself, post), (HERE, 0)
+        for local, remote in self.links:
+            endpoint = _Endpoint(self, local, remote)
+            endpoint.transport, _ = await loop.create_datagram_endpoint(
+                partial(_return_endpoint, endpoint), (LOOPBACK, 0)
             )
-            self._posts[near, far] = post
+            self._endpoints[local, remote] = endpoint
 
     def stop(self) -> None:
-        """Close all."""
-        for post in self._posts.values():
-            if post.transport is not None:
-                post.transport.close()
-
-    def peers(self, number: int) -> list[str]:
-        """Return a process's table of peers: its own place is its own address."""
-        found = []
-        for other in range(len(self.ports)):
-            port = self.ports[number]
+        """Close all sockets."""
+        for endpoint in self._endpoints.values():
+            if endpoint.transport is not None:
+                endpoint.transport.close()
+
+    def peer_addresses(self, number: int) -> list[str]:
+        """Return the table of peers of a process; its own entry is its own address."""
+        addresses = []
+        for other, own_port in enumerate(self.ports):
+            port = own_port
             if other != number:
-                transport = self._posts[number, other].transport
+                transport = self._endpoints[number, other].transport
                 assert transport is not None
                 port = transport.get_extra_info("sockname")[1]
-            found.append(f"{HERE}:{port}")
-        return found
-
-    def carry(self, source: int, target: int, data: bytes) -> None:
-        """Pass a datagram on, or not."""
-        link, rng = self.links[source, target], self._rng
-        link.longest = max(link.longest, len(data))
-        if link.cut or rng.random() < link.loss:
+            addresses.append(f"{LOOPBACK}:{port}")
+        return addresses
+
+    def forward(self, source: int, target: int, data: bytes) -> None:
+        """Pass a datagram on, with the faults of its link."""
+        link = self.links[source, target]
+        link.longest_bytes = max(link.longest_bytes, len(data))
+        if link.is_cut or self._rng.random() < link.loss_ratio:
             link.lost += 1
             return
-        link.passed += 1
-        for _ in range(2 if rng.random() < link.doubled else 1):
-            if link.delay_s:
-                delay = rng.expovariate(1 / link.delay_s)
-                asyncio.get_running_loop().call_later(delay, self._hand, source, target, data)
+        link.forwarded += 1
+        copies = 2 if self._rng.random() < link.duplicate_ratio else 1
+        for _ in range(copies):
+            if link.mean_delay_s:
+                delay_s = self._rng.expovariate(1 / link.mean_delay_s)
+                loop = asyncio.get_running_loop()
+                loop.call_later(delay_s, self._deliver, source, target, data)
             else:
-                self._hand(source, target, data)
+                self._deliver(source, target, data)
 
-    def _hand(self, source: int, target: int, data: bytes) -> None:
-        transport = self._posts[target, source].transport
+    def _deliver(self, source: int, target: int, data: bytes) -> None:
+        transport = self._endpoints[target, source].transport
         if transport is not None and not transport.is_closing():
-            transport.sendto(data, (HERE, self.ports[target]))
+            transport.sendto(data, (LOOPBACK, self.ports[target]))
 
-    def forge(self, source: int, target: int, data: bytes) -> None:
-        """Send something to a process as if another had."""
-        self._hand(source, target, data)
+    def inject(self, source: int, target: int, data: bytes) -> None:
+        """Send a forged datagram to a process from the address of another one."""
+        self._deliver(source, target, data)
 
-    # What is done to links
+    # Faults
 
-    def cut(
-        self, sources: Collection[int], targets: Collection[int], one_way: bool = False
+    def cut_links(
+        self, sources: Collection[int], targets: Collection[int], *, one_way: bool = False
     ) -> None:
-        """Cut all links from these to those, and back unless it is one way."""
-        self._set(sources, targets, True, one_way)
-
-    def heal(self, sources: Collection[int], targets: Collection[int]) -> None:
-        """Let everything pass again, both ways."""
-        self._set(sources, targets, False, False)
-
-    def _set(
-        self, sources: Collection[int], targets: Collection[int], cut: bool, one_way: bool
+        """Cut all links from the sources to the targets, and back unless it is one way."""
+        for source, target in self._pairs(sources, targets):
+            self.links[source, target].is_cut = True
+            if not one_way:
+                self.links[target, source].is_cut = True
+
+    def heal_links(self, sources: Collection[int], targets: Collection[int]) -> None:
+        """End the cuts between the sources and the targets, both ways."""
+        for source, target in self._pairs(sources, targets):
+            self.links[source, target].is_cut = False
+            self.links[target, source].is_cut = False
+
+    def _pairs(self, sources: Collection[int], targets: Collection[int]) -> list[tuple[int, int]]:
+        return [(source, target) for source in sources for target in targets if source != target]
+
+    def set_link_quality(
+        self,
+        *,
+        loss_ratio: float = 0.0,
+        mean_delay_s: float = 0.0,
+        duplicate_ratio: float = 0.0,
     ) -> None:
-        for a in sources:
-            for b in targets:
-                if a != b:
-                    self.links[a, b].cut = cut
-                    if not one_way:
-                        self.links[b, a].cut = cut
-
-    def weather(self, *, loss: float = 0.0, delay_s: float = 0.0, doubled: float = 0.0) -> None:
-        """Change all links at once."""
+        """Change all links at once; without arguments they have no faults but cuts."""
         for link in self.links.values():
-            link.loss, link.delay_s, link.doubled = loss, delay_s, doubled
+            link.loss_ratio = loss_ratio
+            link.mean_delay_s = mean_delay_s
+            link.duplicate_ratio = duplicate_ratio
--- a/larchhaven/testbed/proxy_fleet.py
+++ b/larchhaven/testbed/proxy_fleet.py
@@ -1,8 +1,9 @@
-"""Many processes of the program with a faulty network between them, stopped, killed and started by a script.
+"""Many processes of the program with a faulty network between them, controlled by a script.
 
-A script is a list of steps, each at a time; what each process says of its view is read over management and
-judged by ``expect`` steps: within a time, all that are to agree say the same of all others. Times on sockets
-differ from run to run, so every expectation has a limit and none a least time, and the verdict is the same.
+A script is a list of steps. What each process reports of its view is read over management and
+judged by ``expect_agreement``: within a time, all that are asked report the same of all others.
+Times on sockets differ from run to run, so every expectation has an upper limit and no lower one,
+and the verdict is the same.
 """
 
 from __future__ import annotations
@@ -13,221 +14,298 @@
 import signal
 import time
 from collections.abc import Awaitable, Callable, Collection
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
-from larchhaven.testbed.deployment import settings
 from larchhaven.testbed.discovery import Discovery
-from larchhaven.testbed.event_record import Recorder
-from larchhaven.testbed.faulty_network import Network
-from larchhaven.testbed.proxy_process import Proxy
+from larchhaven.testbed.event_record import EventRecorder
+from larchhaven.testbed.faulty_network import FaultyNetwork
+from larchhaven.testbed.proxy_configuration import build_proxy_configuration, build_proxy_settings
+from larchhaven.testbed.proxy_process import NOT_LISTENING, ProxyProcess
 from larchhaven.testbed.scenario_pb2 import Scenario
-from larchhaven.testbed.upstream_servers import ExamServer, Traits
+from larchhaven.testbed.upstream_servers import ServerTraits, UpstreamServer
 
-KEY = "a key for the lab only"
-LOOK_S = 0.1
+MEMBERSHIP_KEY = "a key for the lab only"
+POLL_INTERVAL_S = 0.1
 MAX_DATAGRAM_BYTES = 256
-STARTS_AT_ONCE = 8
+MAX_CONCURRENT_STARTS = 8
+DEFAULT_ZONES = 3
+PROXY_LIMITS = {"cores": 1.0, "memory_mb": 64, "sockets": 256}
 
 
-def operator_text(key: str = KEY, key_too: str = "", on: bool = True) -> str:
-    """Write the operators' file of a member."""
-    too = f' key_too: "{key_too}"' if key_too else ""
-    return f'membership {{ on: {str(on).lower()} key: "{key}"{too} }}\n'
+def write_operator_text(
+    key: str = MEMBERSHIP_KEY, second_key: str = "", *, enabled: bool = True
+) -> str:
+    """Return the operators' file of a member.
+
+    Args:
+        key: Key of the membership.
+        second_key: Key that is accepted as well; empty for none.
+        enabled: Whether the membership is turned on.
+    """
+    second = f' key_too: "{second_key}"' if second_key else ""
+    return f'membership {{ on: {str(enabled).lower()} key: "{key}"{second} }}\n'
 
 
 @dataclass(slots=True)
-class Step:
-    """One thing that was done or expected, for the report."""
+class FleetStep:
+    """One thing that was done or expected, for the report.
+
+    Attributes:
+        at_s: Time since the start.
+        description: What was done or expected.
+        duration_s: How long an expectation took to come true.
+        holds: Whether it came true in time.
+        observed: If not, what was observed instead.
+    """
 
-    at: float
-    what: str
-    seconds: float | None = None  # how long an expectation took to come true
+    at_s: float
+    description: str
+    duration_s: float | None = None
     holds: bool = True
-    seen: str = ""  # where it did not: what was there instead
+    observed: str = ""
 
 
-@dataclass(slots=True)
-class Tier:
-    """So many proxies that know each other through the network."""
-
-    size: int
-    folder: Path
-    seed: int = 1
-    zones: int = 3
-    on: bool = True  # as the operators' file says at the start
-    may_tell: bool = True  # as the platform's settings say
-    network: Network = field(init=False)
-    proxies: list[Proxy] = field(init=False, default_factory=list)
-    steps: list[Step] = field(init=False, default_factory=list)
-    stopped: set[int] = field(init=False, default_factory=set)  # paused, or ended
-    _begun: float = field(init=False, default=0.0)
-    _server: ExamServer = field(init=False)
-    _discovery: Discovery = field(init=False)
+class ProxyFleet:
+    """A number of proxies that know each other through the network.
+
+    Attributes:
+        size: Number of proxies.
+        zones: Number of zones; proxy n is in zone n modulo this.
+        network: The network between them.
+        proxies: The processes in order of their numbers.
+        steps: What was done and expected so far.
+        stopped: Numbers of processes that are paused or ended.
+    """
+
+    def __init__(
+        self,
+        size: int,
+        folder: Path,
+        seed: int = 1,
+        *,
+        membership_enabled: bool = True,
+        may_tell: bool = True,
+    ) -> None:
+        """Prepare a fleet.
+
+        Args:
+            size: Number of proxies.
+            folder: Where the processes have their files.
+            seed: Seed of the network and the proxies.
+            membership_enabled: Whether the operators' file turns membership on at the start.
+            may_tell: Whether the platform's settings let proxies talk to each other.
+        """
+        self.size = size
+        self.zones = DEFAULT_ZONES
+        self.network = FaultyNetwork(size, random.Random(seed))
+        self.proxies: list[ProxyProcess] = []
+        self.steps: list[FleetStep] = []
+        self.stopped: set[int] = set()
+        self._folder = folder
+        self._seed = seed
+        self._membership_enabled = membership_enabled
+        self._may_tell = may_tell
+        self._started_at_s = 0.0
+        recorder = EventRecorder()
+        self._server = UpstreamServer("s0", ServerTraits(), recorder)
+        self._discovery = Discovery({"s0": self._server}, recorder)
 
     async def start(self) -> None:
-        """Start the network, one exam server, discovery and all processes at once."""
-        self.network = Network(self.size, random.Random(self.seed))
+        """Start the network, one upstream server, discovery and all processes.
+
+        Raises:
+            ProxyNotStartedError: A proxy did not listen; none is left running then.
+        """
         await self.network.start()
-        recorder = Recorder(None)
-        self._server = ExamServer("s0", Traits(50.0, 5.0, 0.0), recorder)
-        await self._server.start(False)
-        self._discovery = Discovery({"s0": self._server}, recorder)
+        await self._server.start()
         await self._discovery.start()
-        scenario = Scenario(proxies=1)
         for number in range(self.size):
-            own = settings(scenario, number)
-            own |= {"instances": self.size, "zones": [f"z{i}" for i in range(self.zones)]}
-            own["zone"] = number % self.zones
-            own["policy_limits"] |= {"may_tell": self.may_tell}
-            peers = self.network.peers(number)
-            configuration: dict[str, Any] = {
-                "name": f"n{number}",
-                "listen": "127.0.0.1:0",
-                "mgmt": "127.0.0.1:0",
-                "discovery": f"127.0.0.1:{self._discovery.port}",
-                "seed": f"{self.seed + number:x}",
-                "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
-                "settings": own,
-                "peer_listen": peers[number],
-                "peers": peers,
-                "known": {"seq": 1, "whole": True, "hosts": [self._discovery.entry("s0")]},
-            }
-            proxy = Proxy(f"n{number}", self.folder / f"n{number}", configuration)
-            proxy.operator_file.write_text(operator_text(on=self.on))
-            self.proxies.append(proxy)
-        room = asyncio.Semaphore(STARTS_AT_ONCE)
-
-        async def begin(proxy: Proxy) -> None:
-            async with room:
+            self.proxies.append(self._make_proxy(number))
+        slots = asyncio.Semaphore(MAX_CONCURRENT_STARTS)
+
+        async def start_one(proxy: ProxyProcess) -> None:
+            async with slots:
                 await proxy.start()
 
         try:
-            await asyncio.gather(*(begin(proxy) for proxy in self.proxies))
+            await asyncio.gather(*(start_one(proxy) for proxy in self.proxies))
         except BaseException:
-            await self.end()  # else those that did start would stay
+            await self.stop()
             raise
-        self._begun = time.monotonic()
+        self._started_at_s = time.monotonic()
+
+    def _make_proxy(self, number: int) -> ProxyProcess:
+        settings = build_proxy_settings(Scenario(proxies=1), number)
+        settings["instances"] = self.size
+        settings["zones"] = [f"z{zone}" for zone in range(self.zones)]
+        settings["zone"] = number % self.zones
+        settings["policy_limits"]["may_tell"] = self._may_tell
+        configuration = build_proxy_configuration(
+            number,
+            seed=self._seed + number,
+            discovery_port=self._discovery.port,
+            limits=PROXY_LIMITS,
+            settings=settings,
+            endpoints=self._discovery.describe_all_endpoints(),
+            peers=self.network.peer_addresses(number),
+        )
+        proxy = ProxyProcess(f"n{number}", self._folder / f"n{number}", configuration)
+        proxy.operator_file.write_text(write_operator_text(enabled=self._membership_enabled))
+        return proxy
+
+    async def stop(self) -> list[str]:
+        """Kill all processes and stop the stand-ins.
 
-    async def end(self) -> list[str]:
-        """End all; return what processes logged that no process ever should."""
+        Returns:
+            What no process should ever log or send.
+        """
         for number in list(self.stopped):
-            self.proxies[number].signal(signal.SIGCONT)
+            self.proxies[number].send_signal(signal.SIGCONT)
         for proxy in self.proxies:
-            proxy.signal(signal.SIGKILL)
-        await asyncio.gather(*(proxy.end() for proxy in self.proxies))
+            proxy.send_signal(signal.SIGKILL)
+        await asyncio.gather(*(proxy.stop() for proxy in self.proxies))
         self.network.stop()
         await self._server.stop(reset=True)
         errors = [
-            f"{p.name}: {''.join(p.log)}"
-            for p in self.proxies
-            if any("Traceback" in x for x in p.log)
+            f"{proxy.name}: {''.join(proxy.log)}"
+            for proxy in self.proxies
+            if proxy.has_logged_traceback
         ]
-        longest = (
-            max(link.longest for link in self.network.links.values()) if self.network.links else 0
-        )
-        return errors + ([f"a datagram of {longest} bytes"] if longest > MAX_DATAGRAM_BYTES else [])
+        longest_bytes = max((link.longest_bytes for link in self.network.links.values()), default=0)
+        if longest_bytes > MAX_DATAGRAM_BYTES:
+            errors.append(f"a datagram of {longest_bytes} bytes")
+        return errors
 
-    def _note(self, what: str) -> None:
-        self.steps.append(Step(round(time.monotonic() - self._begun, 3), what))
+    def _add_step(self, description: str) -> FleetStep:
+        step = FleetStep(round(time.monotonic() - self._started_at_s, 3), description)
+        self.steps.append(step)
+        return step
 
-    # What is done to processes
+    # Faults of processes
 
     def kill(self, *numbers: int) -> None:
-        """End processes without a word."""
-        self._note(f"kill {list(numbers)}")
+        """Kill processes."""
+        self._add_step(f"kill {list(numbers)}")
         for number in numbers:
-            self.proxies[number].signal(signal.SIGKILL)
+            self.proxies[number].send_signal(signal.SIGKILL)
             self.stopped.add(number)
 
-    def stop(self, number: int) -> None:
-        """Tell a process to stop in an orderly way."""
-        self._note(f"stop {number}")
-        self.proxies[number].signal(signal.SIGTERM)
+    def shut_down(self, number: int) -> None:
+        """Have a process shut down gracefully."""
+        self._add_step(f"stop {number}")
+        self.proxies[number].send_signal(signal.SIGTERM)
         self.stopped.add(number)
 
     def pause(self, *numbers: int) -> None:
-        """Stop processes where they are."""
-        self._note(f"pause {list(numbers)}")
+        """Pause processes."""
+        self._add_step(f"pause {list(numbers)}")
         for number in numbers:
-            self.proxies[number].signal(signal.SIGSTOP)
+            self.proxies[number].send_signal(signal.SIGSTOP)
             self.stopped.add(number)
 
     def resume(self, *numbers: int) -> None:
-        """Let paused processes go on."""
-        self._note(f"resume {list(numbers)}")
+        """Resume paused processes."""
+        self._add_step(f"resume {list(numbers)}")
         for number in numbers:
-            self.proxies[number].signal(signal.SIGCONT)
+            self.proxies[number].send_signal(signal.SIGCONT)
             self.stopped.discard(number)
 
-    async def restart(self, number: int, fresh: bool = False) -> None:
-        """Start a process again that was ended, with its files or without."""
-        self._note(f"restart {number}{' without its files' if fresh else ''}")
+    async def restart(self, number: int, *, without_files: bool = False) -> None:
+        """Start a process again that has ended.
+
+        Args:
+            number: Number of the process.
+            without_files: Whether all its files but the operators' are lost.
+        """
+        self._add_step(f"restart {number}{' without its files' if without_files else ''}")
         proxy = self.proxies[number]
-        await proxy.end()
-        if fresh:
-            text = proxy.operator_file.read_text()  # the operators' own: all else is gone
+        await proxy.stop()
+        if without_files:
+            text = proxy.operator_file.read_text()
             shutil.rmtree(proxy.folder)
             proxy.folder.mkdir()
             proxy.operator_file.write_text(text)
-        proxy.address = ("", 0)
+        proxy.address = NOT_LISTENING
         await proxy.start()
         self.stopped.discard(number)
 
-    def operator(self, number: int, text: str) -> None:
-        """Give a process another operators' file and have it read."""
-        self.proxies[number].operator_file.write_text(text)
-        self.proxies[number].signal(signal.SIGHUP)
-
-    # What is expected
-
-    async def view(self, number: int) -> dict[str, Any]:
-        """Return what a process says of its view."""
-        found: dict[str, Any] = await self.proxies[number].call("/v1/members") or {}
-        return found
-
-    async def until(self, what: str, holds: Callable[[], Awaitable[str]], seconds: float) -> Step:
-        """Wait until something holds; ``holds`` returns what is there instead, or nothing."""
-        self._note(what)
-        step, begun, seen = self.steps[-1], time.monotonic(), ""
-        while time.monotonic() < begun + seconds:
-            seen = await holds()
-            if not seen:
-                step.seconds = round(time.monotonic() - begun, 3)
+    def replace_operator_file(self, number: int, text: str) -> None:
+        """Give a process another operators' file and have it reload it."""
+        self.proxies[number].replace_operator_file(text)
+
+    # Expectations
+
+    async def read_view(self, number: int) -> dict[str, Any]:
+        """Return what a process reports of its membership view."""
+        view: dict[str, Any] = await self.proxies[number].call("/v1/members") or {}
+        return view
+
+    async def wait_until(
+        self, description: str, find_obstacle: Callable[[], Awaitable[str]], timeout_s: float
+    ) -> FleetStep:
+        """Wait until something holds.
+
+        Args:
+            description: What is expected.
+            find_obstacle: Returns what is observed instead; empty once it holds.
+            timeout_s: How long to wait.
+        """
+        step = self._add_step(description)
+        started_at_s = time.monotonic()
+        observed = ""
+        while time.monotonic() < started_at_s + timeout_s:
+            observed = await find_obstacle()
+            if not observed:
+                step.duration_s = round(time.monotonic() - started_at_s, 3)
                 return step
-            await asyncio.sleep(LOOK_S)
-        step.holds, step.seen = False, seen
+            await asyncio.sleep(POLL_INTERVAL_S)
+        step.holds = False
+        step.observed = observed
         return step
 
-    async def expect(
+    async def expect_agreement(
         self,
         states: dict[int, str],
-        seconds: float,
-        of: Collection[int] | None = None,
-        what: str = "",
-    ) -> Step:
-        """Wait until processes say the same and right: those named have that state, all others live."""
-        asked = sorted(set(of if of is not None else range(self.size)) - self.stopped)
-
-        async def holds() -> str:
-            views = dict(zip(asked, await asyncio.gather(*map(self.view, asked)), strict=True))
-            told: dict[str, list[int]] = {}
-            for number, view in views.items():
-                members = {m["number"]: m["state"] for m in view.get("members", [])}
-                wrong = [
-                    f"{other} {members.get(other, 'unheard')}"
-                    for other in range(self.size)
-                    if members.get(other) not in states.get(other, "alive").split("|")
-                ]
-                if wrong or not view.get("sure"):
-                    return f"{number} says: {', '.join(wrong) or 'not sure'}"
-                told.setdefault(
-                    str([(m["number"], m["incarnation"], m["state"]) for m in view["members"]]), []
-                )
-                told[
-                    str([(m["number"], m["incarnation"], m["state"]) for m in view["members"]])
-                ].append(number)
-            return "" if len(told) == 1 else f"{len(told)} different views: {list(told.values())}"
-
-        return await self.until(what or f"agree on {states or 'all alive'}", holds, seconds)
+        timeout_s: float,
+        observers: Collection[int] | None = None,
+        description: str = "",
+    ) -> FleetStep:
+        """Wait until processes report the same and right view.
+
+        Args:
+            states: Expected states by number, alternatives joined by ``|``; others are alive.
+            timeout_s: How long to wait.
+            observers: Numbers of the processes that are asked; all if left out. Stopped ones
+                are never asked.
+            description: What is expected, for the report.
+        """
+        asked = sorted(set(range(self.size) if observers is None else observers) - self.stopped)
+
+        async def find_disagreement() -> str:
+            views = await asyncio.gather(*map(self.read_view, asked))
+            return self._find_disagreement(dict(zip(asked, views, strict=True)), states)
+
+        text = description or f"agree on {states or 'all alive'}"
+        return await self.wait_until(text, find_disagreement, timeout_s)
+
+    def _find_disagreement(self, views: dict[int, dict[str, Any]], states: dict[int, str]) -> str:
+        observers_by_view: dict[str, list[int]] = {}
+        for number, view in views.items():
+            wrong = self._find_wrong_states(view, states)
+            if wrong or not view.get("sure"):
+                return f"{number} says: {', '.join(wrong) or 'not sure'}"
+            content = [(m["number"], m["incarnation"], m["state"]) for m in view["members"]]
+            observers_by_view.setdefault(str(content), []).append(number)
+        if len(observers_by_view) == 1:
+            return ""
+        return f"{len(observers_by_view)} different views: {list(observers_by_view.values())}"
+
+    def _find_wrong_states(self, view: dict[str, Any], states: dict[int, str]) -> list[str]:
+        reported = {member["number"]: member["state"] for member in view.get("members", [])}
+        return [
+            f"{number} {reported.get(number, 'unheard')}"
+            for number in range(self.size)
+            if reported.get(number) not in states.get(number, "alive").split("|")
+        ]
--- a/larchhaven/testbed/proxy_process.py
+++ b/larchhaven/testbed/proxy_process.py
@@ -1,4 +1,4 @@
-"""The real program as a process of the lab: its configuration, its log, its figures."""
+"""The real program as a process of the test bed: its configuration, log and resource usage."""
 
 from __future__ import annotations
 
@@ -6,164 +6,207 @@
 import contextlib
 import json
 import os
-import random
 import re
 import signal
-import socket
 import sys
 from collections import deque
 from pathlib import Path
 from typing import Any
 
-_SAYS = re.compile(r"(listens|management) at (.*?):(\d+)")
-START_S = 30.0
-LOG_KEPT = 2_000
-PORTS = 12_000
-_random = random.SystemRandom()
-_given: set[int] = set()
+from larchhaven.errors import LarchhavenError
 
+START_TIMEOUT_S = 30.0
+CALL_TIMEOUT_S = 10.0
+STOP_TIMEOUT_S = 10.0
+MAX_LOG_LINES = 2_000
+OPERATOR_FILE_NAME = "operator.textproto"
+NOT_LISTENING = ("", 0)
 
-class NotStartedError(Exception):
-    """The program ended before it listened; the text is its log."""
+_LISTENING = re.compile(r"(listens|management) at (.*?):(\d+)")
 
 
-def _own_ports() -> range:
-    """Return ports below those that the system deals out by itself: none of them is taken by chance."""
-    try:
-        first = int(Path("/proc/sys/net/ipv4/ip_local_port_range").read_text().split()[0])
-    except (OSError, ValueError, IndexError):
-        first = 32_768
-    return range(max(first - PORTS, 1_024), max(first, 1_024 + PORTS))
+class ProxyNotStartedError(LarchhavenError):
+    """A proxy ended, or took too long, before it listened.
 
+    Attributes:
+        name: Name of the proxy.
+        log: What it has logged.
+    """
+
+    def __init__(self, name: str, log: str) -> None:
+        super().__init__(log)
+        self.name = name
+        self.log = log
 
-def free_port() -> int:
-    """Return a port that was free a moment ago, for datagrams and connections."""
-    while True:
-        port = _random.choice(_own_ports())
-        if port in _given:
-            continue  # whoever asked for it may not have opened it yet
-        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock, socket.socket() as other:
-            try:
-                sock.bind(("127.0.0.1", port))
-                other.bind(("127.0.0.1", port))
-            except OSError:
-                continue
-            _given.add(port)
-            return port
 
+class ProxyProcess:
+    """One proxy, started from a configuration in a folder of its own.
 
-class Proxy:
-    """One proxy, started from a configuration in a folder of its own."""
+    Attributes:
+        name: Name of the proxy.
+        folder: Where its configuration and its files are.
+        configuration: Its configuration, written at each start.
+        log: The last lines of its log.
+        log_lines: Number of all lines of its log.
+        address: Where it accepts clients, once it listens.
+        management: Where it accepts management calls, once it listens.
+    """
 
     def __init__(self, name: str, folder: Path, configuration: dict[str, Any]) -> None:
         self.name = name
         self.folder = folder
         self.configuration = configuration
-        self.log: deque[str] = deque(maxlen=LOG_KEPT)
-        self.lines = 0
-        self.address = ("", 0)
-        self.management = ("", 0)
+        self.log: deque[str] = deque(maxlen=MAX_LOG_LINES)
+        self.log_lines = 0
+        self.address = NOT_LISTENING
+        self.management = NOT_LISTENING
         self._process: asyncio.subprocess.Process | None = None
-        self._reading: asyncio.Task[None] | None = None
+        self._log_reader: asyncio.Task[None] | None = None
         folder.mkdir(parents=True, exist_ok=True)
 
     @property
-    def pid(self) -> int:
-        """The number of the process."""
+    def process_id(self) -> int:
+        """The id of the process; 0 if it was never started."""
         return self._process.pid if self._process is not None else 0
 
     @property
-    def running(self) -> bool:
-        """Tell whether the process lives."""
+    def is_running(self) -> bool:
+        """Whether the process is running."""
         return self._process is not None and self._process.returncode is None
 
     @property
     def operator_file(self) -> Path:
         """Where the operators' file of this proxy is, if it has one."""
-        return self.folder / "operator.textproto"
+        return self.folder / OPERATOR_FILE_NAME
+
+    @property
+    def has_logged_traceback(self) -> bool:
+        """Whether the log shows an unexpected error."""
+        return any("Traceback" in line for line in self.log)
 
     async def start(self) -> None:
-        """Start the program and wait until it listens."""
+        """Start the program and wait until it listens.
+
+        Raises:
+            ProxyNotStartedError: It ended or did not listen in time.
+        """
         path = self.folder / "config.json"
         path.write_text(json.dumps(self.configuration))
-        environment = {k: v for k, v in os.environ.items() if not k.startswith("EDGE_")}
-        environment |= {"EDGE_CONFIG": str(path), "TMPDIR": str(self.folder)}
-        if self.operator_file.exists():
-            environment["EDGE_OPERATOR"] = str(self.operator_file)
         self._process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "larchhaven", stderr=asyncio.subprocess.PIPE, env=environment
+            sys.executable,
+            "-m",
+            "larchhaven",
+            stderr=asyncio.subprocess.PIPE,
+            env=self._environment(path),
         )
         try:
-            async with asyncio.timeout(START_S):
+            async with asyncio.timeout(START_TIMEOUT_S):
                 while not self.address[1]:
-                    if not await self._take_line():
-                        raise NotStartedError("".join(self.log))
+                    if not await self._read_log_line():
+                        raise ProxyNotStartedError(self.name, "".join(self.log))
         except TimeoutError:
-            raise NotStartedError("".join(self.log)) from None
-        self._reading = asyncio.get_running_loop().create_task(self._read())
+            raise ProxyNotStartedError(self.name, "".join(self.log)) from None
+        self._log_reader = asyncio.get_running_loop().create_task(self._read_log())
+
+    def _environment(self, configuration_path: Path) -> dict[str, str]:
+        environment = {
+            name: value for name, value in os.environ.items() if not name.startswith("EDGE_")
+        }
+        environment["EDGE_CONFIG"] = str(configuration_path)
+        environment["TMPDIR"] = str(self.folder)
+        if self.operator_file.exists():
+            environment["EDGE_OPERATOR"] = str(self.operator_file)
+        return environment
 
-    async def _read(self) -> None:
-        while await self._take_line():
+    async def _read_log(self) -> None:
+        while await self._read_log_line():
             pass
 
-    async def _take_line(self) -> bool:
+    async def _read_log_line(self) -> bool:
         assert self._process is not None
         assert self._process.stderr is not None
         line = (await self._process.stderr.readline()).decode("utf-8", "replace")
         self.log.append(line)
-        self.lines += bool(line)
-        if match := _SAYS.search(line):
+        if not line:
+            return False
+        self.log_lines += 1
+        if match := _LISTENING.search(line):
             address = match.group(2), int(match.group(3))
             if match.group(1) == "listens":
                 self.address = address
             else:
                 self.management = address
-        return bool(line)
+        return True
 
     async def call(self, path: str, method: str = "GET") -> Any:
-        """Call as an operator does; return the answer's JSON."""
+        """Call the management interface.
+
+        Args:
+            path: Path of the call.
+            method: HTTP method.
+
+        Returns:
+            The JSON of the answer, or None if the call failed.
+
+        Raises:
+            OSError: The connection failed.
+            TimeoutError: No answer came in time.
+            ValueError: The answer is not JSON.
+        """
         reader, writer = await asyncio.open_connection(*self.management)
         try:
             writer.write(f"{method} {path} HTTP/1.1\r\nHost: lab\r\n\r\n".encode())
-            head, _, body = (await asyncio.wait_for(reader.read(), 10)).partition(b"\r\n\r\n")
-            return json.loads(body) if head.startswith(b"HTTP/1.1 2") else None
+            answer = await asyncio.wait_for(reader.read(), CALL_TIMEOUT_S)
         finally:
             writer.close()
+        head, _, body = answer.partition(b"\r\n\r\n")
+        return json.loads(body) if head.startswith(b"HTTP/1.1 2") else None
 
-    def resident(self) -> int:
-        """Read the process's resident size, in bytes; 0 once it has ended."""
+    def resident_bytes(self) -> int:
+        """Return the resident size of the process; 0 once it has ended."""
         try:
-            return int(Path(f"/proc/{self.pid}/statm").read_text().split()[1]) * os.sysconf(
-                "SC_PAGE_SIZE"
-            )
+            pages = int(Path(f"/proc/{self.process_id}/statm").read_text().split()[1])
         except (OSError, IndexError):
             return 0
+        return pages * os.sysconf("SC_PAGE_SIZE")
 
-    def descriptors(self) -> int:
-        """Count the descriptors that the process holds."""
+    def count_descriptors(self) -> int:
+        """Return how many descriptors the process holds; 0 once it has ended."""
         try:
-            return len(list(Path(f"/proc/{self.pid}/fd").iterdir()))
+            return len(list(Path(f"/proc/{self.process_id}/fd").iterdir()))
         except OSError:
             return 0
 
-    def signal(self, number: signal.Signals) -> None:
-        """Send a signal."""
-        if self._process is not None and self.running:
-            # Not by the process object: it would look for the end that the loop waits for, and take it away.
+    def send_signal(self, number: signal.Signals) -> None:
+        """Send a signal to the process, if it is running."""
+        if self.is_running:
+            # The process object would reap the child that the event loop waits for.
             with contextlib.suppress(ProcessLookupError):
-                os.kill(self.pid, number)
+                os.kill(self.process_id, number)
+
+    def replace_operator_file(self, text: str) -> None:
+        """Write another operators' file and have the process reload it."""
+        self.operator_file.write_text(text)
+        self.send_signal(signal.SIGHUP)
+
+    async def stop(self, timeout_s: float = STOP_TIMEOUT_S) -> int | None:
+        """Shut the program down gracefully, or kill it once the timeout is over.
+
+        Args:
+            timeout_s: How long a graceful shutdown may take.
 
-    async def end(self, patience: float = 10.0) -> int | None:
-        """Stop the program in an orderly way, else at once; return its exit code."""
+        Returns:
+            The exit code; None if it was never started.
+        """
         if self._process is None:
             return None
-        self.signal(signal.SIGTERM)
+        self.send_signal(signal.SIGTERM)
         try:
-            await asyncio.wait_for(self._process.wait(), patience)
+            await asyncio.wait_for(self._process.wait(), timeout_s)
         except TimeoutError:
             with contextlib.suppress(ProcessLookupError):
                 self._process.kill()
             await self._process.wait()
-        if self._reading is not None:
-            await self._reading
+        if self._log_reader is not None:
+            await self._log_reader
         return self._process.returncode
--- a/larchhaven/testbed/upstream_servers.py
+++ b/larchhaven/testbed/upstream_servers.py
@@ -1,4 +1,4 @@
-"""Stand-in exam servers: the text protocol's far end, with the ways in which real ones fail."""
+"""Stand-in upstream servers: the far end of the text protocol, with the ways real ones fail."""
 
 from __future__ import annotations
 
@@ -7,161 +7,217 @@
 import time
 from dataclasses import dataclass
 
-from larchhaven.testbed.event_record import Recorder
+from larchhaven.testbed.event_record import AttemptEnd, EventKind, EventRecorder
 
-COLD_US = 7_100_000
-OPEN_WORDS = 4  # OPEN, identity, key, options
+WARM_UP_US = 7_100_000
+REJECTION_LOAD_RATIO = 4
+MAX_LINE_BYTES = 1 << 16
+LISTEN_BACKLOG = 1024
+MAX_RECORDED_LINE_LENGTH = 200
+REQUEST_LINE_WORDS = 4  # OPEN, identity, key, options
+_FLOOD_COMMAND = b"flood "
 _FLOOD_LINE = b"flood " + b"x" * 1_000 + b"\r\n"
 
 
 @dataclass(slots=True, eq=False)
-class _Held:
-    """A connection that a server holds."""
+class _HeldConnection:
+    """A connection that a server is setting up or has established."""
 
     writer: asyncio.StreamWriter
-    id: str
-    up: bool = False
-    over: bool = False
+    request_id: str
+    is_ended: bool = False
 
 
 @dataclass(slots=True)
-class Traits:
-    """What an exam server can do."""
+class ServerTraits:
+    """What an upstream server can do.
+
+    Attributes:
+        capacity: Connections that it carries at a load ratio of 1.
+        setup_ms: Time to establish a connection while the server is idle.
+        answer_ms: Time to answer a message on an established connection.
+    """
 
     capacity: float = 50.0
     setup_ms: float = 5.0
     answer_ms: float = 0.0
 
 
-class ExamServer:
-    """One exam server at a port of its own."""
+class UpstreamServer:
+    """One upstream server at a port of its own.
+
+    Attributes:
+        name: Name in the endpoint list.
+        traits: What it can do.
+        health: Health that discovery publishes.
+        started_ms: Wall-clock time of the last cold start; 0 if there was none.
+        is_hanging: Whether it takes everything and answers nothing.
+        flood_bytes: Bytes sent to clients that asked for a flood.
+        port: Its port once it has started.
+    """
 
-    def __init__(self, name: str, traits: Traits, recorder: Recorder) -> None:
+    def __init__(self, name: str, traits: ServerTraits, recorder: EventRecorder) -> None:
         self.name = name
         self.traits = traits
         self.health = "ready"
-        self.born_ms = 0.0
-        self.hangs = False
-        self.floods = 0  # bytes sent to clients that asked for a flood
+        self.started_ms = 0.0
+        self.is_hanging = False
+        self.flood_bytes = 0
+        self.port = 0
         self._recorder = recorder
-        self._held: set[_Held] = set()
+        self._connections: set[_HeldConnection] = set()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._receipts = 0
+        self._established_count = 0
         self._server: asyncio.Server | None = None
-        self.port = 0
 
     @property
-    def held(self) -> int:
-        """Count the connections that stand or come up here."""
-        return len(self._held)
+    def load_ratio(self) -> float:
+        """Connections over capacity."""
+        return len(self._connections) / self.traits.capacity
+
+    async def start(self, *, cold: bool = False) -> None:
+        """Listen, at the same port as before if there was one.
 
-    async def start(self, cold: bool = False) -> None:
-        """Listen, at the same port as before if there was one."""
+        Args:
+            cold: Whether the server has just been started and has to warm up.
+        """
         if self._server is None:
             self._server = await asyncio.start_server(
-                self._serve, "127.0.0.1", self.port or None, limit=1 << 16, backlog=1024
+                self._serve,
+                "127.0.0.1",
+                self.port or None,
+                limit=MAX_LINE_BYTES,
+                backlog=LISTEN_BACKLOG,
             )
             self.port = int(self._server.sockets[0].getsockname()[1])
-        self.hangs = False
+        self.is_hanging = False
         if cold:
-            self.born_ms = time.time() * 1000
-            self._recorder.note("born", server=self.name, wait=COLD_US, amount=self.traits.capacity)
+            self.started_ms = time.time() * 1000
+            self._recorder.record(
+                EventKind.SERVER_STARTED_COLD,
+                server_name=self.name,
+                wait_us=WARM_UP_US,
+                amount=self.traits.capacity,
+            )
 
-    async def stop(self, reset: bool) -> None:
-        """Stop listening and end, or break, all that is held."""
-        self._recorder.note("left", server=self.name)
+    async def stop(self, *, reset: bool) -> None:
+        """Stop listening and end all connections.
+
+        Args:
+            reset: Whether connections are reset instead of closed.
+        """
+        self._recorder.record(EventKind.SERVER_STOPPED, server_name=self.name)
         if self._server is not None:
             self._server.close()
             self._server = None
-        for held in list(self._held):
-            self._over(held, "self")
+        for connection in list(self._connections):
+            self._end(connection, AttemptEnd.SERVER)
             if reset:
-                held.writer.transport.abort()
+                connection.writer.transport.abort()
             else:
-                held.writer.close()
+                connection.writer.close()
         await asyncio.sleep(0)
 
-    def ratio(self) -> float:
-        """Return the load over the capacity."""
-        return len(self._held) / self.traits.capacity
-
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.current_task()
         if task is not None:
             self._tasks.add(task)
-        held: _Held | None = None
+        try:
+            await self._serve_lines(reader, writer)
+        except (ConnectionError, TimeoutError, asyncio.CancelledError):
+            pass  # cancelled: the event loop of this task ends
+        finally:
+            with contextlib.suppress(OSError, RuntimeError):
+                writer.close()
+            if task is not None:
+                self._tasks.discard(task)
+
+    async def _serve_lines(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
+        connection: _HeldConnection | None = None
         try:
             while True:
                 try:
                     line = await reader.readuntil(b"\r\n")
                 except (asyncio.IncompleteReadError, asyncio.LimitOverrunError):
-                    break
-                if self.hangs:
+                    return
+                if self.is_hanging:
                     continue
-                if held is None:
-                    held = await self._first(line.decode("latin-1").strip(), writer)
+                if connection is None:
+                    connection = await self._handle_first_line(line, writer)
                 else:
-                    await self._message(line, held)
-        except (ConnectionError, TimeoutError, asyncio.CancelledError):
-            pass  # cancelled: the loop that this task lived in ends
+                    await self._handle_message(line, connection)
         finally:
-            if held is not None:
-                self._over(held, "proxy")
-            with contextlib.suppress(OSError, RuntimeError):
-                writer.close()
-            if task is not None:
-                self._tasks.discard(task)
+            if connection is not None:
+                self._end(connection, AttemptEnd.PROXY)
 
-    async def _first(self, line: str, writer: asyncio.StreamWriter) -> _Held | None:
+    async def _handle_first_line(
+        self, raw_line: bytes, writer: asyncio.StreamWriter
+    ) -> _HeldConnection | None:
+        line = raw_line.decode("latin-1").strip()
         if line == "STATS":
-            load = (
-                f"x0={self.ratio():.4f},util={min(self.ratio(), 1):.4f},inflight={len(self._held)}"
-            )
-            writer.write(f"PONG {load}\r\n".encode())
+            writer.write(self._load_report())
             return None
         if line == "PING":
             writer.write(b"PONG\r\n")
             return None
         words = line.split(" ")
-        if len(words) != OPEN_WORDS or words[0] != "OPEN":
-            self._recorder.note("strange", server=self.name, text=line[:200])
+        if len(words) != REQUEST_LINE_WORDS or words[0] != "OPEN":
+            detail = line[:MAX_RECORDED_LINE_LENGTH]
+            self._recorder.record(EventKind.INVALID_REQUEST, server_name=self.name, detail=detail)
             writer.write(b"SYNTAX\r\n")
             return None
-        held = _Held(writer, words[1])
-        self._held.add(held)
-        self._recorder.note("sent", id=held.id, server=self.name)
-        if self.health == "gone" or len(self._held) > self.traits.capacity * 4:
-            writer.write(b"BUSY x0=%.4f\r\n" % self.ratio())
-            self._held.discard(held)
-            held.over = True
-            self._recorder.note("turned", id=held.id, server=self.name)
+        return await self._open(_HeldConnection(writer, words[1]))
+
+    def _load_report(self) -> bytes:
+        ratio = self.load_ratio
+        load = f"x0={ratio:.4f},util={min(ratio, 1):.4f},inflight={len(self._connections)}"
+        return f"PONG {load}\r\n".encode()
+
+    async def _open(self, connection: _HeldConnection) -> _HeldConnection | None:
+        self._connections.add(connection)
+        self._record(EventKind.ATTEMPT_RECEIVED, connection)
+        if self.health == "gone" or self.load_ratio > REJECTION_LOAD_RATIO:
+            connection.writer.write(b"BUSY x0=%.4f\r\n" % self.load_ratio)
+            self._connections.discard(connection)
+            connection.is_ended = True
+            self._record(EventKind.ATTEMPT_REJECTED, connection)
             return None
-        # A setup takes longer the nearer the server is to its capacity.
-        await asyncio.sleep(self.traits.setup_ms / 1000 * (1 + self.ratio()))
-        if held.over or writer.is_closing():
-            return held
-        self._receipts += 1
-        receipt = f"UP {self.name}-{self._receipts}"
-        held.up = True
-        self._recorder.note("up", id=held.id, server=self.name, text=receipt)
-        writer.write(f"{receipt}\r\nLOAD {1e6 / self.traits.capacity:.0f}\r\n".encode())
-        return held
-
-    async def _message(self, line: bytes, held: _Held) -> None:
+        # Setup slows down as the server gets near its capacity.
+        await asyncio.sleep(self.traits.setup_ms / 1000 * (1 + self.load_ratio))
+        if connection.is_ended or connection.writer.is_closing():
+            return connection
+        self._established_count += 1
+        receipt = f"UP {self.name}-{self._established_count}"
+        self._record(EventKind.ESTABLISHED, connection, receipt)
+        load_line = f"LOAD {1e6 / self.traits.capacity:.0f}"
+        connection.writer.write(f"{receipt}\r\n{load_line}\r\n".encode())
+        return connection
+
+    async def _handle_message(self, line: bytes, connection: _HeldConnection) -> None:
         if self.traits.answer_ms:
             await asyncio.sleep(self.traits.answer_ms / 1000)
-        if line.startswith(b"flood "):
-            left = int(line[6:])
-            while left > 0 and not held.over:
-                held.writer.write(_FLOOD_LINE)
-                left -= len(_FLOOD_LINE)
-                self.floods += len(_FLOOD_LINE)
-                await held.writer.drain()
-            return
-        held.writer.write(b"echo " + line)
-
-    def _over(self, held: _Held, why: str) -> None:
-        if not held.over:
-            held.over = True
-            self._held.discard(held)
-            self._recorder.note("over", id=held.id, server=self.name, text=why)
+        if line.startswith(_FLOOD_COMMAND):
+            await self._flood(connection, int(line.removeprefix(_FLOOD_COMMAND)))
+        else:
+            connection.writer.write(b"echo " + line)
+
+    async def _flood(self, connection: _HeldConnection, size_bytes: int) -> None:
+        remaining_bytes = size_bytes
+        while remaining_bytes > 0 and not connection.is_ended:
+            connection.writer.write(_FLOOD_LINE)
+            remaining_bytes -= len(_FLOOD_LINE)
+            self.flood_bytes += len(_FLOOD_LINE)
+            await connection.writer.drain()
+
+    def _end(self, connection: _HeldConnection, ended_by: AttemptEnd) -> None:
+        if not connection.is_ended:
+            connection.is_ended = True
+            self._connections.discard(connection)
+            self._record(EventKind.ATTEMPT_ENDED, connection, ended_by.value)
+
+    def _record(self, kind: EventKind, connection: _HeldConnection, detail: str = "") -> None:
+        self._recorder.record(
+            kind, request_id=connection.request_id, server_name=self.name, detail=detail
+        )
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 from typing import Any
 
-from larchhaven.testbed.proxy_process import free_port
+from larchhaven.testbed.free_ports import find_free_port
 
 PATIENCE = 20.0  # seconds until a test gives up; none measures how long something takes
 _numbers = itertools.count()
@@ -155,7 +155,7 @@
             self.peer = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
             self.peer.bind(("127.0.0.1", 0))
             self.peer.settimeout(PATIENCE)
-            own = f"127.0.0.1:{free_port()}"
+            own = f"127.0.0.1:{find_free_port()}"
             self.configuration |= {"peer_listen": own, "peers": [own, dial(self.peer)]}
         self.path = folder / "config.json"
         self.start()
--- a/tests/test_caps.py
+++ b/tests/test_caps.py
@@ -1,4 +1,4 @@
-"""Each cap reached under abuse of its purpose, with the others still serving: the real program in the lab."""
+"""Each cap reached under abuse of its purpose, the others still serving: the real program."""
 
 from __future__ import annotations
 
@@ -20,7 +20,9 @@
 )
 from larchhaven.net.core import log_setup
 from larchhaven.net.hot_restart import RemoteIdentities
-from larchhaven.testbed.deployment import Outcome, load, play
+from larchhaven.testbed.outcome import ScenarioOutcome
+from larchhaven.testbed.scenario_file import load_scenario
+from larchhaven.testbed.scenario_player import play_scenario
 from tests.rig import Proxy, opening
 
 USUAL = """
@@ -34,22 +36,22 @@
 
 def played(
     text: str, operator: str | None = None, seconds: float = 5, exam_busy: bool = False
-) -> Outcome:
-    scenario, complaints = load(f"{USUAL} seconds: {seconds} {text}")
+) -> ScenarioOutcome:
+    scenario, complaints = load_scenario(f"{USUAL} seconds: {seconds} {text}")
     assert not complaints
-    outcome = asyncio.run(play(scenario, sample_gap=0.25, operator=operator))
-    assert outcome.holds, (outcome.broken[:5], outcome.crashed, outcome.errors)
+    outcome = asyncio.run(play_scenario(scenario, sample_interval_s=0.25, operator_text=operator))
+    assert outcome.holds, outcome.failures
     # The class with the highest priority weight is served through all of it.
-    answers = outcome.classes["exam"]["answers"]
+    answers = outcome.classes["exam"].answers
     assert set(answers) <= {"UP", "BUSY"} and bool(answers.get("BUSY", 0)) <= exam_busy, (
         outcome.classes
     )
     return outcome
 
 
-def at_rest(outcome: Outcome) -> dict[str, Any]:
+def at_rest(outcome: ScenarioOutcome) -> dict[str, Any]:
     """Return the account once all clients have left: what is charged is back at 0."""
-    account = outcome.rest["n0"]
+    account = outcome.idle_memory_reports["n0"]
     assert account["purposes"]["connections"]["used"] == 0
     assert account["errors"] == 0
     assert account["resident_peak"] <= account["grant"]
@@ -96,7 +98,7 @@
         name for name, other in account["purposes"].items() if other["refused"] and name != purpose
     ]
     assert others == [], account["purposes"]
-    assert outcome.classes["chat"]["answers"]["UP"] >= 30
+    assert outcome.classes["chat"].answers["UP"] >= 30
 
 
 def test_grant_of_32_mb_holds_with_three_times_the_connections_that_fit_at_once() -> None:
@@ -105,11 +107,11 @@
         " events { at_seconds: 1 surge: 1440 }"
         " terminals { class: 'chat' arrivals_per_second: 0 }",
         seconds=6,
-        exam_busy=True,  # a lab that is busy with 1,440 terminals may be too slow to say which class one is
+        exam_busy=True,  # a test bed that is busy with 1,440 terminals may be too slow to say which class one is
     )
-    assert outcome.classes["exam"]["answers"]["UP"] >= 15
+    assert outcome.classes["exam"].answers["UP"] >= 15
     account = at_rest(outcome)
-    answers = outcome.classes["chat"]["answers"]
+    answers = outcome.classes["chat"].answers
     # Nobody waits in vain, and as many are served as fit.
     assert answers["BUSY"] > 500
     assert answers["UP"] > 350
@@ -131,8 +133,8 @@
     assert line["high"] > line["cap"]
     assert line["refused"] > 0
     chat = outcome.classes["chat"]
-    assert chat["lost"] == chat["moves"] == 0
-    assert chat["answers"]["BUSY"] > 0
+    assert chat.lost_connections == chat.migrations == 0
+    assert chat.answers["BUSY"] > 0
 
 
 def test_reload_of_a_file_with_a_mistake_or_an_impossible_sum_changes_nothing() -> None:
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -16,7 +16,7 @@
 from larchhaven.operator.read import read_file, read_text
 from larchhaven.operator.settings import Reading, Settings
 from larchhaven.operator.text import COMPLAINTS_MOST, parse
-from larchhaven.testbed import deployment as site
+from larchhaven.testbed.scenario_file import load_scenario
 
 ROOT = Path(__file__).parent.parent
 DEFAULT = ROOT / "deploy" / "operator.textproto"
@@ -140,10 +140,10 @@
 
 
 def test_scenario_that_names_what_is_not_there_is_complained_of() -> None:
-    _, complaints = site.load('events { at_seconds: 1 drain: "s9" } terminals { class: "x" }')
+    _, complaints = load_scenario('events { at_seconds: 1 drain: "s9" } terminals { class: "x" }')
     assert complaints == [
         "event drain: there is no exam server 's9'",
         "terminals: there is no class 'x', known are chat",
         "servers: write at least one group of exam servers",
     ]
-    assert site.load("seconds: 0")[1] == ["1:10: 'seconds' is 0 s: write 0.5 to 864000 s"]
+    assert load_scenario("seconds: 0")[1] == ["1:10: 'seconds' is 0 s: write 0.5 to 864000 s"]
