--- a/larchhaven/cli/__init__.py
+++ b/larchhaven/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line; each sub-command is a file of its own and loads what it needs when it is called."""
+"""The command line: ``app`` declares the sub-commands, each other module does the work of one."""
--- a/larchhaven/cli/app.py
+++ b/larchhaven/cli/app.py
@@ -1,4 +1,4 @@
-"""What the command line offers: options and help; the work is in the files beside this one."""
+"""The sub-commands with their options and help; the modules beside this one do their work."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 
 import typer
 
-HOLDS, DOES_NOT, UNUSABLE = 0, 1, 2
+from larchhaven.cli.exit_codes import ExitCode
 
 app = typer.Typer(
     name="larchhaven",
     no_args_is_help=False,
     pretty_exceptions_enable=False,
-    help="A load-balancing proxy for connections that stay open a long time. Without a sub-command it serves."
+    help="A load-balancing proxy for long-lived connections. Without a sub-command it serves."
     " Exit codes: 0 it holds, 1 it does not, 2 the input cannot be used.",
 )
 lab = typer.Typer(
-    help="Play a scripted day around real proxies on loopback sockets, and check the rules."
+    help="Play a scenario around real proxies on loopback sockets, and check the invariants."
 )
 app.add_typer(lab, name="lab")
 model = typer.Typer(
-    help="Play the fleet in simulated time: membership at sizes that sockets do not reach."
+    help="Play a fleet in simulated time: membership at sizes that sockets do not reach."
 )
 app.add_typer(model, name="model")
 
@@ -44,7 +44,7 @@
 
 @app.command()
 def serve(config: Config = None, operator: Operator = None) -> None:
-    """Run one proxy until it is told to stop (SIGTERM); SIGHUP reads its files again.
+    """Run one proxy until SIGTERM; SIGHUP reloads its files.
 
     Example: larchhaven serve --config example/config.json --operator deploy/operator.textproto
     """
@@ -54,13 +54,13 @@
     if operator is not None:
         environment["EDGE_OPERATOR"] = str(operator)
     sys.stdout.flush()
-    # Anew, so that the proxy does not carry the command line's library for all its life.
+    # A new program, so that the proxy does not keep the command line's library in memory.
     os.execve(sys.executable, [sys.executable, "-m", "larchhaven"], environment)
 
 
 @app.command()
 def run(config: Config = None, operator: Operator = None) -> None:
-    """Do as serve does: the name that the deploy file uses."""
+    """Run one proxy, as serve does, under the name that the deploy file uses."""
     serve(config, operator)
 
 
@@ -71,21 +71,21 @@
     write: Annotated[
         Path | None,
         typer.Option(
-            help="Write the operators' settings as JSON, which a proxy reads without the library."
+            help="Write the operators' settings as JSON, which a proxy reads without protobuf."
         ),
     ] = None,
     json: Json = False,
 ) -> None:
-    """Check the platform's file and the operators' file, and tell all that is wrong at once.
+    """Check the platform's file and the operators' file, and report all that is wrong at once.
 
-    Each complaint has file, line and column, and says what to write instead. With both files the sum of the
-    caps is checked against the memory that is granted.
+    Each complaint has file, line and column, and says what to write instead. With both files the
+    sum of the caps is checked against the memory that is granted.
 
     Example: larchhaven check --config example/config.json --operator deploy/operator.textproto
     """
-    from larchhaven.cli import check as work
+    from larchhaven.cli import check as implementation
 
-    raise typer.Exit(work.run(config, operator, write, json))
+    raise typer.Exit(implementation.run(config, operator, write, json))
 
 
 @app.command()
@@ -106,11 +106,11 @@
     Examples: larchhaven memory --grant 64 --sockets 512
               larchhaven memory --live 127.0.0.1:9100
     """
-    from larchhaven.cli import memory as work
+    from larchhaven.cli import memory as implementation
 
     if live is not None:
-        raise typer.Exit(work.show_live(live, json))
-    raise typer.Exit(work.show_plan(grant, sockets, start, operator, json))
+        raise typer.Exit(implementation.show_live(live, json))
+    raise typer.Exit(implementation.show_plan(grant, sockets, start, operator, json))
 
 
 @app.command()
@@ -119,41 +119,44 @@
     watch: Annotated[bool, typer.Option(help="Show the view again whenever it changes.")] = False,
     json: Json = False,
 ) -> None:
-    """Show which of the proxies are there, as one of them sees it: state, since when, accused by whom.
+    """Show the membership view of one proxy: state of each member, since when, suspected by whom.
 
-    It holds if the view is sure, nobody is accused or dead, and this is no minority of a cut.
+    It holds if the view is synchronized, nobody is suspected or dead, and the proxy is not on the
+    minority side of a partition.
 
     Example: larchhaven members 127.0.0.1:9100 --watch
     """
-    from larchhaven.cli import members as work
+    from larchhaven.cli import members as implementation
 
-    raise typer.Exit(work.show(address, watch, json))
+    raise typer.Exit(implementation.show(address, watch, json))
 
 
 class BuiltInScenario(StrEnum):
-    """The small days that come with the program."""
+    """The small scenarios that come with the program."""
 
     HALLS = "halls"
     CHARTS = "charts"
 
 
 @app.command("try")
-def try_day(
-    day: Annotated[
-        BuiltInScenario, typer.Argument(help="halls: two classes. charts: two members with quotas.")
+def try_scenario(
+    scenario: Annotated[
+        BuiltInScenario,
+        typer.Argument(help="halls: two classes. charts: two members with quotas."),
     ] = BuiltInScenario.HALLS,
     json: Json = False,
 ) -> None:
-    """Play a small day around real proxies on loopback, nothing to prepare, and say what was served.
+    """Play a small scenario around real proxies on loopback, and report what was served.
 
-    The halls have two proxies that talk, and a server that drains. The charts have one proxy, two members of
-    which one asks for more than its quota, long lives and a server that crashes and comes back cold.
+    Nothing has to be prepared. The halls have two proxies that are peers, and a server that
+    drains. The charts have one proxy, two members of which one asks for more than its quota,
+    long-lived connections and a server that crashes and comes back in slow start.
 
     Example: larchhaven try charts
     """
-    from larchhaven.cli import lab as work
+    from larchhaven.cli import lab as implementation
 
-    raise typer.Exit(work.try_scenario(day.value, json))
+    raise typer.Exit(implementation.try_scenario(scenario.value, json))
 
 
 @lab.command("play")
@@ -163,21 +166,21 @@
     ],
     operator: Operator = None,
     record: Annotated[
-        Path | None, typer.Option(help="Write what the stand-ins saw, as JSON lines.")
+        Path | None, typer.Option(help="Write what the stand-ins observed, as JSON lines.")
     ] = None,
-    seed: Annotated[int | None, typer.Option(help="Another seed than the scenario's.")] = None,
+    seed: Annotated[int | None, typer.Option(help="Seed in place of the scenario's.")] = None,
     json: Json = False,
 ) -> None:
-    """Play a scenario and check the rules.
+    """Play a scenario and check the invariants.
 
-    The rules: one final answer, drains, one execution at a time, no cold server pushed over, and MOVE before
-    a loss.
+    The invariants: one final answer, drains, one execution at a time, no cold server overloaded,
+    MOVE before a loss, and the size of datagrams.
 
     Example: larchhaven lab play example/lab/morning.textproto
     """
-    from larchhaven.cli import lab as work
+    from larchhaven.cli import lab as implementation
 
-    raise typer.Exit(work.play_file(scenario, operator, record, seed, json))
+    raise typer.Exit(implementation.play_file(scenario, operator, record, seed, json))
 
 
 @lab.command("check")
@@ -185,10 +188,10 @@
     records: Annotated[Path, typer.Argument(help="Records that 'lab play --record' wrote.")],
     json: Json = False,
 ) -> None:
-    """Check the rules again on records that were written before."""
-    from larchhaven.cli import lab as work
+    """Check the invariants on records that were written before."""
+    from larchhaven.cli import lab as implementation
 
-    raise typer.Exit(work.check_file(records, json))
+    raise typer.Exit(implementation.check_file(records, json))
 
 
 @app.command()
@@ -196,7 +199,7 @@
     minutes: Annotated[float, typer.Option(help="How long the churn lasts.", min=0)] = 40.0,
     abuse: Annotated[
         list[str] | None,
-        typer.Option(help="An abuse to play after the churn, again and again; or 'all'."),
+        typer.Option(help="An abuse to play after the churn; may be given again; or 'all'."),
     ] = None,
     abuse_minutes: Annotated[float, typer.Option(help="How long each abuse lasts.", min=0.1)] = 3.0,
     arrivals: Annotated[float, typer.Option(help="New connections a second.", min=0.1)] = 54.0,
@@ -208,17 +211,19 @@
     ),
     json: Json = False,
 ) -> None:
-    """Wear a proxy out in the lab and judge whether its memory stays flat and each cap holds.
+    """Play churn and abuses on the test bed, and judge whether memory stays flat and caps hold.
 
-    The verdict: the slope of the resident and of the accounted size after warm-up with its 95% interval,
-    under 1% an hour with 0 inside; no rule broken; no cap passed.
+    The verdict: the slope of the resident and of the accounted size after warm-up with its 95%
+    interval, under 1% an hour with 0 inside; no invariant violated; no cap passed.
 
     Example: larchhaven soak --minutes 5 --abuse never-read --abuse surge --abuse-minutes 1
     """
-    from larchhaven.cli import soak as work
+    from larchhaven.cli import soak as implementation
 
     raise typer.Exit(
-        work.run(minutes, abuse or [], abuse_minutes, arrivals, memory_mb, sockets, seed, out, json)
+        implementation.run(
+            minutes, abuse or [], abuse_minutes, arrivals, memory_mb, sockets, seed, out, json
+        )
     )
 
 
@@ -227,18 +232,20 @@
     experiment: Annotated[
         Path, typer.Argument(help="An experiment, such as example/model/death.textproto.")
     ],
-    seed: Annotated[int | None, typer.Option(help="Another seed than the experiment's.")] = None,
+    seed: Annotated[int | None, typer.Option(help="Seed in place of the experiment's.")] = None,
     json: Json = False,
 ) -> None:
-    """Play one experiment. It holds if every death is agreed upon, nobody is wrongly dead, views get equal.
+    """Play one experiment.
 
-    One seed replays to the last event in any process: the trace that is printed is a digest of all messages.
+    It holds if every death is agreed upon, nobody is wrongly declared dead, and all views converge.
+    One seed replays to the last event in any process: the trace that is printed is a digest of all
+    messages.
 
     Example: larchhaven model run example/model/death.textproto --seed 7
     """
-    from larchhaven.cli import model as work
+    from larchhaven.cli import model as implementation
 
-    raise typer.Exit(work.play_file(experiment, seed, json))
+    raise typer.Exit(implementation.play_file(experiment, seed, json))
 
 
 @model.command("sweep")
@@ -247,22 +254,26 @@
     members: Annotated[
         str, typer.Option(help="Sizes, such as 8,50,200; the experiment's if left out.")
     ] = "",
-    loss: Annotated[str, typer.Option(help="Percents lost, such as 0,5,30.")] = "",
+    loss: Annotated[str, typer.Option(help="Percentages of datagrams lost, such as 0,5,30.")] = "",
     detector: Annotated[
         list[str] | None, typer.Option(help="membership or heartbeats; may be given again.")
     ] = None,
-    seeds: Annotated[int, typer.Option(help="So many seeds from the experiment's on.", min=1)] = 8,
+    seeds: Annotated[
+        int, typer.Option(help="Number of seeds, from the experiment's on.", min=1)
+    ] = 8,
     jobs: Annotated[int, typer.Option(help="Processes at a time; 0: as many as cores.", min=0)] = 0,
     out: Annotated[Path, typer.Option(help="Folder for the results.")] = Path("found/model"),
     json: Json = False,
 ) -> None:
-    """Play an experiment at several sizes and losses over seeds, on all cores, and show means with intervals.
+    """Play an experiment at several sizes and loss ratios over seeds, and show means and intervals.
 
-    Example: larchhaven model sweep example/model/death.textproto --members 8,50,200 --loss 0,5 --seeds 4
+    Example: larchhaven model sweep example/model/death.textproto --members 8,50 --loss 0,5
     """
-    from larchhaven.cli import model as work
+    from larchhaven.cli import model as implementation
 
-    raise typer.Exit(work.sweep(experiment, members, loss, detector or [], seeds, jobs, out, json))
+    raise typer.Exit(
+        implementation.sweep(experiment, members, loss, detector or [], seeds, jobs, out, json)
+    )
 
 
 @model.command("plot")
@@ -272,38 +283,45 @@
         "found/model.html"
     ),
 ) -> None:
-    """Draw what a sweep has shown, as one file.
+    """Plot the results of a sweep, as one HTML file.
 
     Example: larchhaven model plot found/model --out found/model.html
     """
-    from larchhaven.cli import model as work
+    from larchhaven.cli import model as implementation
 
-    raise typer.Exit(work.plot(results, out))
+    raise typer.Exit(implementation.plot(results, out))
 
 
 @model.command("search")
 def model_search(
     scene: Annotated[
-        list[str] | None, typer.Option(help="Where to begin; may be given again. All.")
+        list[str] | None, typer.Option(help="Initial scene; may be given again; all if left out.")
     ] = None,
-    size: Annotated[int, typer.Option(help="Members.", min=3, max=5)] = 3,
-    depth: Annotated[int, typer.Option(help="Steps.", min=0)] = 5,
-    states: Annotated[int, typer.Option(help="At most so many states a scene.", min=1)] = 5000,
+    size: Annotated[int, typer.Option(help="Number of members.", min=3, max=5)] = 3,
+    depth: Annotated[int, typer.Option(help="Maximum number of steps.", min=0)] = 5,
+    states: Annotated[int, typer.Option(help="Maximum number of states of a scene.", min=1)] = 5000,
     json: Json = False,
 ) -> None:
-    """Try every order, loss and doubling of the messages among a few members, up to a depth.
+    """Search every order, loss and duplication of messages among a few members, up to a depth.
 
     Example: larchhaven model search --scene accused --depth 7 --states 20000
     """
-    from larchhaven.cli import model as work
+    from larchhaven.cli import model as implementation
 
-    raise typer.Exit(work.search(scene or [], size, depth, states, json))
+    raise typer.Exit(implementation.search(scene or [], size, depth, states, json))
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Run the sub-command that the arguments name; return the exit code."""
+    """Run the sub-command that the arguments name.
+
+    Args:
+        arguments: The arguments without the name of the program.
+
+    Returns:
+        The exit code.
+    """
     try:
         code = app(list(arguments), prog_name="larchhaven")
     except SystemExit as stop:
-        return stop.code if isinstance(stop.code, int) else DOES_NOT
-    return code if isinstance(code, int) else HOLDS
+        return stop.code if isinstance(stop.code, int) else ExitCode.DOES_NOT_HOLD
+    return code if isinstance(code, int) else ExitCode.HOLDS
--- a/larchhaven/cli/calls.py
+++ b/larchhaven/cli/calls.py
@@ -1,36 +1,52 @@
-"""Calls to a running proxy's management address."""
+"""Calls to the management address of a running proxy."""
 
 from __future__ import annotations
 
 import http.client
 from http import HTTPStatus
 
+from larchhaven.errors import LarchhavenError
+
 TIMEOUT_S = 10.0
 
 
-class CallError(Exception):
-    """The proxy could not be asked, in one sentence."""
+class CallError(LarchhavenError):
+    """A call to a proxy's management address failed.
 
+    Attributes:
+        address: The address as it was given.
+        reason: What went wrong, as a sentence.
+    """
 
-def get(address: str, path: str) -> bytes:
-    """Return the body of a call.
+    def __init__(self, address: str, reason: str) -> None:
+        super().__init__(reason)
+        self.address = address
+        self.reason = reason
 
-    Raises:
-        CallError: The address is none, nobody answers there, or not with 200.
 
+def fetch_body(address: str, path: str) -> bytes:
+    """Return the body of the answer to a GET call.
+
+    Args:
+        address: HOST:PORT of a proxy's management.
+        path: Path of the call.
+
+    Raises:
+        CallError: The address is not valid, nobody answers there, or the status is not 200.
     """
     host, _, port = address.rpartition(":")
     if not port.isdigit() or not host:
-        raise CallError(f"the address must be HOST:PORT of a proxy's mgmt, not {address!r}")
-    caller = http.client.HTTPConnection(host, int(port), timeout=TIMEOUT_S)
+        reason = f"the address must be HOST:PORT of a proxy's mgmt, not {address!r}"
+        raise CallError(address, reason)
+    connection = http.client.HTTPConnection(host, int(port), timeout=TIMEOUT_S)
     try:
-        caller.request("GET", path)
-        answer = caller.getresponse()
-        body = answer.read()
+        connection.request("GET", path)
+        response = connection.getresponse()
+        body = response.read()
     except (OSError, http.client.HTTPException) as error:
-        raise CallError(f"{address}: {error}") from None
+        raise CallError(address, f"{address}: {error}") from None
     finally:
-        caller.close()
-    if answer.status != HTTPStatus.OK:
-        raise CallError(f"{address} answers {answer.status}")
+        connection.close()
+    if response.status != HTTPStatus.OK:
+        raise CallError(address, f"{address} answers {response.status}")
     return body
--- a/larchhaven/cli/check.py
+++ b/larchhaven/cli/check.py
@@ -1,13 +1,16 @@
-"""``larchhaven check``: all that is wrong with the platform's file and the operators' file, at once."""
+"""``larchhaven check``: all that is wrong with the platform's and the operators' file, at once."""
 
 from __future__ import annotations
 
 import os
 import sys
+from dataclasses import dataclass
 from pathlib import Path
 
 import msgspec
 
+from larchhaven.cli.exit_codes import ExitCode
+from larchhaven.cli.json_positions import WHOLE_FILE, find_position
 from larchhaven.memory import plan
 from larchhaven.memory.purposes import MemoryPurpose
 from larchhaven.operator.read import read_file
@@ -15,87 +18,105 @@
 
 MIN_MEMORY_MB = 16
 MIN_SOCKETS = 64
+RECOMMENDED_MEMORY_MB = 32
+RECOMMENDED_SOCKETS = 256
+
+
+@dataclass(frozen=True, slots=True)
+class FileComplaint:
+    """A complaint and the file that it is about."""
+
+    path: Path
+    complaint: Complaint
+
+
+@dataclass(frozen=True, slots=True)
+class Grant:
+    """What the platform's file grants a proxy."""
+
+    memory_bytes: int
+    sockets: int
 
 
 def run(config: Path | None, operator: Path | None, write: Path | None, as_json: bool) -> int:
-    """Check what is named; return the exit code."""
+    """Check files and print what is wrong with them.
+
+    Args:
+        config: The platform's file, if it is checked.
+        operator: The operators' file, if it is checked.
+        write: Where to write the operators' settings as JSON if nothing is wrong, if anywhere.
+        as_json: Whether to print JSON.
+
+    Returns:
+        The exit code.
+    """
     if config is None and operator is None:
         print("larchhaven check: name --config, --operator or both", file=sys.stderr)
-        return 2
-    complaints: list[tuple[str, Complaint]] = []
-    granted: tuple[int, int] | None = None
+        return ExitCode.UNUSABLE_INPUT
+    found: list[FileComplaint] = []
+    grant: Grant | None = None
     if config is not None:
-        found, granted = _platform(config)
-        complaints += [(str(config), complaint) for complaint in found]
+        complaints, grant = _check_platform_file(config)
+        found += [FileComplaint(config, complaint) for complaint in complaints]
     if operator is not None:
         reading = read_file(str(operator))
-        complaints += [(str(operator), complaint) for complaint in reading.complaints]
-        if not reading.complaints and granted is not None:
-            complaints += [(str(operator), c) for c in _sums(reading, *granted)]
-        if write is not None and not complaints:
+        complaints = list(reading.complaints)
+        if not complaints and grant is not None:
+            complaints = _check_caps(reading, grant)
+        found += [FileComplaint(operator, complaint) for complaint in complaints]
+        if write is not None and not found:
             write.write_bytes(msgspec.json.encode(reading))
+    _print_complaints(found, as_json)
+    return ExitCode.UNUSABLE_INPUT if found else ExitCode.HOLDS
+
+
+def _print_complaints(found: list[FileComplaint], as_json: bool) -> None:
     if as_json:
-        rows = [{"file": file, **msgspec.to_builtins(complaint)} for file, complaint in complaints]
+        rows = [{"file": str(each.path), **msgspec.to_builtins(each.complaint)} for each in found]
         print(msgspec.json.encode({"holds": not rows, "complaints": rows}).decode())
-    else:
-        for file, complaint in complaints:
-            print(complaint.at(file))
-        if not complaints:
-            print("no complaints")
-    return 2 if complaints else 0
+        return
+    for each in found:
+        print(each.complaint.at(str(each.path)))
+    if not found:
+        print("no complaints")
 
 
-def _platform(config: Path) -> tuple[list[Complaint], tuple[int, int] | None]:
+def _check_platform_file(config: Path) -> tuple[list[Complaint], Grant | None]:
+    """Return what is wrong with the platform's file, and what it grants if it can be read."""
     from larchhaven.net.configuration import ConfigurationError, load_configuration
 
     try:
-        read = load_configuration({**os.environ, "EDGE_CONFIG": str(config)})
+        configuration = load_configuration({**os.environ, "EDGE_CONFIG": str(config)})
     except ConfigurationError as error:
-        line, column = _place(config, str(error))
-        return [Complaint(line, column, str(error))], None
-    limits = read.limits
-    found = []
+        return [_locate_error(config, str(error))], None
+    limits = configuration.limits
+    complaints = []
     if limits.memory_mb < MIN_MEMORY_MB:
-        found.append(Complaint(0, 0, f"limits.memory_mb is {limits.memory_mb:g}: write 32 or more"))
+        text = f"limits.memory_mb is {limits.memory_mb:g}: write {RECOMMENDED_MEMORY_MB} or more"
+        complaints.append(Complaint(0, 0, text))
     if limits.sockets < MIN_SOCKETS:
-        found.append(Complaint(0, 0, f"limits.sockets is {limits.sockets}: write 256 or more"))
-    return found, (int(limits.memory_mb * plan.BYTES_PER_MB), limits.sockets)
+        text = f"limits.sockets is {limits.sockets}: write {RECOMMENDED_SOCKETS} or more"
+        complaints.append(Complaint(0, 0, text))
+    return complaints, Grant(int(limits.memory_mb * plan.BYTES_PER_MB), limits.sockets)
 
 
-def _place(config: Path, error: str) -> tuple[int, int]:
-    """Find line and column of what a complaint about JSON names: a byte's position, or a path of names."""
-    import re
-
+def _locate_error(config: Path, error: str) -> Complaint:
+    """Return an error about the platform's file with the place that it names."""
     try:
-        raw = config.read_bytes()
+        position = find_position(config.read_bytes(), error)
     except OSError:
-        return 0, 0
-    at = -1
-    if match := re.search(r"byte (\d+)", error):
-        at = int(match.group(1))
-    elif match := re.search(r"\$((?:\.\w+|\[[^\]]*\])+)", error) or re.search(
-        r"^((?:\w+\.)*\w+) ", error
-    ):
-        names = re.findall(r"\w+", match.group(1))
-        at = 0
-        for name in names:
-            found = raw.find(f'"{name}"'.encode(), at)
-            at = found if found >= 0 else at
-        at = at or -1
-    if at < 0:
-        return 0, 0
-    before = raw[:at]
-    return before.count(b"\n") + 1, at - (before.rfind(b"\n") + 1) + 1
-
-
-def _sums(reading: Reading, grant: int, sockets: int) -> list[Complaint]:
+        position = WHOLE_FILE
+    return Complaint(position.line, position.column, error)
+
+
+def _check_caps(reading: Reading, grant: Grant) -> list[Complaint]:
+    """Check the sum of the operators' caps against the grant."""
     from larchhaven.cli.memory import measure_program_bytes
 
-    wanted = {
-        p: reading.settings.caps[p.key] for p in MemoryPurpose if p.key in reading.settings.caps
-    }
+    caps = reading.settings.caps
+    operator_caps = {purpose: caps[purpose.key] for purpose in MemoryPurpose if purpose.key in caps}
     try:
-        plan.make_plan(grant, measure_program_bytes(), sockets, wanted)
+        plan.make_plan(grant.memory_bytes, measure_program_bytes(), grant.sockets, operator_caps)
     except plan.MemoryPlanError as error:
         return [Complaint(*reading.memory_at, str(error))]
     return []
--- /dev/null
+++ b/larchhaven/cli/json_positions.py
@@ -0,0 +1,51 @@
+"""Finds the place in a JSON file that an error about its content names."""
+
+from __future__ import annotations
+
+import re
+from dataclasses import dataclass
+
+_BYTE_POSITION = re.compile(r"byte (\d+)")
+# A path as msgspec writes it, such as $.limits.memory_mb, or names at the start of a sentence.
+_JSON_PATH = re.compile(r"\$((?:\.\w+|\[[^\]]*\])+)")
+_LEADING_NAMES = re.compile(r"^((?:\w+\.)*\w+) ")
+
+
+@dataclass(frozen=True, slots=True)
+class TextPosition:
+    """A place in a text; line and column count from 1, and are 0 for the whole file."""
+
+    line: int
+    column: int
+
+
+WHOLE_FILE = TextPosition(0, 0)
+
+
+def find_position(content: bytes, error: str) -> TextPosition:
+    """Return the place that an error names by a byte's position or by a path of names.
+
+    Args:
+        content: The file.
+        error: Text of the error.
+    """
+    offset = _find_offset(content, error)
+    if offset is None:
+        return WHOLE_FILE
+    before = content[:offset]
+    line_start = before.rfind(b"\n") + 1
+    return TextPosition(before.count(b"\n") + 1, offset - line_start + 1)
+
+
+def _find_offset(content: bytes, error: str) -> int | None:
+    if match := _BYTE_POSITION.search(error):
+        return int(match.group(1))
+    path = _JSON_PATH.search(error) or _LEADING_NAMES.search(error)
+    if path is None:
+        return None
+    offset = 0
+    for name in re.findall(r"\w+", path.group(1)):
+        found = content.find(f'"{name}"'.encode(), offset)
+        if found >= 0:
+            offset = found
+    return offset or None
--- a/larchhaven/cli/members.py
+++ b/larchhaven/cli/members.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from larchhaven.cli.calls import CallError, get
+from larchhaven.cli.calls import CallError, fetch_body
 from larchhaven.net.control.membership_report import MemberReport, MembershipReport
 
 POLL_INTERVAL_S = 1.0
@@ -38,7 +38,7 @@
     last_shown: tuple[object, ...] | None = None
     while True:
         try:
-            body = get(address, "/v1/members")
+            body = fetch_body(address, "/v1/members")
             report = msgspec.json.decode(body, type=MembershipReport)
         except (CallError, msgspec.DecodeError) as error:
             print(f"larchhaven members: {error}", file=sys.stderr)
--- a/larchhaven/cli/memory.py
+++ b/larchhaven/cli/memory.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from larchhaven.cli.calls import CallError, get
+from larchhaven.cli.calls import CallError, fetch_body
 from larchhaven.memory import plan
 from larchhaven.memory.item_costs import REQUEST_BYTES, STREAM_BYTES
 from larchhaven.memory.purposes import PURPOSE_DESCRIPTIONS, MemoryPurpose, caps_by_purpose
@@ -145,7 +145,7 @@
         The exit code.
     """
     try:
-        body = get(address, "/v1/memory")
+        body = fetch_body(address, "/v1/memory")
         state = msgspec.json.decode(body, type=MemoryState)
     except (CallError, msgspec.DecodeError) as error:
         return _fail(str(error))
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -15,10 +15,7 @@
 # Packages and modules that are finished; ``docs/ROADMAP.md`` lists the others.
 FINISHED: tuple[str, ...] = (
     "__main__.py",
-    "cli/exit_codes.py",
-    "cli/lab.py",
-    "cli/memory.py",
-    "cli/soak.py",
+    "cli",
     "gossip",
     "membership",
     "memory",
