--- a/larchhaven/__main__.py
+++ b/larchhaven/__main__.py
@@ -29,7 +29,7 @@
         reading = read_blocking(operator_path)
         if reading.complaints:
             for complaint in reading.complaints:
-                print(complaint.at(operator_path), file=sys.stderr)
+                print(complaint.format(operator_path), file=sys.stderr)
             return EXIT_UNUSABLE
 
     from larchhaven.net.configuration import ConfigurationError, load_configuration
@@ -38,7 +38,7 @@
 
     try:
         config = load_configuration(os.environ)
-        log_setup.configure_logging(reading is not None and reading.settings.log_json)
+        log_setup.configure_logging(reading is not None and reading.settings.log_as_json)
         proxy = Proxy(config, operator_path, reading)
     except ConfigurationError as error:
         print(f"larchhaven: {error}", file=sys.stderr)
--- a/larchhaven/cli/check.py
+++ b/larchhaven/cli/check.py
@@ -10,11 +10,11 @@
 import msgspec
 
 from larchhaven.cli.exit_codes import ExitCode
-from larchhaven.cli.json_positions import WHOLE_FILE, find_position
+from larchhaven.cli.json_positions import find_position
 from larchhaven.memory import plan
-from larchhaven.memory.purposes import MemoryPurpose
+from larchhaven.memory.purposes import caps_by_purpose
 from larchhaven.operator.read import read_file
-from larchhaven.operator.settings import Complaint, Reading
+from larchhaven.operator.settings import WHOLE_FILE, Complaint, Reading
 
 MIN_MEMORY_MB = 16
 MIN_SOCKETS = 64
@@ -76,7 +76,7 @@
         print(msgspec.json.encode({"holds": not rows, "complaints": rows}).decode())
         return
     for each in found:
-        print(each.complaint.at(str(each.path)))
+        print(each.complaint.format(str(each.path)))
     if not found:
         print("no complaints")
 
@@ -93,10 +93,10 @@
     complaints = []
     if limits.memory_mb < MIN_MEMORY_MB:
         text = f"limits.memory_mb is {limits.memory_mb:g}: write {RECOMMENDED_MEMORY_MB} or more"
-        complaints.append(Complaint(0, 0, text))
+        complaints.append(Complaint.at(WHOLE_FILE, text))
     if limits.sockets < MIN_SOCKETS:
         text = f"limits.sockets is {limits.sockets}: write {RECOMMENDED_SOCKETS} or more"
-        complaints.append(Complaint(0, 0, text))
+        complaints.append(Complaint.at(WHOLE_FILE, text))
     return complaints, Grant(int(limits.memory_mb * plan.BYTES_PER_MB), limits.sockets)
 
 
@@ -106,17 +106,16 @@
         position = find_position(config.read_bytes(), error)
     except OSError:
         position = WHOLE_FILE
-    return Complaint(position.line, position.column, error)
+    return Complaint.at(position, error)
 
 
 def _check_caps(reading: Reading, grant: Grant) -> list[Complaint]:
     """Check the sum of the operators' caps against the grant."""
     from larchhaven.cli.memory import measure_program_bytes
 
-    caps = reading.settings.caps
-    operator_caps = {purpose: caps[purpose.key] for purpose in MemoryPurpose if purpose.key in caps}
+    operator_caps = caps_by_purpose(reading.settings.caps)
     try:
         plan.make_plan(grant.memory_bytes, measure_program_bytes(), grant.sockets, operator_caps)
     except plan.MemoryPlanError as error:
-        return [Complaint(*reading.memory_at, str(error))]
+        return [Complaint.at(reading.memory_position, str(error))]
     return []
--- a/larchhaven/cli/json_positions.py
+++ b/larchhaven/cli/json_positions.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 import re
-from dataclasses import dataclass
+
+from larchhaven.operator.settings import WHOLE_FILE, TextPosition
 
 _BYTE_POSITION = re.compile(r"byte (\d+)")
 # A path as msgspec writes it, such as $.limits.memory_mb, or names at the start of a sentence.
@@ -11,17 +12,6 @@
 _LEADING_NAMES = re.compile(r"^((?:\w+\.)*\w+) ")
 
 
-@dataclass(frozen=True, slots=True)
-class TextPosition:
-    """A place in a text; line and column count from 1, and are 0 for the whole file."""
-
-    line: int
-    column: int
-
-
-WHOLE_FILE = TextPosition(0, 0)
-
-
 def find_position(content: bytes, error: str) -> TextPosition:
     """Return the place that an error names by a byte's position or by a path of names.
 
--- a/larchhaven/cli/memory.py
+++ b/larchhaven/cli/memory.py
@@ -91,7 +91,7 @@
 
     reading = read_file(str(operator))
     for complaint in reading.complaints:
-        print(complaint.at(str(operator)), file=sys.stderr)
+        print(complaint.format(str(operator)), file=sys.stderr)
     return None if reading.complaints else caps_by_purpose(reading.settings.caps)
 
 
--- a/larchhaven/model/experiment.py
+++ b/larchhaven/model/experiment.py
@@ -25,10 +25,11 @@
 
 def load(text: str) -> tuple[Experiment, list[str]]:
     """Read an experiment's text; return it with the complaints about it, each with its line and column."""
-    from larchhaven.operator.text import parse
+    from larchhaven.operator.text_parser import parse_message
 
-    experiment, found = parse(text, Experiment)
-    complaints = [f"{c.line}:{c.column}: {c.text}" for c in found.complaints]
+    parsed = parse_message(text, Experiment)
+    experiment = parsed.message
+    complaints = [f"{c.line}:{c.column}: {c.text}" for c in parsed.complaints]
     if not complaints:
         for i, fault in enumerate(experiment.faults):
             if fault.WhichOneof("what") is None:
--- a/larchhaven/net/control/membership_switch.py
+++ b/larchhaven/net/control/membership_switch.py
@@ -73,7 +73,7 @@
     def disabled_reason(self) -> str:
         """Return why the membership is disabled, in words for operators; empty if it may run."""
         config = self._config
-        if not self._settings.membership:
+        if not self._settings.membership_enabled:
             return "the operators' file does not turn it on (membership.on)"
         if not config.settings.can_gossip:
             return "the platform's settings do not let proxies talk"
@@ -104,12 +104,12 @@
         return True
 
     def _apply(self) -> None:
-        keys = [derive_key(secret) for secret in self._settings.member_keys]
+        keys = [derive_key(secret) for secret in self._settings.membership_keys]
         reason = self.disabled_reason()
         if self._transport is None:
             if not reason:
                 self._enable(keys)
-            elif self._settings.membership:
+            elif self._settings.membership_enabled:
                 _log.warning("membership disabled: %s", reason)
         elif reason:
             self._transport.announce_leave()
--- a/larchhaven/net/proxy.py
+++ b/larchhaven/net/proxy.py
@@ -191,7 +191,7 @@
             self._limits,
             self._listener,
             self._peers.membership,
-            settings.log_json,
+            settings.log_as_json,
         )
         operator_settings.apply(settings)
         return ProxyLifecycle(
@@ -239,7 +239,7 @@
     try:
         return build_resources(loop, config.limits, reading.settings)
     except MemoryPlanError as error:
-        line = reading.memory_at[0]
+        line = reading.memory_position.line
         raise OperatorFileError(operator_path, line, str(error)) from None
 
 
--- a/larchhaven/net/reload.py
+++ b/larchhaven/net/reload.py
@@ -63,13 +63,13 @@
 
     def apply(self, settings: Settings) -> None:
         """Apply settings in place of the earlier ones."""
-        self._limits.admission.reserve_ratio = settings.reserve_share
+        self._limits.admission.reserve_ratio = settings.reserve_ratio
         self._listener.unread_us = settings.unread_us
-        self._log.repeat_interval_us = settings.quiet_us
+        self._log.repeat_interval_us = settings.log_repeat_interval_us
         self._membership.apply_settings(settings)
-        if settings.log_json != self._is_log_json:
-            log_setup.configure_logging(settings.log_json)
-            self._is_log_json = settings.log_json
+        if settings.log_as_json != self._is_log_json:
+            log_setup.configure_logging(settings.log_as_json)
+            self._is_log_json = settings.log_as_json
 
 
 class OperatorFileReload:
@@ -112,7 +112,7 @@
         try:
             memory_plan = plan_memory(self._limits, self._program_bytes, reading.settings)
         except MemoryPlanError as error:
-            self._reject([Complaint(*reading.memory_at, str(error))])
+            self._reject([Complaint.at(reading.memory_position, str(error))])
             return
         self._apply(memory_plan, reading.settings)
 
@@ -125,7 +125,7 @@
     def _reject(self, complaints: list[Complaint]) -> None:
         self._metrics.config_reload_errors += 1
         for complaint in complaints[:MAX_LOGGED_COMPLAINTS]:
-            _log.warning("operators' file not reloaded: %s", complaint.at(self._path))
+            _log.warning("operators' file not reloaded: %s", complaint.format(self._path))
 
 
 class ConfigurationReload:
--- a/larchhaven/net/resources.py
+++ b/larchhaven/net/resources.py
@@ -82,7 +82,7 @@
 
 def measure_program_bytes(settings: Settings) -> int:
     """Return the resident size of the program, with all that these settings need loaded."""
-    if settings.membership:
+    if settings.membership_enabled:
         # What is loaded for the membership is part of the program, not for clients to use.
         importlib.import_module("larchhaven.net.control.membership_transport")
     return read_resident_bytes()
--- a/larchhaven/operator/__init__.py
+++ b/larchhaven/operator/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' own settings: their schema, the reader of protobuf text format, and what the proxy is told.
+"""The operators' file: its schema, the reader of protobuf text format, and the settings in it.
 
-Only ``schema``, ``text`` and ``read`` need the protobuf library; ``settings`` is all that the proxy loads.
+Only ``settings`` is loaded by a proxy; all other modules need the protobuf library.
 """
--- a/larchhaven/operator/read.py
+++ b/larchhaven/operator/read.py
@@ -1,6 +1,7 @@
-"""Reads the operators' file; as a program (``python -m larchhaven.operator.read FILE``) it prints JSON.
+"""Reads the operators' file; ``python -m larchhaven.operator.read FILE`` prints the result as JSON.
 
-The proxy runs it as a process of its own, so that the protobuf library's memory and time are not the loop's.
+The proxy runs it as a process of its own, so that the protobuf library's memory and processor time
+do not burden the event loop.
 """
 
 from __future__ import annotations
@@ -11,47 +12,62 @@
 import msgspec
 
 from larchhaven.operator.operator_pb2 import Log, Operator
-from larchhaven.operator.settings import Complaint, Reading, Settings
-from larchhaven.operator.text import parse
+from larchhaven.operator.settings import WHOLE_FILE, Complaint, Reading, Settings
+from larchhaven.operator.text_parser import parse_message
 
-_MB = 1 << 20
+BYTES_PER_MB = 1 << 20
+US_PER_SECOND = 1e6
+_MISSING_KEY = (
+    "'membership.on' needs 'membership.key': write 16 to 64 characters, the same at all proxies"
+)
 
 
 def read_text(text: str) -> Reading:
     """Read the text of an operators' file."""
-    message, found = parse(text, Operator)
-    if found.complaints:
-        return Reading(Settings(), found.complaints)
+    parsed = parse_message(text, Operator)
+    if parsed.complaints:
+        return Reading(Settings(), parsed.complaints)
+    membership = parsed.message.membership
+    if membership.on and not membership.key:
+        position = parsed.positions.get("membership.on", WHOLE_FILE)
+        return Reading(Settings(), [Complaint.at(position, _MISSING_KEY)])
+    settings = _convert_settings(parsed.message)
+    return Reading(settings, [], parsed.positions.get("memory", WHOLE_FILE))
+
+
+def _convert_settings(message: Operator) -> Settings:
+    """Return the settings in the proxy's units; what is not set keeps its default."""
     settings = Settings()
-    settings.caps = {field.name: int(value * _MB) for field, value in message.memory.ListFields()}
-    admission, log = message.admission, message.log
-    if admission.HasField("reserve_percent"):
-        settings.reserve_share = admission.reserve_percent / 100
-    if admission.HasField("unread_seconds"):
-        settings.unread_us = int(admission.unread_seconds * 1e6)
-    settings.log_json = log.form == Log.JSON
-    if log.HasField("quiet_seconds"):
-        settings.quiet_us = int(log.quiet_seconds * 1e6)
+    settings.caps = {
+        field.name: int(cap_mb * BYTES_PER_MB) for field, cap_mb in message.memory.ListFields()
+    }
+    if message.admission.HasField("reserve_percent"):
+        settings.reserve_ratio = message.admission.reserve_percent / 100
+    if message.admission.HasField("unread_seconds"):
+        settings.unread_us = int(message.admission.unread_seconds * US_PER_SECOND)
+    settings.log_as_json = message.log.form == Log.JSON
+    if message.log.HasField("quiet_seconds"):
+        settings.log_repeat_interval_us = int(message.log.quiet_seconds * US_PER_SECOND)
     membership = message.membership
-    settings.membership = membership.on
-    settings.member_keys = [key for key in (membership.key, membership.key_too) if key]
-    if membership.on and not membership.key:
-        line, column = found.places.get("membership.on", (0, 0))
-        why = "'membership.on' needs 'membership.key': write 16 to 64 characters, the same at all proxies"
-        return Reading(Settings(), [Complaint(line, column, why)])
-    return Reading(settings, [], found.places.get("memory", (0, 0)))
+    settings.membership_enabled = membership.on
+    settings.membership_keys = [key for key in (membership.key, membership.key_too) if key]
+    return settings
 
 
 def read_file(path: str) -> Reading:
-    """Read an operators' file; one that cannot be read at all is a complaint too."""
+    """Read an operators' file; one that cannot be read at all gives a complaint."""
     try:
         text = Path(path).read_text("utf-8")
     except OSError as error:
-        return Reading(Settings(), [Complaint(0, 0, f"cannot be read: {error.strerror}")])
+        return _failed_reading(f"cannot be read: {error.strerror}")
     except UnicodeDecodeError as error:
-        return Reading(Settings(), [Complaint(0, 0, f"is not UTF-8 text: {error.reason}")])
+        return _failed_reading(f"is not UTF-8 text: {error.reason}")
     return read_text(text)
 
 
+def _failed_reading(reason: str) -> Reading:
+    return Reading(Settings(), [Complaint.at(WHOLE_FILE, reason)])
+
+
 if __name__ == "__main__":
     sys.stdout.buffer.write(msgspec.json.encode(read_file(sys.argv[1])))
--- a/larchhaven/testbed/scenario_file.py
+++ b/larchhaven/testbed/scenario_file.py
@@ -19,10 +19,11 @@
     Returns:
         The scenario and the complaints about it, each with its line and column where it has one.
     """
-    from larchhaven.operator.text import parse
+    from larchhaven.operator.text_parser import parse_message
 
-    scenario, found = parse(text, Scenario)
-    complaints = [f"{c.line}:{c.column}: {c.text}" for c in found.complaints]
+    parsed = parse_message(text, Scenario)
+    scenario = parsed.message
+    complaints = [f"{c.line}:{c.column}: {c.text}" for c in parsed.complaints]
     if not complaints:
         complaints = [
             *_check_event_servers(scenario),
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -14,8 +14,9 @@
 from larchhaven.net.admin.operator_file import read_blocking, read_compiled
 from larchhaven.operator.operator_pb2 import Operator
 from larchhaven.operator.read import read_file, read_text
+from larchhaven.operator.schema_walker import MAX_COMPLAINTS
 from larchhaven.operator.settings import Reading, Settings
-from larchhaven.operator.text import COMPLAINTS_MOST, parse
+from larchhaven.operator.text_parser import parse_message
 from larchhaven.testbed.scenario_file import load_scenario
 
 ROOT = Path(__file__).parent.parent
@@ -26,7 +27,7 @@
     reading = read_file(str(DEFAULT))
     assert reading.settings == Settings()
     assert reading.complaints == []
-    assert DEFAULT.read_text().splitlines()[reading.memory_at[0] - 1].startswith("memory")
+    assert DEFAULT.read_text().splitlines()[reading.memory_position.line - 1].startswith("memory")
 
 
 def test_values_are_read_in_the_units_of_the_proxy() -> None:
@@ -86,7 +87,7 @@
 def test_each_complaint_has_its_place_and_says_what_to_write(
     text: str, complaints: list[str]
 ) -> None:
-    found = [complaint.at("f").removeprefix("f:") for complaint in read_text(text).complaints]
+    found = [complaint.format("f").removeprefix("f:") for complaint in read_text(text).complaints]
     assert found == complaints
 
 
@@ -104,12 +105,12 @@
 def test_any_text_gives_settings_or_complaints(text: str) -> None:
     """Guards the start: whatever the file holds, the reader says what is wrong with it and does not fail."""
     reading = read_text(text)
-    assert len(reading.complaints) <= COMPLAINTS_MOST
-    assert reading.complaints or reading.settings.quiet_us > 0
+    assert len(reading.complaints) <= MAX_COMPLAINTS
+    assert reading.complaints or reading.settings.log_repeat_interval_us > 0
     assert all(complaint.text for complaint in reading.complaints)
-    message, found = parse(text, Operator)
-    assert bool(found.complaints) == bool(reading.complaints)
-    assert found.complaints or message.IsInitialized()
+    parsed = parse_message(text, Operator)
+    assert bool(parsed.complaints) == bool(reading.complaints)
+    assert parsed.complaints or parsed.message.IsInitialized()
 
 
 def test_reading_process_tells_what_the_reader_finds(tmp_path: Path) -> None:
@@ -122,8 +123,8 @@
     path.write_bytes(b"\xff\xfe")
     assert "UTF-8" in read_file(str(path)).complaints[0].text
     compiled = tmp_path / "operator.json"
-    compiled.write_bytes(msgspec.json.encode(Reading(Settings(quiet_us=7), [])))
-    assert read_blocking(str(compiled)).settings.quiet_us == 7
+    compiled.write_bytes(msgspec.json.encode(Reading(Settings(log_repeat_interval_us=7), [])))
+    assert read_blocking(str(compiled)).settings.log_repeat_interval_us == 7
     compiled.write_text('{"settings": 3}')
     assert read_compiled(str(compiled)).complaints
     assert read_compiled(str(tmp_path / "no.json")).complaints
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -59,6 +59,7 @@
     "net/resources.py",
     "net/state_transfer.py",
     "net/upstream_servers.py",
+    "operator",
     "plots.py",
     "routing",
     "simulator",
