--- a/example/toy_client.py
+++ b/example/toy_client.py
@@ -1,4 +1,4 @@
-"""A toy exam terminal: keeps a connection through the proxy, and comes again when it is told to move."""
+"""A toy client: keeps a connection through the proxy, and reconnects when it is told to migrate."""
 
 from __future__ import annotations
 
@@ -8,37 +8,49 @@
 import sys
 import time
 
-PROXY = ("127.0.0.1", 8080)
+PROXY_ADDRESS = ("127.0.0.1", 8080)
+CONNECT_TIMEOUT_S = 10
+MESSAGE_INTERVAL_S = 2
+RECONNECT_DELAY_S = 0.5
 
 
-def visit(key: str, again: bool) -> None:
-    """Open one connection and talk on it until it ends."""
-    with socket.create_connection(PROXY, timeout=10) as sock:
-        lines = sock.makefile("rb")
-        fields = "c=question,d=2000,g=1" + (",again=1" if again else "")
-        sock.sendall(f"OPEN {random.getrandbits(64):016x} {key} {fields}\r\n".encode())
+def keep_connection(client_key: str, *, is_reconnect: bool) -> None:
+    """Open one connection and exchange messages on it until it ends.
+
+    Args:
+        client_key: Identity of this client, the same on all its connections.
+        is_reconnect: Whether there was a connection before.
+
+    Raises:
+        OSError: The connection failed.
+    """
+    with socket.create_connection(PROXY_ADDRESS, timeout=CONNECT_TIMEOUT_S) as connection:
+        lines = connection.makefile("rb")
+        request_id = f"{random.getrandbits(64):016x}"
+        options = "c=question,d=2000,g=1" + (",again=1" if is_reconnect else "")
+        connection.sendall(f"OPEN {request_id} {client_key} {options}\r\n".encode())
         answer = lines.readline().decode().strip()
         print(answer)
         number = 0
         while answer.startswith(("UP", "echo")):
-            time.sleep(2)
+            time.sleep(MESSAGE_INTERVAL_S)
             number += 1
-            sock.sendall(f"question {number}\r\n".encode())
+            connection.sendall(f"question {number}\r\n".encode())
             answer = lines.readline().decode().strip()
             print(answer or "(end)")
 
 
 def main() -> None:
-    """Come again until interrupted."""
-    key = f"{random.getrandbits(64):016x}"
-    again = False
+    """Reconnect until interrupted."""
+    client_key = f"{random.getrandbits(64):016x}"
+    is_reconnect = False
     while True:
         try:
-            visit(key, again)
+            keep_connection(client_key, is_reconnect=is_reconnect)
         except OSError as error:
             print(error, file=sys.stderr)
-        again = True
-        time.sleep(0.5)
+        is_reconnect = True
+        time.sleep(RECONNECT_DELAY_S)
 
 
 if __name__ == "__main__":
--- a/example/toy_server.py
+++ b/example/toy_server.py
@@ -1,6 +1,6 @@
-"""Two toy exam servers and a toy discovery on this machine, for trying the proxy.
+"""Two toy upstream servers and a toy discovery on this machine, for trying the proxy.
 
-Start it, then type ``drain s0``, ``ready s0`` or ``gone s0`` to change what discovery tells.
+Start it, then type ``drain s0``, ``ready s0`` or ``gone s0`` to change what discovery publishes.
 """
 
 from __future__ import annotations
@@ -16,135 +16,250 @@
 
 DISCOVERY = ("127.0.0.1", 8500)
 SERVERS = {"s0": ("127.0.0.1", 9000), "s1": ("127.0.0.1", 9001)}
-STATES = {"drain": "draining", "ready": "ready", "gone": "gone"}
+HEALTH_BY_COMMAND = {"drain": "draining", "ready": "ready", "gone": "gone"}
+SERVER_CAPACITY = 20
+RECEIVE_BYTES = 4096
+POLL_INTERVAL_S = 0.05
 
+_CALL = re.compile(r"GET /v1/endpoints(?:\?from=(\d+)&hold_ms=(\d+))? ")
 
-@dataclass
-class ListVersion:
-    """The version of the endpoint list, one more with each change."""
 
-    number: int = 1
+@dataclass(frozen=True, slots=True)
+class Watch:
+    """A call to discovery that waits for a change.
 
+    Attributes:
+        connection: Where the answer goes.
+        known_version: The version of the list that the caller has.
+        expires_at_s: When it is answered without a change.
+    """
 
-selector = selectors.DefaultSelector()
-health = dict.fromkeys(SERVERS, "ready")
-list_version = ListVersion()
-watches: list[
-    tuple[socket.socket, int, float]
-] = []  # who waits, for news after what, and until when
-served = dict.fromkeys(SERVERS, 0)
+    connection: socket.socket
+    known_version: int
+    expires_at_s: float
 
 
-class Toy:
-    """One connection to an exam server, or to discovery if it has no server's name."""
+class ToyDiscovery:
+    """The endpoint list and the calls that wait for a change of it."""
 
-    def __init__(self, sock: socket.socket, server: str | None) -> None:
-        self.sock = sock
-        self.server = server
-        self.text = b""
-        self.up = False
-        selector.register(sock, selectors.EVENT_READ, self.on_bytes)
+    def __init__(self) -> None:
+        self._version = 1
+        self._health = dict.fromkeys(SERVERS, "ready")
+        self._watches: list[Watch] = []
 
-    def on_bytes(self) -> None:
-        """Read what came, and answer every whole line of it."""
-        try:
-            data = self.sock.recv(4096)
-        except ConnectionError:
-            data = b""
-        self.text += data
-        while b"\r\n" in self.text:
-            line, self.text = self.text.split(b"\r\n", 1)
-            if self.server is None:
-                on_call(self.sock, line.decode())
-            else:
-                self.on_line(self.server, line)
-        if not data:
-            if self.up and self.server is not None:
-                served[self.server] -= 1
-            selector.unregister(self.sock)
-            self.sock.close()
+    def set_health(self, server_name: str, health: str) -> None:
+        """Publish the health of a server."""
+        self._health[server_name] = health
+        self._version += 1
+        print(f"discovery: {server_name} is {health}")
+
+    def handle_line(self, connection: socket.socket, line: str) -> None:
+        """Answer a call at once or, for a watch without a change, later; skip its headers."""
+        call = _CALL.match(line)
+        if call is None:
+            return
+        known_version = int(call.group(1)) if call.group(1) is not None else None
+        if known_version is None or known_version < self._version:
+            self._send(connection, has_changed=True)
+            return
+        hold_s = int(call.group(2)) / 1000
+        self._watches.append(Watch(connection, known_version, time.monotonic() + hold_s))
+
+    def answer_watches(self) -> None:
+        """Answer the watches that have a change or have expired."""
+        now_s = time.monotonic()
+        for watch in list(self._watches):
+            has_changed = watch.known_version < self._version
+            if not has_changed and now_s < watch.expires_at_s:
+                continue
+            self._watches.remove(watch)
+            if watch.connection.fileno() >= 0:
+                self._send(watch.connection, has_changed=has_changed)
+
+    def _send(self, connection: socket.socket, *, has_changed: bool) -> None:
+        """Send the whole list, or that nothing has changed."""
+        endpoints = self._describe_endpoints() if has_changed else []
+        body = json.dumps({"seq": self._version, "whole": has_changed, "hosts": endpoints})
+        head = f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n"
+        connection.sendall(f"{head}{body}".encode())
+
+    def _describe_endpoints(self) -> list[dict[str, str]]:
+        return [
+            {
+                "host": name,
+                "dial": f"{host}:{port}",
+                "site": "hall",
+                "class": "toy",
+                "health": self._health[name],
+            }
+            for name, (host, port) in SERVERS.items()
+            if self._health[name] != "gone"
+        ]
+
+
+class ToyServer:
+    """An upstream server: counts its connections and echoes messages.
+
+    Attributes:
+        name: Name in the endpoint list.
+        connections: Number of established connections.
+    """
+
+    def __init__(self, name: str) -> None:
+        self.name = name
+        self.connections = 0
 
-    def on_line(self, server: str, line: bytes) -> None:
-        """Answer as an exam server does: a first line, a probe, or a line of a connection that stands."""
+    def handle_line(self, connection: ToyServerConnection, line: bytes) -> None:
+        """Answer a request line, a health check, or a message on an established connection."""
         if line.startswith(b"OPEN "):
-            self.up = True
-            served[server] += 1
-            print(f"{server}: {line.decode()}")
-            self.sock.sendall(f"UP {server}\r\n".encode())
+            connection.is_established = True
+            self.connections += 1
+            print(f"{self.name}: {line.decode()}")
+            connection.send(f"UP {self.name}\r\n".encode())
         elif line == b"STATS":
-            self.sock.sendall(f"PONG x0={served[server] / 20}\r\n".encode())
+            connection.send(f"PONG x0={self.connections / SERVER_CAPACITY}\r\n".encode())
         elif line == b"PING":
-            self.sock.sendall(b"PONG\r\n")
+            connection.send(b"PONG\r\n")
         else:
-            self.sock.sendall(b"echo " + line + b"\r\n")
-
-
-def on_call(sock: socket.socket, line: str) -> None:
-    """Answer a call to discovery, at once or, for a watch without news, later."""
-    call = re.match(r"GET /v1/endpoints(?:\?from=(\d+)&hold_ms=(\d+))? ", line)
-    if call is not None and call.group(1) is not None and int(call.group(1)) >= list_version.number:
-        watches.append((sock, int(call.group(1)), time.monotonic() + int(call.group(2)) / 1000))
-    elif call is not None:
-        tell(sock, whole=True)
-
-
-def tell(sock: socket.socket, whole: bool) -> None:
-    """Send the whole list, or that nothing has changed."""
-    hosts = [
-        {
-            "host": name,
-            "dial": f"{host}:{port}",
-            "site": "hall",
-            "class": "toy",
-            "health": health[name],
-        }
-        for name, (host, port) in SERVERS.items()
-        if health[name] != "gone"
-    ]
-    body = json.dumps({"seq": list_version.number, "whole": whole, "hosts": hosts if whole else []})
-    sock.sendall(f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode())
-
-
-def on_typed() -> None:
-    """Take a word from the keyboard."""
-    word, _, name = sys.stdin.readline().strip().partition(" ")
-    if word in STATES and name in SERVERS:
-        health[name] = STATES[word]
-        list_version.number += 1
-        print(f"discovery: {name} is {health[name]}")
-    elif not word:
-        selector.unregister(sys.stdin)
-
-
-def listen(address: tuple[str, int], server: str | None) -> None:
-    """Take connections at an address."""
-    listener = socket.create_server(address)
-    selector.register(listener, selectors.EVENT_READ, lambda: Toy(listener.accept()[0], server))
+            connection.send(b"echo " + line + b"\r\n")
+
+
+class LineConnection:
+    """A connection that is read line by line."""
+
+    def __init__(self, selector: selectors.BaseSelector, connection: socket.socket) -> None:
+        self._selector = selector
+        self._connection = connection
+        self._buffer = b""
+        selector.register(connection, selectors.EVENT_READ, self.on_readable)
+
+    def on_readable(self) -> None:
+        """Read what has arrived, and handle every complete line of it."""
+        try:
+            data = self._connection.recv(RECEIVE_BYTES)
+        except ConnectionError:
+            data = b""
+        self._buffer += data
+        while b"\r\n" in self._buffer:
+            line, self._buffer = self._buffer.split(b"\r\n", 1)
+            self.on_line(line)
+        if not data:
+            self.on_end()
+            self._selector.unregister(self._connection)
+            self._connection.close()
+
+    def on_line(self, line: bytes) -> None:
+        """Handle a line."""
+        raise NotImplementedError
+
+    def on_end(self) -> None:
+        """Handle the end of the connection."""
+
+
+class ToyServerConnection(LineConnection):
+    """A connection to an upstream server.
+
+    Attributes:
+        is_established: Whether its request line has been answered.
+    """
+
+    def __init__(
+        self, selector: selectors.BaseSelector, connection: socket.socket, server: ToyServer
+    ) -> None:
+        super().__init__(selector, connection)
+        self._server = server
+        self.is_established = False
+
+    def on_line(self, line: bytes) -> None:
+        """Pass a line on to the server."""
+        self._server.handle_line(self, line)
+
+    def on_end(self) -> None:
+        """Release the connection's place at the server."""
+        if self.is_established:
+            self._server.connections -= 1
+
+    def send(self, data: bytes) -> None:
+        """Send bytes to the other side."""
+        self._connection.sendall(data)
+
+
+class ToyDiscoveryConnection(LineConnection):
+    """A connection to discovery."""
+
+    def __init__(
+        self, selector: selectors.BaseSelector, connection: socket.socket, discovery: ToyDiscovery
+    ) -> None:
+        super().__init__(selector, connection)
+        self._discovery = discovery
+
+    def on_line(self, line: bytes) -> None:
+        """Pass a line on to discovery."""
+        self._discovery.handle_line(self._connection, line.decode())
+
+
+class Toys:
+    """The toy servers, the toy discovery and the keyboard in one event loop."""
+
+    def __init__(self) -> None:
+        self._selector = selectors.DefaultSelector()
+        self._discovery = ToyDiscovery()
+
+    def listen(self) -> None:
+        """Listen for calls to discovery and connections to the servers."""
+        listener = socket.create_server(DISCOVERY)
+        self._register(listener, lambda: self._accept_call(listener))
+        for name, address in SERVERS.items():
+            self._listen_for_server(ToyServer(name), address)
+
+    def _listen_for_server(self, server: ToyServer, address: tuple[str, int]) -> None:
+        listener = socket.create_server(address)
+        self._register(listener, lambda: self._accept(listener, server))
+
+    def _register(self, listener: socket.socket, callback: object) -> None:
+        self._selector.register(listener, selectors.EVENT_READ, callback)
+
+    def _accept(self, listener: socket.socket, server: ToyServer) -> None:
+        connection, _ = listener.accept()
+        ToyServerConnection(self._selector, connection, server)
+
+    def _accept_call(self, listener: socket.socket) -> None:
+        connection, _ = listener.accept()
+        ToyDiscoveryConnection(self._selector, connection, self._discovery)
+
+    def watch_keyboard(self) -> bool:
+        """Take commands from the keyboard, if there is one; return whether there is."""
+        try:
+            self._selector.register(sys.stdin, selectors.EVENT_READ, self._on_typed)
+        except (OSError, ValueError):  # a file or /dev/null, which no selector can watch, or none
+            return False
+        return True
+
+    def _on_typed(self) -> None:
+        command, _, server_name = sys.stdin.readline().strip().partition(" ")
+        if command in HEALTH_BY_COMMAND and server_name in SERVERS:
+            self._discovery.set_health(server_name, HEALTH_BY_COMMAND[command])
+        elif not command:
+            self._selector.unregister(sys.stdin)
+
+    def run(self) -> None:
+        """Serve until interrupted."""
+        while True:
+            for key, _ in self._selector.select(POLL_INTERVAL_S):
+                key.data()
+            self._discovery.answer_watches()
 
 
 def main() -> None:
-    """Serve until interrupted."""
-    listen(DISCOVERY, None)
-    for name, address in SERVERS.items():
-        listen(address, name)
-    hint = "type 'drain s0' to see its clients move"
-    try:
-        selector.register(sys.stdin, selectors.EVENT_READ, on_typed)
-    except (
-        OSError,
-        ValueError,
-    ):  # a file or /dev/null, which no selector can watch, or nothing at all
+    """Start the toys and serve until interrupted."""
+    toys = Toys()
+    toys.listen()
+    if toys.watch_keyboard():
+        hint = "type 'drain s0' to see its clients migrate"
+    else:
         hint = "nobody can type here, so they stay as they are"
     print(f"toy servers s0 and s1 and discovery are up; {hint}", flush=True)
-    while True:
-        for key, _ in selector.select(0.05):
-            key.data()
-        for watch in list(watches):
-            sock, seen, until = watch
-            if seen < list_version.number or time.monotonic() >= until:
-                watches.remove(watch)
-                if sock.fileno() >= 0:
-                    tell(sock, whole=seen < list_version.number)
+    toys.run()
 
 
 if __name__ == "__main__":
