--- a/benchmarks/membership_costs.py
+++ b/benchmarks/membership_costs.py
@@ -31,8 +31,8 @@
 from larchhaven.lab.tier import KEY, operator_text
 from larchhaven.membership.config import ProtocolConfig
 from larchhaven.membership.member import MemberInfo
-from larchhaven.model.programs import Swim
-from larchhaven.model.world import Datagram
+from larchhaven.model.membership_program import MembershipProgram
+from larchhaven.model.process import Datagram
 from larchhaven.net.control.membership_switch import derive_key
 
 TICK_S = 0.005
@@ -45,7 +45,7 @@
         self.size = size
         self.port = port
         self.addresses: list[str] = []
-        self._programs: dict[int, Swim] = {}
+        self._programs: dict[int, MembershipProgram] = {}
         self._ways: dict[int, asyncio.DatagramTransport] = {}
 
     async def start(self) -> None:
@@ -73,20 +73,20 @@
             self.addresses.append("{}:{}".format(*way.get_extra_info("sockname")))
             rng = random.Random(number)
             about = MemberInfo(f"n{number}", number % 3)
-            program = Swim(
+            program = MembershipProgram(
                 now, number, self.size, about, 100, rng.getrandbits(32), rng, ProtocolConfig()
             )
-            program.gate.keys = (derive_key(KEY),)
+            program.authenticator.keys = (derive_key(KEY),)
             self._programs[number] = program
 
     def carry_out(self, number: int, actions: Iterable[object]) -> None:
         """Send what a core wants to be sent."""
         for action in actions:
             if isinstance(action, Datagram):
-                if action.to:
-                    program = self._programs[action.to]
+                if action.receiver:
+                    program = self._programs[action.receiver]
                     got = program.receive(time.monotonic_ns() // 1000, action.data, number)
-                    self.carry_out(action.to, list(got))
+                    self.carry_out(action.receiver, list(got))
                 else:
                     self._ways[number].sendto(action.data, (HERE, self.port))
 
@@ -95,8 +95,8 @@
         while True:
             now = time.monotonic_ns() // 1000
             for number, program in self._programs.items():
-                if program.due <= now:
-                    self.carry_out(number, list(program.turn(now)))
+                if program.due_us <= now:
+                    self.carry_out(number, list(program.run_timers(now)))
             await asyncio.sleep(TICK_S)
 
 
--- a/larchhaven/cli/app.py
+++ b/larchhaven/cli/app.py
@@ -238,7 +238,7 @@
     """
     from larchhaven.cli import model as work
 
-    raise typer.Exit(work.play_file(experiment, seed, json))
+    raise typer.Exit(work.run_experiment_file(experiment, seed, json))
 
 
 @model.command("sweep")
@@ -262,7 +262,9 @@
     """
     from larchhaven.cli import model as work
 
-    raise typer.Exit(work.sweep(experiment, members, loss, detector or [], seeds, jobs, out, json))
+    raise typer.Exit(
+        work.run_sweep(experiment, members, loss, detector or [], seeds, jobs, out, json)
+    )
 
 
 @model.command("plot")
@@ -278,7 +280,7 @@
     """
     from larchhaven.cli import model as work
 
-    raise typer.Exit(work.plot(results, out))
+    raise typer.Exit(work.plot_sweep(results, out))
 
 
 @model.command("search")
@@ -297,7 +299,7 @@
     """
     from larchhaven.cli import model as work
 
-    raise typer.Exit(work.search(scene or [], size, depth, states, json))
+    raise typer.Exit(work.run_search(scene or [], size, depth, states, json))
 
 
 def main(arguments: Sequence[str]) -> int:
--- a/larchhaven/cli/model.py
+++ b/larchhaven/cli/model.py
@@ -1,4 +1,4 @@
-"""``larchhaven model``: the fleet in simulated time."""
+"""``larchhaven model``: the proxy fleet in simulated time."""
 
 from __future__ import annotations
 
@@ -11,74 +11,47 @@
 
 if TYPE_CHECKING:
     from larchhaven.model.experiment_pb2 import Experiment
+    from larchhaven.model.results import ExperimentResult
+    from larchhaven.model.search import SearchReport
+    from larchhaven.model.summary import SweepCell
+    from larchhaven.model.sweep import SweepAxes
 
-EXTRA = "larchhaven model needs the extra 'report'"
+EXIT_OK = 0
+EXIT_DOES_NOT_HOLD = 1
+EXIT_UNUSABLE = 2
 
 
-def _read(path: Path) -> Experiment | None:
-    """Read an experiment; print what is wrong with it."""
-    from larchhaven.model.experiment import load
+def run_experiment_file(path: Path, seed: int | None, as_json: bool) -> int:
+    """Run one experiment.
 
-    try:
-        experiment, complaints = load(path.read_text("utf-8"))
-    except (OSError, UnicodeDecodeError) as error:
-        print(f"{path}: {error}", file=sys.stderr)
-        return None
-    for complaint in complaints:
-        print(f"{path}:{complaint}", file=sys.stderr)
-    return None if complaints else experiment
+    Args:
+        path: The experiment's file.
+        seed: A seed instead of the experiment's own, if any.
+        as_json: Whether to print JSON.
 
-
-def play_file(path: Path, seed: int | None, as_json: bool) -> int:
-    """Play one experiment; return the exit code: all agreed and equal, and nobody wrongly dead."""
+    Returns:
+        The exit code: whether deaths were agreed on, nobody was declared dead wrongly and views
+        converged.
+    """
     try:
-        from larchhaven.model.experiment import play
+        from larchhaven.model.experiment import run_experiment
     except ModuleNotFoundError as error:
-        print(f"{EXTRA} ({error.name} is missing)", file=sys.stderr)
-        return 2
-    experiment = _read(path)
+        return _report_missing_extra(error)
+    experiment = _read_experiment(path)
     if experiment is None:
-        return 2
+        return EXIT_UNUSABLE
     if seed is not None:
         experiment.seed = seed
-    result = play(experiment)
-    holds = (
-        not result.false_deaths
-        and all(death.agreed is not None for death in result.deaths)
-        and all(equal.seconds is not None for equal in result.equal)
-    )
+    result = run_experiment(experiment)
     if as_json:
-        print(msgspec.json.encode(msgspec.to_builtins(result) | {"holds": holds}).decode())
-        return 0 if holds else 1
-    print(
-        f"{result.name}, seed {result.seed}: {result.members} members, {result.seconds:g} s simulated"
-    )
-    for death in result.deaths:
-        print(
-            f"  {death.number} died at {death.at:g} s: first said after {_s(death.detected)}, "
-            f"agreed after {_s(death.agreed)}"
-        )
-    for equal in result.equal:
-        print(f"  {equal.after} at {equal.at:g} s: all views equal after {_s(equal.seconds)}")
-    print(f"  {result.accusations} accused, {result.false_deaths} wrongly declared dead")
-    print(
-        f"  {result.messages_a_second:g} messages a second and member, {result.messages_most:g} at most; "
-        f"{result.bytes_a_second:g} bytes"
-    )
-    print(f"  trace {result.trace}, {result.events} events")
-    print("holds" if holds else "does not hold")
-    return 0 if holds else 1
-
-
-def _s(seconds: float | None) -> str:
-    return "never" if seconds is None else f"{seconds:.2f} s"
-
-
-def _numbers(text: str) -> list[float]:
-    return [float(part) for part in text.split(",") if part.strip()]
+        fields = msgspec.to_builtins(result) | {"holds": result.holds}
+        print(msgspec.json.encode(fields).decode())
+    else:
+        _print_result(result)
+    return EXIT_OK if result.holds else EXIT_DOES_NOT_HOLD
 
 
-def sweep(
+def run_sweep(
     path: Path,
     members: str,
     loss: str,
@@ -88,88 +61,196 @@
     out: Path,
     as_json: bool,
 ) -> int:
-    """Play many experiments; return the exit code: whether every death was agreed upon."""
+    """Run an experiment in every combination of sizes, losses, detectors and seeds.
+
+    Args:
+        path: The experiment's file.
+        members: Sizes of the fleet, separated by commas; the experiment's own if empty.
+        loss: Percentages of lost datagrams, likewise.
+        detectors: Names of failure detectors; the experiment's own if there are none.
+        seeds: How many seeds, from the experiment's own on.
+        jobs: Processes at a time; 0: as many as the machine has cores.
+        out: The folder for the results.
+        as_json: Whether to print JSON.
+
+    Returns:
+        The exit code: whether every death was agreed on.
+    """
     try:
-        from larchhaven.model import sweep as work
-        from larchhaven.model.experiment_pb2 import Experiment
+        from larchhaven.model import sweep
     except ModuleNotFoundError as error:
-        print(f"{EXTRA} ({error.name} is missing)", file=sys.stderr)
-        return 2
-    base = _read(path)
+        return _report_missing_extra(error)
+    base = _read_experiment(path)
     if base is None:
-        return 2
+        return EXIT_UNUSABLE
     try:
-        sizes, losses = [int(size) for size in _numbers(members)], _numbers(loss)
-        kinds = [Experiment.Detector.Value(name.upper()) for name in detectors]
+        axes = _parse_axes(members, loss, detectors, seeds)
     except ValueError as error:
         print(f"larchhaven model sweep: {error}", file=sys.stderr)
-        return 2
-    experiments = work.grid(base, sizes, losses, kinds, seeds)
-
-    def played(done: int) -> None:
-        if sys.stderr.isatty():
-            end = "" if done < len(experiments) else "\n"
-            print(f"\r{done} of {len(experiments)}", end=end, file=sys.stderr, flush=True)
-
-    cells = work.save(out, work.run(experiments, jobs, played))
+        return EXIT_UNUSABLE
+    results = _run_experiments(sweep.expand_axes(base, axes), jobs)
+    cells = sweep.save_results(out, results)
     if as_json:
         print(msgspec.json.encode(cells).decode())
     else:
-        _table(cells)
-    return 0 if all(cell.agreed_share == 1.0 for cell in cells) else 1
+        _print_table(cells)
+    is_agreed = all(cell.agreed_fraction == 1.0 for cell in cells)
+    return EXIT_OK if is_agreed else EXIT_DOES_NOT_HOLD
 
 
-def _table(cells: Sequence[object]) -> None:
-    from larchhaven.model.plot import HEADS, row
+def _run_experiments(experiments: Sequence[Experiment], jobs: int) -> list[ExperimentResult]:
+    from larchhaven.model import sweep
+
+    def show_progress(completed: int) -> None:
+        if sys.stderr.isatty():
+            end = "" if completed < len(experiments) else "\n"
+            text = f"\r{completed} of {len(experiments)}"
+            print(text, end=end, file=sys.stderr, flush=True)
+
+    return sweep.run_sweep(experiments, jobs, show_progress)
 
-    rows = [list(HEADS), *(row(cell) for cell in cells)]  # type: ignore[arg-type]
-    widths = [max(len(line[i]) for line in rows) for i in range(len(HEADS))]
-    for line in rows:
-        print(
-            "  ".join(text.ljust(width) for text, width in zip(line, widths, strict=True)).rstrip()
-        )
 
+def plot_sweep(folder: Path, out: Path) -> int:
+    """Draw the results of a sweep.
 
-def plot(folder: Path, out: Path) -> int:
-    """Draw what a sweep has shown; return the exit code."""
+    Args:
+        folder: What the sweep has written.
+        out: The HTML file.
+
+    Returns:
+        The exit code.
+    """
     try:
-        from larchhaven.model import sweep as work
-        from larchhaven.model.plot import write
+        from larchhaven.model.plot import render_report
+        from larchhaven.model.summary import summarise
+        from larchhaven.model.sweep import read_results
     except ModuleNotFoundError as error:
-        print(f"{EXTRA} ({error.name} is missing)", file=sys.stderr)
-        return 2
+        return _report_missing_extra(error)
     try:
-        results = work.read(folder)
-        out.write_text(write(f"Membership: {folder.name}", work.summarise(results)), "utf-8")
+        cells = summarise(read_results(folder))
+        out.write_text(render_report(f"Membership: {folder.name}", cells), "utf-8")
     except (OSError, msgspec.DecodeError) as error:
         print(f"larchhaven model plot: {folder}: {error}", file=sys.stderr)
-        return 2
+        return EXIT_UNUSABLE
     print(out)
-    return 0
+    return EXIT_OK
+
+
+def run_search(
+    names: Sequence[str], members: int, max_depth: int, max_states: int, as_json: bool
+) -> int:
+    """Search exhaustively from starting states.
 
+    Args:
+        names: The names of the starting states; all if empty.
+        members: How many members there are.
+        max_depth: How many steps are tried one after the other.
+        max_states: How many states are examined at most from each starting state.
+        as_json: Whether to print JSON.
 
-def search(names: Sequence[str], size: int, depth: int, states: int, as_json: bool) -> int:
-    """Search exhaustively from the scenes; return the exit code."""
+    Returns:
+        The exit code: whether all invariants held.
+    """
     try:
-        from larchhaven.model.search import SCENES
-        from larchhaven.model.search import search as work
+        from larchhaven.model.search import search_from
+        from larchhaven.model.starting_states import STARTING_STATES
     except ModuleNotFoundError as error:
-        print(f"{EXTRA} ({error.name} is missing)", file=sys.stderr)
-        return 2
-    unknown = [name for name in names if name not in SCENES]
-    if unknown:
-        print(f"there is no scene {unknown[0]!r}; known are {', '.join(SCENES)}", file=sys.stderr)
-        return 2
-    reports = [work(name, size=size, depth=depth, states=states) for name in names or SCENES]
+        return _report_missing_extra(error)
+    for name in names:
+        if name not in STARTING_STATES:
+            known = ", ".join(STARTING_STATES)
+            print(f"there is no scene {name!r}; known are {known}", file=sys.stderr)
+            return EXIT_UNUSABLE
+    reports = [
+        search_from(name, members=members, max_depth=max_depth, max_states=max_states)
+        for name in names or STARTING_STATES
+    ]
     if as_json:
-        print(msgspec.json.encode([msgspec.to_builtins(report) for report in reports]).decode())
+        print(msgspec.json.encode(reports).decode())
     else:
         for report in reports:
-            short = ", cut short" if report.cut_short else ""
-            met = f"{report.states} states, {report.steps} steps to depth {report.deepest}{short}"
-            print(f"{report.scene}: {met}; made whole {report.wholes} times")
-            if report.broken:
-                print(f"  {report.broken}")
-                for step in report.path:
-                    print(f"    {step}")
-    return 1 if any(report.broken for report in reports) else 0
+            _print_search(report)
+    has_violation = any(report.violation for report in reports)
+    return EXIT_DOES_NOT_HOLD if has_violation else EXIT_OK
+
+
+def _report_missing_extra(error: ModuleNotFoundError) -> int:
+    print(f"larchhaven model needs the extra 'report' ({error.name} is missing)", file=sys.stderr)
+    return EXIT_UNUSABLE
+
+
+def _read_experiment(path: Path) -> Experiment | None:
+    """Read an experiment; print complaints and return None if it has any."""
+    from larchhaven.model.experiment_file import parse_experiment
+
+    try:
+        parsed = parse_experiment(path.read_text("utf-8"))
+    except (OSError, UnicodeDecodeError) as error:
+        print(f"{path}: {error}", file=sys.stderr)
+        return None
+    for complaint in parsed.complaints:
+        print(f"{path}:{complaint}", file=sys.stderr)
+    return None if parsed.complaints else parsed.experiment
+
+
+def _parse_axes(members: str, loss: str, detectors: Sequence[str], seeds: int) -> SweepAxes:
+    from larchhaven.model.experiment_pb2 import Experiment
+    from larchhaven.model.sweep import SweepAxes
+
+    return SweepAxes(
+        members=[int(size) for size in _parse_numbers(members)],
+        loss_percents=_parse_numbers(loss),
+        detectors=[Experiment.Detector.Value(name.upper()) for name in detectors],
+        seeds=seeds,
+    )
+
+
+def _parse_numbers(text: str) -> list[float]:
+    return [float(part) for part in text.split(",") if part.strip()]
+
+
+def _print_result(result: ExperimentResult) -> None:
+    size = f"{result.members} members, {result.simulated_s:g} s simulated"
+    print(f"{result.name}, seed {result.seed}: {size}")
+    for death in result.deaths:
+        print(
+            f"  {death.number} died at {death.at_s:g} s:"
+            f" first detected after {_format_seconds(death.detected_s)},"
+            f" agreed after {_format_seconds(death.agreed_s)}"
+        )
+    for convergence in result.convergences:
+        duration = _format_seconds(convergence.duration_s)
+        print(f"  {convergence.cause} at {convergence.at_s:g} s: all views equal after {duration}")
+    print(f"  {result.suspicions} suspected, {result.false_deaths} wrongly declared dead")
+    print(
+        f"  {result.messages_per_second:g} messages a second and member,"
+        f" {result.max_messages_per_second:g} at most; {result.bytes_per_second:g} bytes"
+    )
+    print(f"  trace {result.trace_digest}, {result.events} events")
+    print("holds" if result.holds else "does not hold")
+
+
+def _format_seconds(seconds: float | None) -> str:
+    return "never" if seconds is None else f"{seconds:.2f} s"
+
+
+def _print_table(cells: Sequence[SweepCell]) -> None:
+    from larchhaven.model.sweep_table import TABLE_HEADS, format_row
+
+    rows = [list(TABLE_HEADS), *(format_row(cell) for cell in cells)]
+    widths = [max(map(len, column)) for column in zip(*rows, strict=True)]
+    for row in rows:
+        padded = (text.ljust(width) for text, width in zip(row, widths, strict=True))
+        print("  ".join(padded).rstrip())
+
+
+def _print_search(report: SearchReport) -> None:
+    truncated = ", truncated" if report.is_truncated else ""
+    print(
+        f"{report.starting_state}: {report.states} states, {report.steps} steps"
+        f" to depth {report.completed_depth}{truncated}; healed {report.healed_states} times"
+    )
+    if report.violation:
+        print(f"  {report.violation}")
+        for step in report.counterexample:
+            print(f"    {step}")
--- a/larchhaven/model/__init__.py
+++ b/larchhaven/model/__init__.py
@@ -1,1 +1,1 @@
-"""The fleet in simulated time: real pure packages, a network between them, faults; one seed replays it."""
+"""Deterministic simulation of the proxy fleet: pure packages, a network, faults, one seed."""
--- a/larchhaven/model/experiment.py
+++ b/larchhaven/model/experiment.py
@@ -1,262 +1,131 @@
-"""Plays one experiment: members in a world, faults by a script, and what was seen of it."""
+"""Runs one experiment: a fleet in a simulation, faults by a script, and what was observed."""
 
 from __future__ import annotations
 
-from collections.abc import Callable
-from dataclasses import dataclass
 from functools import partial
 
 from larchhaven.membership.config import ProtocolConfig
 from larchhaven.membership.member import MemberInfo
 from larchhaven.membership.membership import Membership
-from larchhaven.model.experiment_pb2 import Cut, Experiment, Fault, Who
-from larchhaven.model.measure import Measure, Result
-from larchhaven.model.network import Network, Weather
-from larchhaven.model.programs import Heartbeats, Swim
-from larchhaven.model.streams import Stream, Streams
-from larchhaven.model.world import Datagram, Process, Program, World
-
-S = 1_000_000
-# A planned stop is over so long after it was said.
-GOODBYE_US = 500_000
-# Monotonic clocks begin anywhere; those of the world's processes within this.
-CLOCKS_US = 1_000_000_000
-
-
-def load(text: str) -> tuple[Experiment, list[str]]:
-    """Read an experiment's text; return it with the complaints about it, each with its line and column."""
-    from larchhaven.operator.text import parse
-
-    experiment, found = parse(text, Experiment)
-    complaints = [f"{c.line}:{c.column}: {c.text}" for c in found.complaints]
-    if not complaints:
-        for i, fault in enumerate(experiment.faults):
-            if fault.WhichOneof("what") is None:
-                complaints.append(
-                    f"faults[{i}]: say what happens: kill, pause, leave, slow_ms or cut"
-                )
-            for who in (fault.who, fault.cut.to):
-                try:
-                    _numbers(who.numbers, max(experiment.members, 1))
-                except ValueError as error:
-                    complaints.append(f"faults[{i}]: {error}")
-            if fault.WhichOneof("what") == "pause" and not fault.for_seconds:
-                complaints.append(f"faults[{i}]: a pause needs for_seconds")
-    return experiment, complaints
-
-
-def _numbers(text: str, members: int) -> list[int]:
-    found: list[int] = []
-    for part in filter(None, text.replace(" ", "").split(",")):
-        first, _, last = part.partition("-")
-        if not (first.isdigit() and (last or first).isdigit()):
-            raise ValueError(f"numbers are written like 0-9,12, not {part!r}")
-        if int(last or first) >= members:
-            raise ValueError(f"there is no member {last or first}: the last is {members - 1}")
-        found += range(int(first), int(last or first) + 1)
-    return found
-
-
-@dataclass(slots=True)
-class Play:
-    """One experiment while it is played."""
-
-    experiment: Experiment
-    world: World
-    measure: Measure
-    streams: Streams
-
-    def who(self, who: Who, rng: Stream) -> list[int]:
-        """Return whom a fault meets."""
-        members, zones = len(self.world.processes), max(self.experiment.zones, 1)
-        match who.WhichOneof("which"):
-            case "numbers":
-                return _numbers(who.numbers, members)
-            case "zone":
-                return [n for n in range(members) if n % zones == who.zone]
-            case "percent":
-                return sorted(rng.some(round(members * who.percent / 100), list(range(members))))
-        return list(range(members))
-
-    def plan(self, number: int, fault: Fault) -> None:
-        """Plan a fault, and its next time."""
-        rng = self.streams.of(f"fault {number}")
-        begins = int(fault.at_seconds * S)
-
-        def happen() -> None:
-            self._happen(fault, rng)
-            if fault.every_seconds:
-                self.world.at(self.world.now + int(fault.every_seconds * S), happen)
-
-        self.world.at(begins, happen)
-
-    def _happen(self, fault: Fault, rng: Stream) -> None:
-        met = [self.world.processes[n] for n in self.who(fault.who, rng)]
-        ends = self.world.now + int(fault.for_seconds * S)
-        match fault.WhichOneof("what"):
-            case "kill":
-                self._each(met, self.kill)
-                if fault.for_seconds:
-                    self._later(ends, met, lambda process: self._back(process, fault.clock_seconds))
-            case "pause":
-                self._each(met, self.world.pause)
-                self._later(ends, met, self.world.resume)
-            case "leave":
-                self._each(met, self._leave)
-                if fault.for_seconds:
-                    self._later(ends, met, lambda process: self._back(process, fault.clock_seconds))
-            case "slow_ms":
-                for process in met:
-                    process.cost = int(fault.slow_ms * 1000)
-                if fault.for_seconds:
-                    self._later(ends, met, self._quick)
-            case "cut":
-                self._cut(
-                    fault.cut,
-                    {process.number for process in met},
-                    rng,
-                    ends,
-                    bool(fault.for_seconds),
-                )
-
-    def _each(self, met: list[Process], then: Callable[[Process], None]) -> None:
-        for process in met:
-            if process.running:
-                then(process)
-
-    def _later(self, at: int, met: list[Process], then: Callable[[Process], None]) -> None:
-        def end() -> None:
-            for process in met:
-                then(process)
-            self.measure.watch_equal("fault ends")
-
-        self.world.at(at, end)
-
-    def _cut(self, cut: Cut, ours: set[int], rng: Stream, ends: int, does_end: bool) -> None:
-        network = self.world.network
-        others = (
-            set(self.who(cut.to, rng))
-            if cut.HasField("to")
-            else set(range(len(self.world.processes)))
-        )
-        theirs = others - ours
-        made = [network.cut(ours, theirs)] + ([] if cut.one_way else [network.cut(theirs, ours)])
-
-        def heal() -> None:
-            for one in made:
-                network.heal(one)
-            self.measure.watch_equal("cut heals")
-
-        if does_end:
-            self.world.at(ends, heal)
-
-    def kill(self, process: Process) -> None:
-        """End a process without a word."""
-        self.world.kill(process)
-        self.measure.died(process.number)
-
-    def _back(self, process: Process, clock_seconds: float) -> None:
-        if not process.running:
-            self.measure.clocks[process.number] += int(clock_seconds * S)
-            self.measure.began(process.number)
-            self.world.begin(process)
-
-    def _quick(self, process: Process) -> None:
-        process.cost = 0
-
-    def _leave(self, process: Process) -> None:
-        if isinstance(process.program, Swim):
-            for action in process.program.leave(self.world.now + process.offset):
-                if isinstance(action, Datagram):
-                    self.world.send(process, action)
-            self.world.at(self.world.now + GOODBYE_US, lambda: self.kill(process))
-        else:
-            self.kill(process)
-
-    def plan_pauses(self, number: int) -> None:
-        """Let some processes stop for moments all the time."""
-        pauses = self.experiment.pauses[number]
-        rng = self.streams.of(f"pauses {number}")
-        members = len(self.world.processes)
-        for process_number in rng.some(round(members * pauses.percent / 100), list(range(members))):
-            self._next_pause(self.world.processes[process_number], number, rng)
-
-    def _next_pause(self, process: Process, number: int, rng: Stream) -> None:
-        pauses = self.experiment.pauses[number]
-        # Between a half and three halves of the time: pauses of one process never overlap.
-        rest = pauses.every_seconds * rng.between(0.5, 1.5)
-        long = rng.between(pauses.least_seconds, pauses.most_seconds)
-
-        def begin() -> None:
-            self.world.pause(process)
-            self.world.at(self.world.now + int(long * S), end)
-
-        def end() -> None:
-            self.world.resume(process)
-            self._next_pause(process, number, rng)
-
-        self.world.at(self.world.now + int(rest * S), begin)
-
-
-def weather(experiment: Experiment) -> Weather:
-    """Return how an experiment's links are."""
-    links, usual = experiment.links, Weather()
-    return Weather(
-        delay=links.delay_ms * 1000 if links.HasField("delay_ms") else usual.delay,
-        jitter=links.jitter_ms * 1000 if links.HasField("jitter_ms") else usual.jitter,
-        loss=links.loss_percent / 100,
-        burst=links.burst_ms * 1000,
-        doubled=links.doubled_percent / 100,
-        doubled_late=links.doubled_late_ms * 1000
-        if links.HasField("doubled_late_ms")
-        else usual.doubled_late,
-    )
-
-
-def play(
+from larchhaven.model.experiment_pb2 import Experiment, Links
+from larchhaven.model.fault_injection import FaultInjector, WallClocks
+from larchhaven.model.heartbeat_program import HeartbeatProgram
+from larchhaven.model.membership_program import MembershipProgram
+from larchhaven.model.network import LinkConditions, SimulatedNetwork
+from larchhaven.model.observer import CAUSE_START, FleetObserver
+from larchhaven.model.process import Program
+from larchhaven.model.random_streams import RandomStream, RandomStreams
+from larchhaven.model.results import ExperimentResult
+from larchhaven.model.simulation import Simulation
+from larchhaven.model.units import US_PER_MS, US_PER_SECOND, to_us
+
+# Monotonic clocks of processes begin anywhere within this.
+MAX_CLOCK_OFFSET_US = 1_000_000_000
+SESSION_IDS = 1 << 32
+
+
+def run_experiment(
     experiment: Experiment,
     *,
-    core: type[Membership] = Membership,
-    tuning: ProtocolConfig | None = None,
-) -> Result:
-    """Play an experiment; the same one gives the same result in every process.
+    membership_type: type[Membership] = Membership,
+    config: ProtocolConfig | None = None,
+) -> ExperimentResult:
+    """Run an experiment; the same one gives the same result in every process.
 
     Args:
         experiment: What happens.
-        core: The membership that is run, or a variant that is to be caught.
-        tuning: Times other than the defaults.
+        membership_type: The protocol that is run, or a variant with a planted fault.
+        config: Intervals, timeouts and limits other than the defaults.
 
+    Returns:
+        What was observed.
     """
-    streams = Streams(experiment.seed)
-    world = World(Network(weather(experiment), streams.of("network")))
-    members, zones = max(experiment.members, 1), max(experiment.zones, 1)
-    measure = Measure(world, members)
-    one = Play(experiment, world, measure, streams)
-    clocks = streams.of("clocks")
-    for number in range(members):
-        measure.clocks.append(int(clocks.between(-1, 1) * experiment.clocks_apart_seconds * S))
-        offset = clocks.below(CLOCKS_US)
+    return _ExperimentRun(experiment, membership_type, config or ProtocolConfig()).run()
+
+
+def link_conditions(links: Links) -> LinkConditions:
+    """Return the conditions that an experiment states for its links, with defaults for others."""
+    default = LinkConditions()
+    delay_us = links.delay_ms * US_PER_MS
+    jitter_us = links.jitter_ms * US_PER_MS
+    duplicate_delay_us = links.doubled_late_ms * US_PER_MS
+    return LinkConditions(
+        delay_us=delay_us if links.HasField("delay_ms") else default.delay_us,
+        jitter_us=jitter_us if links.HasField("jitter_ms") else default.jitter_us,
+        loss_ratio=links.loss_percent / 100,
+        burst_us=links.burst_ms * US_PER_MS,
+        duplication_ratio=links.doubled_percent / 100,
+        max_duplicate_delay_us=(
+            duplicate_delay_us
+            if links.HasField("doubled_late_ms")
+            else default.max_duplicate_delay_us
+        ),
+    )
 
-        def start(now: int, lives: int, number: int = number) -> Program:
-            rng = streams.of(f"member {number} life {lives}")
-            if experiment.detector == Experiment.HEARTBEATS:
-                return Heartbeats(now, number, members, rng)
-            seconds = max((world.now + measure.clocks[number]) // S + 1, 1)
-            about = MemberInfo(f"n{number}", number % zones, 1, seconds)
-            life = int(rng.random() * (1 << 32))
-            return Swim(
-                now, number, members, about, seconds, life, rng, tuning or ProtocolConfig(), core
-            )
 
-        world.add(start, offset)
-    starts = streams.of("starts")
-    for process in world.processes:
-        begins = int(starts.random() * experiment.start_seconds * S)
-        world.at(begins, partial(world.begin, process))
-    measure.watch_equal("start")
-    for number, fault in enumerate(experiment.faults):
-        one.plan(number, fault)
-    for number in range(len(experiment.pauses)):
-        one.plan_pauses(number)
-    world.run(int(max(experiment.seconds, 1) * S))
-    return measure.result(experiment)
+class _ExperimentRun:
+    """One experiment while it runs."""
+
+    def __init__(
+        self, experiment: Experiment, membership_type: type[Membership], config: ProtocolConfig
+    ) -> None:
+        self._experiment = experiment
+        self._membership_type = membership_type
+        self._config = config
+        self._members = max(experiment.members, 1)
+        self._zones = max(experiment.zones, 1)
+        self._streams = RandomStreams(experiment.seed)
+        conditions = link_conditions(experiment.links)
+        network = SimulatedNetwork(conditions, self._streams.stream("network"))
+        self._simulation = Simulation(network)
+        self._observer = FleetObserver(self._simulation, self._members)
+        self._clocks = WallClocks()
+
+    def run(self) -> ExperimentResult:
+        self._add_processes()
+        self._schedule_starts()
+        self._observer.watch_convergence(CAUSE_START)
+        injector = FaultInjector(
+            self._experiment, self._simulation, self._observer, self._streams, self._clocks
+        )
+        injector.schedule_all()
+        self._simulation.events.run_until(to_us(max(self._experiment.seconds, 1)))
+        return self._observer.result(self._experiment)
+
+    def _add_processes(self) -> None:
+        rng = self._streams.stream("clocks")
+        for number in range(self._members):
+            error_s = rng.uniform(-1, 1) * self._experiment.clocks_apart_seconds
+            self._clocks.offsets_us.append(to_us(error_s))
+            clock_offset_us = rng.below(MAX_CLOCK_OFFSET_US)
+            self._simulation.add_process(partial(self._make_program, number), clock_offset_us)
+
+    def _schedule_starts(self) -> None:
+        rng = self._streams.stream("starts")
+        for process in self._simulation.processes:
+            start_us = int(rng.random() * self._experiment.start_seconds * US_PER_SECOND)
+            start = partial(self._simulation.start_process, process)
+            self._simulation.events.schedule(start_us, start)
+
+    def _make_program(self, number: int, now_us: int, starts: int) -> Program:
+        rng = self._streams.stream(f"member {number} life {starts}")
+        if self._experiment.detector == Experiment.HEARTBEATS:
+            return HeartbeatProgram(now_us, number, self._members, rng)
+        return self._make_membership_program(number, now_us, rng)
+
+    def _make_membership_program(
+        self, number: int, now_us: int, rng: RandomStream
+    ) -> MembershipProgram:
+        wall_clock_us = self._simulation.events.now_us + self._clocks.offsets_us[number]
+        started_unix_s = max(wall_clock_us // US_PER_SECOND + 1, 1)
+        return MembershipProgram(
+            now_us,
+            number,
+            self._members,
+            MemberInfo(f"n{number}", number % self._zones, 1, started_unix_s),
+            first_incarnation=started_unix_s,
+            session_id=int(rng.random() * SESSION_IDS),
+            rng=rng,
+            config=self._config,
+            membership_type=self._membership_type,
+        )
--- /dev/null
+++ b/larchhaven/model/experiment_file.py
@@ -0,0 +1,55 @@
+"""Reads experiments from protobuf text and checks what the schema alone cannot."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from dataclasses import dataclass
+
+from larchhaven.model.errors import ProcessNumbersError
+from larchhaven.model.experiment_pb2 import Experiment, Fault
+from larchhaven.model.process_selection import parse_numbers
+
+
+@dataclass(frozen=True, slots=True)
+class ParsedExperiment:
+    """An experiment and what is wrong with it.
+
+    Attributes:
+        experiment: What could be read.
+        complaints: Each with its place; the experiment is usable only if there are none.
+
+    """
+
+    experiment: Experiment
+    complaints: list[str]
+
+
+def parse_experiment(text: str) -> ParsedExperiment:
+    """Read the text of an experiment.
+
+    Args:
+        text: Protobuf text format of ``experiment.proto``.
+    """
+    # Loads the schema of the operators' file, which the simulation itself does without.
+    from larchhaven.operator.text import parse
+
+    experiment, found = parse(text, Experiment)
+    complaints = [f"{c.line}:{c.column}: {c.text}" for c in found.complaints]
+    if not complaints:
+        members = max(experiment.members, 1)
+        for i, fault in enumerate(experiment.faults):
+            complaints += [f"faults[{i}]: {text}" for text in _check_fault(fault, members)]
+    return ParsedExperiment(experiment, complaints)
+
+
+def _check_fault(fault: Fault, members: int) -> Iterator[str]:
+    kind = fault.WhichOneof("what")
+    if kind is None:
+        yield "say what happens: kill, pause, leave, slow_ms or cut"
+    for who in (fault.who, fault.cut.to):
+        try:
+            parse_numbers(who.numbers, members)
+        except ProcessNumbersError as error:
+            yield error.reason
+    if kind == "pause" and not fault.for_seconds:
+        yield "a pause needs for_seconds"
--- /dev/null
+++ b/larchhaven/model/membership_program.py
@@ -0,0 +1,78 @@
+"""The membership protocol as a program of a simulated process."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+
+from larchhaven.membership.actions import Action, SendMessage
+from larchhaven.membership.authenticator import DatagramAuthenticator
+from larchhaven.membership.config import ProtocolConfig
+from larchhaven.membership.member import MemberInfo
+from larchhaven.membership.membership import Membership
+from larchhaven.membership.sampling import RandomSource
+from larchhaven.model.process import Datagram
+
+
+class MembershipProgram:
+    """The protocol behind its authenticator, joined as the proxy joins them on a real socket.
+
+    Args:
+        now_us: The process's own clock.
+        own_number: The member's index in the peer table.
+        table_size: How many entries the peer table has.
+        info: What the member says of itself.
+        first_incarnation: The least incarnation to join with.
+        session_id: Drawn at the start of the process.
+        rng: Random numbers of the protocol.
+        config: Intervals, timeouts and limits.
+        membership_type: The protocol, or a variant of it with a planted fault.
+
+    Attributes:
+        authenticator: Signs and checks the datagrams.
+        membership: The protocol.
+
+    """
+
+    def __init__(
+        self,
+        now_us: int,
+        own_number: int,
+        table_size: int,
+        info: MemberInfo,
+        first_incarnation: int,
+        session_id: int,
+        rng: RandomSource,
+        config: ProtocolConfig,
+        membership_type: type[Membership] = Membership,
+    ) -> None:
+        self.authenticator = DatagramAuthenticator(own_number, table_size, session_id)
+        self.membership = membership_type(
+            now_us, own_number, table_size, info, first_incarnation, rng, config
+        )
+
+    @property
+    def due_us(self) -> int:
+        """When the protocol wants its next turn."""
+        return self.membership.due_us
+
+    def run_timers(self, now_us: int) -> Iterator[object]:
+        """Do all that is due."""
+        return self._seal_messages(self.membership.run_timers(now_us))
+
+    def receive(self, now_us: int, data: bytes, sender: int) -> Iterator[object]:
+        """Handle a datagram; one that the authenticator rejects is dropped."""
+        message = self.authenticator.open(data, sender)
+        actions = self.membership.receive(now_us, message) if message is not None else []
+        return self._seal_messages(actions)
+
+    def leave(self, now_us: int) -> Iterator[object]:
+        """Leave the fleet as planned."""
+        return self._seal_messages(self.membership.leave(now_us))
+
+    def _seal_messages(self, actions: list[Action]) -> Iterator[object]:
+        for action in actions:
+            if isinstance(action, SendMessage):
+                message = action.message
+                yield Datagram(message.receiver, self.authenticator.seal(message))
+            else:
+                yield action
--- a/larchhaven/model/network.py
+++ b/larchhaven/model/network.py
@@ -1,7 +1,8 @@
-"""The network between the processes of a world: delay, loss, bursts, doubles, overtaking, cuts.
+"""The network between simulated processes: delay, reordering, loss, duplication, partitions.
 
-Every directed pair is a link by itself. A link in a burst loses all; how often bursts begin follows from the
-share that is lost altogether and from how long they last on average.
+Each directed pair of processes is a link of its own. Losses may come in bursts (a Gilbert model):
+a link in a burst loses everything. How often bursts begin follows from the share that is lost
+altogether and from how long a burst lasts on average.
 """
 
 from __future__ import annotations
@@ -9,82 +10,131 @@
 import math
 from collections.abc import Collection
 from dataclasses import dataclass
+from typing import NamedTuple
 
-from larchhaven.model.streams import Stream
+from larchhaven.model.random_streams import RandomStream
 
 
-@dataclass(slots=True)
-class Weather:
-    """How links are; times in microseconds, shares from 0 to 1."""
+@dataclass(frozen=True, slots=True)
+class LinkConditions:
+    """What the links between all processes are like.
+
+    Attributes:
+        delay_us: The constant part of the delay.
+        jitter_us: Mean of the exponential part of the delay, by which datagrams are reordered.
+        loss_ratio: Share of the datagrams that are lost.
+        burst_us: Mean length of a burst of losses; 0: datagrams are lost independently.
+        duplication_ratio: Share of the datagrams that arrive twice.
+        max_duplicate_delay_us: The second copy arrives later by up to this.
 
-    delay: float = 500.0
-    jitter: float = 500.0  # mean of an exponential part: a later datagram may overtake
-    loss: float = 0.0
-    burst: float = 0.0  # mean length of a burst; 0: each datagram is lost by itself
-    doubled: float = 0.0
-    doubled_late: float = 200_000.0  # a second copy comes up to so much later
+    """
+
+    delay_us: float = 500.0
+    jitter_us: float = 500.0
+    loss_ratio: float = 0.0
+    burst_us: float = 0.0
+    duplication_ratio: float = 0.0
+    max_duplicate_delay_us: float = 200_000.0
 
 
 @dataclass(frozen=True, slots=True)
-class Cut:
-    """Nothing gets from these to those."""
+class LinkCut:
+    """Blocks all links from some processes to some others, in this direction only."""
 
     sources: frozenset[int]
     targets: frozenset[int]
 
-    def stops(self, source: int, target: int) -> bool:
-        """Tell whether a datagram is lost by it."""
+    def blocks(self, source: int, target: int) -> bool:
+        """Tell whether a datagram is lost because of this cut."""
         return source in self.sources and target in self.targets
 
 
-class Network:
-    """Says when the copies of a datagram arrive."""
+class _Link(NamedTuple):
+    source: int
+    target: int
+
+
+class _LinkState(NamedTuple):
+    """Whether a link was in a burst of losses when it was last used."""
+
+    at_us: int
+    is_in_burst: bool
+
+
+class SimulatedNetwork:
+    """Decides when the copies of a datagram arrive.
 
-    def __init__(self, weather: Weather, rng: Stream) -> None:
-        self.weather = weather
-        self.cuts: list[Cut] = []
-        self.lost = 0
+    Args:
+        conditions: What the links are like.
+        rng: Random numbers of the network.
+
+    Attributes:
+        conditions: What the links are like.
+
+    """
+
+    def __init__(self, conditions: LinkConditions, rng: RandomStream) -> None:
+        self.conditions = conditions
         self._rng = rng
-        self._bursts: dict[
-            tuple[int, int], tuple[int, bool]
-        ] = {}  # by link: when it was looked at, and how
-
-    def cut(self, sources: Collection[int], targets: Collection[int]) -> Cut:
-        """Cut links one way; end it with ``heal``."""
-        cut = Cut(frozenset(sources), frozenset(targets))
-        self.cuts.append(cut)
+        self._cuts: list[LinkCut] = []
+        self._link_states: dict[_Link, _LinkState] = {}
+
+    def cut_links(self, sources: Collection[int], targets: Collection[int]) -> LinkCut:
+        """Cut links in one direction; ``heal_links`` ends it."""
+        cut = LinkCut(frozenset(sources), frozenset(targets))
+        self._cuts.append(cut)
         return cut
 
-    def heal(self, cut: Cut) -> None:
+    def heal_links(self, cut: LinkCut) -> None:
         """End a cut."""
-        self.cuts.remove(cut)
-
-    def arrivals(self, now: int, source: int, target: int) -> list[int]:
-        """Return when the copies arrive: none if the datagram is lost."""
-        if any(cut.stops(source, target) for cut in self.cuts) or self._is_lost(
-            now, source, target
-        ):
-            self.lost += 1
+        self._cuts.remove(cut)
+
+    def is_cut(self, source: int, target: int) -> bool:
+        """Tell whether any cut blocks a link in this direction."""
+        return any(cut.blocks(source, target) for cut in self._cuts)
+
+    def arrival_times(self, now_us: int, source: int, target: int) -> list[int]:
+        """Return when the copies of a datagram arrive.
+
+        Args:
+            now_us: When it is sent.
+            source: The sending process.
+            target: The receiving process.
+
+        Returns:
+            Times in microseconds, one for each copy; none if the datagram is lost.
+        """
+        if self.is_cut(source, target) or self._is_lost(now_us, _Link(source, target)):
             return []
-        first = now + self._delay()
-        if self.weather.doubled and self._rng.random() < self.weather.doubled:
-            return [first, first + int(self.weather.doubled_late * self._rng.random())]
-        return [first]
-
-    def _delay(self) -> int:
-        weather = self.weather
-        return int(weather.delay - weather.jitter * math.log(1.0 - self._rng.random()))
-
-    def _is_lost(self, now: int, source: int, target: int) -> bool:
-        weather = self.weather
-        if not weather.loss:
+        first_us = now_us + self._draw_delay_us()
+        ratio = self.conditions.duplication_ratio
+        if ratio and self._rng.random() < ratio:
+            late_us = int(self.conditions.max_duplicate_delay_us * self._rng.random())
+            return [first_us, first_us + late_us]
+        return [first_us]
+
+    def _draw_delay_us(self) -> int:
+        conditions = self.conditions
+        jitter_us = conditions.jitter_us * math.log(1.0 - self._rng.random())
+        return int(conditions.delay_us - jitter_us)
+
+    def _is_lost(self, now_us: int, link: _Link) -> bool:
+        loss_ratio = self.conditions.loss_ratio
+        if not loss_ratio:
             return False
-        if not weather.burst:
-            return self._rng.random() < weather.loss
-        # Two states with exponential stays, looked at only when something is sent.
-        at, bad = self._bursts.get((source, target), (0, self._rng.random() < weather.loss))
-        forgets = math.exp(-(now - at) / (weather.burst * (1 - weather.loss)))
-        chance = weather.loss + (bad - weather.loss) * forgets
-        bad = self._rng.random() < chance
-        self._bursts[source, target] = now, bad
-        return bad
+        if not self.conditions.burst_us:
+            return self._rng.random() < loss_ratio
+        return self._is_in_burst(now_us, link)
+
+    def _is_in_burst(self, now_us: int, link: _Link) -> bool:
+        """Advance the two-state Markov chain of a link, which is evaluated only when it is used."""
+        loss_ratio = self.conditions.loss_ratio
+        # The first draw is made even if the link is known: all streams replay as they always did.
+        initial = _LinkState(0, self._rng.random() < loss_ratio)
+        state = self._link_states.get(link, initial)
+        decay_us = self.conditions.burst_us * (1 - loss_ratio)
+        memory = math.exp(-(now_us - state.at_us) / decay_us)
+        burst_probability = loss_ratio + (state.is_in_burst - loss_ratio) * memory
+        is_in_burst = self._rng.random() < burst_probability
+        self._link_states[link] = _LinkState(now_us, is_in_burst)
+        return is_in_burst
--- /dev/null
+++ b/larchhaven/model/observer.py
@@ -0,0 +1,208 @@
+"""Observes a simulated fleet: detections, agreement, false deaths, convergence, traffic."""
+
+from __future__ import annotations
+
+from collections import Counter
+from dataclasses import dataclass
+from typing import NamedTuple
+
+import numpy as np
+
+from larchhaven.membership.member import MemberState
+from larchhaven.membership.view import MemberChanged
+from larchhaven.model.experiment_pb2 import Experiment
+from larchhaven.model.membership_program import MembershipProgram
+from larchhaven.model.process import Process
+from larchhaven.model.results import Convergence, ExperimentResult, FalseDeath, MemberDeath
+from larchhaven.model.simulation import Simulation
+from larchhaven.model.units import US_PER_SECOND
+
+CONVERGENCE_CHECK_INTERVAL_US = 100_000
+CAUSE_START = "start"
+MAX_FALSE_DEATH_SAMPLES = 20
+UNKNOWN_STAMP = -1
+# The states are the low bits of stamps; arrays of stamps are masked at once.
+STATE_MASK = max(MemberState)
+SECONDS_DIGITS = 6
+# Where views converged at the very end, rates are still finite.
+MIN_MEASURED_S = 1e-6
+
+
+class _Incarnation(NamedTuple):
+    number: int
+    incarnation: int
+
+
+class _Traffic(NamedTuple):
+    """What one process has sent so far."""
+
+    datagrams: int
+    bytes_sent: int
+
+
+@dataclass(frozen=True, slots=True)
+class _TrafficBaseline:
+    """When the start was over and what each process had sent by then."""
+
+    at_s: float
+    traffic: list[_Traffic]
+
+
+class FleetObserver:
+    """Observes all processes of a simulation.
+
+    Args:
+        simulation: What is observed; its ``observe`` is set.
+        members: How many processes there will be.
+
+    """
+
+    def __init__(self, simulation: Simulation, members: int) -> None:
+        self._simulation = simulation
+        # The stamps that are known: a row for each observer, a column for each member.
+        self._stamps = np.full((members, members), UNKNOWN_STAMP, dtype=np.int64)
+        self._deaths: list[MemberDeath] = []
+        self._open_deaths: dict[int, MemberDeath] = {}
+        self._false_deaths: list[FalseDeath] = []
+        self._declared_dead: set[_Incarnation] = set()
+        self._suspected: set[_Incarnation] = set()
+        self._convergences: list[Convergence] = []
+        self._counters: Counter[str] = Counter()
+        self._baseline = _TrafficBaseline(0.0, [_Traffic(0, 0)] * members)
+        simulation.observe = self._on_output
+
+    def _now_s(self) -> float:
+        return self._simulation.events.now_us / US_PER_SECOND
+
+    def _seconds_since(self, at_s: float) -> float:
+        return round(self._now_s() - at_s, SECONDS_DIGITS)
+
+    def _running_numbers(self) -> list[int]:
+        return [process.number for process in self._simulation.processes if process.is_running]
+
+    # Deaths
+
+    def process_ended(self, number: int) -> None:
+        """Note that a process has ended."""
+        death = MemberDeath(number, self._now_s())
+        self._deaths.append(death)
+        self._open_deaths[number] = death
+        if (self._stamps[:, number] != UNKNOWN_STAMP).any():
+            self._check_agreement(number)  # it may have announced that it leaves
+
+    def process_starting(self, number: int) -> None:
+        """Note that a process starts again with an empty view."""
+        self._open_deaths.pop(number, None)
+        self._stamps[number] = UNKNOWN_STAMP
+
+    def _on_output(self, process: Process, output: object) -> None:
+        if not isinstance(output, MemberChanged):
+            return
+        member = output.member
+        incarnation = _Incarnation(member.number, member.incarnation)
+        self._stamps[process.number, member.number] = member.stamp
+        if member.state is MemberState.SUSPECT:
+            self._suspected.add(incarnation)
+        if member.state < MemberState.DEAD:
+            return
+        if member.number in self._open_deaths:
+            self._check_agreement(member.number)
+        elif member.state is MemberState.DEAD:
+            self._note_false_death(incarnation, declared_by=process.number)
+
+    def _note_false_death(self, dead: _Incarnation, declared_by: int) -> None:
+        if dead in self._declared_dead:
+            return  # later observers only believe the first one
+        self._declared_dead.add(dead)
+        if not self._is_separated(declared_by, dead.number):
+            self._false_deaths.append(FalseDeath(self._now_s(), dead.number, declared_by))
+
+    def _is_separated(self, one: int, other: int) -> bool:
+        """Tell whether nothing gets through either way: each may then declare the other dead."""
+        network = self._simulation.network
+        return network.is_cut(one, other) and network.is_cut(other, one)
+
+    def _check_agreement(self, number: int) -> None:
+        death = self._open_deaths[number]
+        states = self._stamps[self._running_numbers(), number] & STATE_MASK
+        is_absent = states >= MemberState.DEAD
+        elapsed_s = self._seconds_since(death.at_s)
+        if death.detected_s is None and is_absent.any():
+            death.detected_s = elapsed_s
+        if death.agreed_s is None and is_absent.all():
+            death.agreed_s = elapsed_s
+
+    # Convergence
+
+    def watch_convergence(self, cause: str) -> None:
+        """Measure from now on how long it takes until all views are equal."""
+        convergence = Convergence(cause, self._now_s())
+        self._convergences.append(convergence)
+
+        def check() -> None:
+            if not self._are_views_equal():
+                self._simulation.events.schedule_after(CONVERGENCE_CHECK_INTERVAL_US, check)
+                return
+            convergence.duration_s = self._seconds_since(convergence.at_s)
+            if cause == CAUSE_START:
+                self._baseline = _TrafficBaseline(self._now_s(), self._traffic())
+
+        self._simulation.events.schedule_after(0, check)
+
+    def _are_views_equal(self) -> bool:
+        running = self._running_numbers()
+        if not running:
+            return True
+        rows = self._stamps[running]
+        for row, number in zip(rows, running, strict=True):
+            if row[number] == UNKNOWN_STAMP:
+                row[number] = rows[:, number].max()  # heartbeats say nothing of oneself
+        are_known = rows[0][running] != UNKNOWN_STAMP
+        return bool(are_known.all() and (rows == rows[0]).all())
+
+    # Results
+
+    def _traffic(self) -> list[_Traffic]:
+        return [
+            _Traffic(process.datagrams_sent, process.bytes_sent)
+            for process in self._simulation.processes
+        ]
+
+    def _collect_counters(self, process: Process) -> None:
+        program = process.program
+        if isinstance(program, MembershipProgram):
+            self._counters.update(program.membership.counters)
+            for reason, count in program.authenticator.rejected.items():
+                self._counters[f"refused {reason}"] += count
+
+    def result(self, experiment: Experiment) -> ExperimentResult:
+        """Return what was measured; called once, at the end."""
+        processes = self._simulation.processes
+        for process in processes:
+            self._collect_counters(process)
+        baseline = self._baseline
+        measured_s = max(self._now_s() - baseline.at_s, MIN_MEASURED_S)
+        pairs = list(zip(self._traffic(), baseline.traffic, strict=True))
+        rates = [(now.datagrams - before.datagrams) / measured_s for now, before in pairs]
+        sent_bytes = sum(now.bytes_sent - before.bytes_sent for now, before in pairs)
+        return ExperimentResult(
+            name=experiment.name,
+            detector=Experiment.Detector.Name(experiment.detector).lower(),
+            members=len(processes),
+            seed=experiment.seed,
+            simulated_s=self._now_s(),
+            loss_percent=experiment.links.loss_percent,
+            deaths=self._deaths,
+            false_deaths=len(self._false_deaths),
+            false_death_samples=self._false_deaths[:MAX_FALSE_DEATH_SAMPLES],
+            suspicions=len(self._suspected),
+            convergences=self._convergences,
+            is_converged_at_end=self._are_views_equal(),
+            messages_per_second=round(sum(rates) / len(rates), 3),
+            max_messages_per_second=round(max(rates), 3),
+            bytes_per_second=round(sent_bytes / len(processes) / measured_s, 1),
+            socket_overflows=sum(process.socket_overflows for process in processes),
+            counters=dict(sorted(self._counters.items())),
+            events=self._simulation.events.events_run,
+            trace_digest=self._simulation.trace_digest,
+        )
--- a/larchhaven/model/plot.py
+++ b/larchhaven/model/plot.py
@@ -1,42 +1,83 @@
-"""Plots of a sweep, as one HTML file."""
+"""Draws a sweep as one HTML file."""
 
 from __future__ import annotations
 
 import html
 from collections.abc import Callable, Sequence
+from typing import NamedTuple
 
 from matplotlib.axes import Axes
 from matplotlib.figure import Figure
 
-from larchhaven.model.sweep import Cell, Interval
+from larchhaven.model.summary import Interval, SweepCell
+from larchhaven.model.sweep_table import TABLE_HEADS, UNBOUNDED, format_row
 from larchhaven.plots import page, svg
 
-UNBOUNDED = 1e300  # an interval end above it means that the end is not known
-_LINES = ("-", "--", ":", "-.")
+FIGURE_SIZE_INCHES = (11, 8)
+LINE_STYLES = ("-", "--", ":", "-.")
+NOTE = "Means over seeds with 95% intervals; rates of false deaths with exact Poisson intervals."
+
+
+class _Point(NamedTuple):
+    members: int
+    value: Interval
+
+    def error_below(self) -> float:
+        """Return the length of the bar below the mean; none is drawn if the end is unknown."""
+        value = self.value
+        return min(max(value.mean - value.low, 0), value.mean) if value.high < UNBOUNDED else 0
+
+    def error_above(self) -> float:
+        """Return the length of the bar above the mean; none is drawn if the end is unknown."""
+        return self.value.high - self.value.mean if self.value.high < UNBOUNDED else 0
+
+
+def render_report(title: str, cells: Sequence[SweepCell]) -> str:
+    """Return the report of a sweep as HTML.
+
+    Args:
+        title: Its heading.
+        cells: What is drawn.
+    """
+    body = f"<p>{html.escape(NOTE)}</p>{svg(_draw_figure(cells))}{_render_table(cells)}"
+    return page(title, body)
+
+
+def _draw_figure(cells: Sequence[SweepCell]) -> Figure:
+    figure = Figure(figsize=FIGURE_SIZE_INCHES, layout="constrained")
+    (detection, agreement), (false_deaths, messages) = figure.subplots(2, 2)
+    _draw(detection, cells, lambda c: c.detection_s, "seconds from a death to its detection")
+    _draw(agreement, cells, lambda c: c.agreement_s, "seconds until all agree")
+    _draw(
+        false_deaths,
+        cells,
+        lambda c: c.false_deaths_per_hour,
+        "false deaths an hour, whole fleet",
+    )
+    _draw(messages, cells, lambda c: c.messages_per_second, "messages a member and second")
+    messages.set_yscale("symlog")
+    if cells:
+        messages.legend(fontsize=8)  # every cell has messages; not every sweep has deaths
+    return figure
 
 
 def _draw(
-    axes: Axes, cells: Sequence[Cell], what: Callable[[Cell], Interval | None], title: str
+    axes: Axes,
+    cells: Sequence[SweepCell],
+    measure: Callable[[SweepCell], Interval | None],
+    title: str,
 ) -> None:
     detectors = sorted({cell.detector for cell in cells})
-    for loss in sorted({cell.loss_percent for cell in cells}):
-        for detector, line in zip(detectors, _LINES, strict=False):
-            found = [
-                (cell.members, value)
+    for loss_percent in sorted({cell.loss_percent for cell in cells}):
+        for detector, line_style in zip(detectors, LINE_STYLES, strict=False):
+            points = [
+                _Point(cell.members, value)
                 for cell in cells
-                if (cell.detector, cell.loss_percent) == (detector, loss)
-                and (value := what(cell)) is not None
+                if (cell.detector, cell.loss_percent) == (detector, loss_percent)
+                and (value := measure(cell)) is not None
             ]
-            if found:
-                means = [value.mean for _, value in found]
-                # Of one play the interval is unknown, and no bar is drawn.
-                low = [
-                    min(max(v.mean - v.low, 0), v.mean) if v.high < UNBOUNDED else 0
-                    for _, v in found
-                ]
-                high = [v.high - v.mean if v.high < UNBOUNDED else 0 for _, v in found]
-                sizes, label = [size for size, _ in found], f"{detector}, {loss:g}% lost"
-                axes.errorbar(sizes, means, [low, high], None, line, label=label, lw=1, capsize=3)
+            if points:
+                _draw_line(axes, points, line_style, f"{detector}, {loss_percent:g}% lost")
     axes.set_xscale("log")
     axes.set_xlabel("members")
     axes.set_title(title, fontsize=10)
@@ -44,66 +85,25 @@
     axes.grid(alpha=0.3)
 
 
-def write(title: str, cells: Sequence[Cell]) -> str:
-    """Return the report as HTML."""
-    figure = Figure(figsize=(11, 8), layout="constrained")
-    grid = figure.subplots(2, 2)
-    _draw(grid[0][0], cells, lambda c: c.detected, "seconds from a death to the first who says so")
-    _draw(grid[0][1], cells, lambda c: c.agreed, "seconds until all say so")
-    _draw(grid[1][0], cells, lambda c: c.false_an_hour, "false deaths an hour, whole tier")
-    _draw(grid[1][1], cells, lambda c: c.messages, "messages a member and second")
-    grid[1][1].set_yscale("symlog")
-    if cells:
-        grid[1][1].legend(fontsize=8)  # every cell has messages; not every sweep has deaths
-    rows = "".join(
-        f"<tr>{''.join(f'<td>{text}</td>' for text in row(cell))}</tr>" for cell in cells
-    )
-    heads = "".join(f"<th>{name}</th>" for name in HEADS)
-    note = (
-        "Means over seeds with 95% intervals; rates of false deaths with exact Poisson intervals."
-    )
-    return page(
-        title, f"<p>{html.escape(note)}</p>{svg(figure)}<table><tr>{heads}</tr>{rows}</table>"
+def _draw_line(axes: Axes, points: Sequence[_Point], line_style: str, label: str) -> None:
+    axes.errorbar(
+        [point.members for point in points],
+        [point.value.mean for point in points],
+        [[point.error_below() for point in points], [point.error_above() for point in points]],
+        None,
+        line_style,
+        label=label,
+        lw=1,
+        capsize=3,
     )
 
 
-HEADS = (
-    "detector",
-    "members",
-    "lost",
-    "plays",
-    "first says so, s",
-    "all agree, s (longest)",
-    "agreed",
-    "false deaths an hour",
-    "equal after the fault, s (longest)",
-    "messages a second",
-    "bytes a second",
-)
-
-
-def row(cell: Cell) -> list[str]:
-    """Return a line of the table."""
-    return [
-        cell.detector,
-        str(cell.members),
-        f"{cell.loss_percent:g}%",
-        str(cell.plays),
-        _text(cell.detected),
-        _text(cell.agreed) + (f" ({cell.agreed_most:.1f})" if cell.agreed_most is not None else ""),
-        f"{cell.agreed_share:.1%}" if cell.deaths else "",
-        f"{_text(cell.false_an_hour)} ({cell.false_deaths} in {cell.hours:.2f} h)",
-        _text(cell.healed)
-        + (f" ({cell.healed_most:.1f})" if cell.healed_most is not None else "")
-        + (f", {cell.not_healed} not" if cell.not_healed else ""),
-        _text(cell.messages),
-        _text(cell.bytes),
-    ]
-
-
-def _text(value: Interval | None) -> str:
-    if value is None:
-        return ""
-    if value.high > UNBOUNDED:
-        return f"{value.mean:.3g}"
-    return f"{value.mean:.3g} [{value.low:.3g}, {value.high:.3g}]"
+def _render_table(cells: Sequence[SweepCell]) -> str:
+    heads = "".join(f"<th>{name}</th>" for name in TABLE_HEADS)
+    rows = "".join(_render_row(cell) for cell in cells)
+    return f"<table><tr>{heads}</tr>{rows}</table>"
+
+
+def _render_row(cell: SweepCell) -> str:
+    columns = "".join(f"<td>{text}</td>" for text in format_row(cell))
+    return f"<tr>{columns}</tr>"
--- /dev/null
+++ b/larchhaven/model/starting_states.py
@@ -0,0 +1,146 @@
+"""Where searches start: something has just gone wrong among members that knew each other."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from larchhaven.membership.config import ProtocolConfig
+from larchhaven.membership.member import MemberInfo, MemberState, make_stamp
+from larchhaven.membership.membership import Membership
+from larchhaven.membership.messages import Message, MessageKind, StateUpdate
+from larchhaven.model.search_state import ReproducibleRandom, SearchState
+from larchhaven.model.search_steps import (
+    advance_time,
+    deliver_all_messages,
+    deliver_message,
+    run_member,
+    run_without_faults,
+)
+from larchhaven.model.units import US_PER_SECOND
+
+SETTLING_US = 8 * US_PER_SECOND
+PARTITION_US = 30 * US_PER_SECOND
+REFUTATION_US = 2 * US_PER_SECOND
+PAUSE_US = 10 * US_PER_SECOND
+ZONES = 3
+# Members start at this incarnation plus their number.
+FIRST_INCARNATION = 100
+# A clock that is behind gives a restarted process less than its earlier incarnation.
+RESTART_INCARNATION = 3
+RESTART_SEED = 77
+
+MembershipType = type[Membership]
+StartingState = Callable[[int, MembershipType], SearchState]
+
+
+def settled(size: int, membership_type: MembershipType) -> SearchState:
+    """Return members that know each other.
+
+    Args:
+        size: How many members there are.
+        membership_type: The protocol that they run.
+    """
+    state = SearchState(0, [], [True] * size)
+    for number in range(size):
+        info = MemberInfo(f"n{number}", number % ZONES)
+        rng = ReproducibleRandom(number + 1)
+        incarnation = FIRST_INCARNATION + number
+        member = membership_type(0, number, size, info, incarnation, rng, ProtocolConfig())
+        state.members.append(member)
+    run_without_faults(state, SETTLING_US)
+    return state
+
+
+def suspected(size: int, membership_type: MembershipType) -> SearchState:
+    """0 suspects 1, which is well."""
+    state = settled(size, membership_type)
+    stamp = make_stamp(state.members[1].incarnation, MemberState.SUSPECT)
+    _receive_gossip(state, 0, StateUpdate(1, stamp, 0), sender=size - 1)
+    return state
+
+
+def leaving(size: int, membership_type: MembershipType) -> SearchState:
+    """1 is suspected by 0 and leaves at that moment, as planned."""
+    state = suspected(size, membership_type)
+    _leave(state, 1)
+    return state
+
+
+def killed(size: int, membership_type: MembershipType) -> SearchState:
+    """1 has ended without a message."""
+    state = settled(size, membership_type)
+    state.running[1] = False
+    return state
+
+
+def restarted(size: int, membership_type: MembershipType) -> SearchState:
+    """1 has restarted with a clock that is behind, while 0 suspects its earlier process."""
+    state = suspected(size, membership_type)
+    state.earlier_incarnations[1] = state.members[1].incarnation
+    info = MemberInfo("n1", 1, started_unix_s=1)
+    rng = ReproducibleRandom(RESTART_SEED)
+    state.members[1] = membership_type(
+        state.now_us, 1, size, info, RESTART_INCARNATION, rng, ProtocolConfig()
+    )
+    return state
+
+
+def partitioned(size: int, membership_type: MembershipType) -> SearchState:
+    """0 was partitioned from all others while the last one left; the partition has just healed."""
+    state = settled(size, membership_type)
+    _leave(state, size - 1)
+    end_us = state.now_us + PARTITION_US
+    while state.now_us < end_us:
+        _drop_messages_of(state, 0)
+        while state.in_flight:
+            deliver_message(state, 0)
+            _drop_messages_of(state, 0)
+        advance_time(state)
+    return state
+
+
+def paused(size: int, membership_type: MembershipType) -> SearchState:
+    """0 suspected 1 and was paused at once; 1 has refuted it, which 0 has not received."""
+    state = suspected(size, membership_type)
+    state.running[0] = False
+    deliver_all_messages(state)
+    end_us = state.now_us + REFUTATION_US
+    while state.now_us < end_us:
+        advance_time(state)
+        deliver_all_messages(state)
+    state.now_us += PAUSE_US
+    for number in range(1, size):
+        # Only the clocks of the others advance during the pause; they were not paused themselves.
+        state.members[number].due_us = state.now_us
+    state.running[0] = True
+    return state
+
+
+# By the names that ``model search --scene`` takes.
+STARTING_STATES: dict[str, StartingState] = {
+    "accused": suspected,
+    "leaving": leaving,
+    "killed": killed,
+    "restarted": restarted,
+    "cut off": partitioned,
+    "asleep": paused,
+}
+
+
+def _receive_gossip(state: SearchState, number: int, update: StateUpdate, sender: int) -> None:
+    """Let a member receive an update from another one that has just learned it."""
+    stamp = state.members[sender].stamp
+    message = Message(MessageKind.GOSSIP, sender, number, stamp, state_updates=(update,))
+    run_member(state, number, lambda member: member.receive(state.now_us, message))
+
+
+def _leave(state: SearchState, number: int) -> None:
+    state.left_numbers.add(number)
+    run_member(state, number, lambda member: member.leave(state.now_us))
+    state.running[number] = False
+
+
+def _drop_messages_of(state: SearchState, number: int) -> None:
+    state.in_flight = [
+        message for message in state.in_flight if number not in (message.sender, message.receiver)
+    ]
--- /dev/null
+++ b/larchhaven/model/units.py
@@ -0,0 +1,16 @@
+"""Units of time of the simulation; instants and durations are whole microseconds."""
+
+from __future__ import annotations
+
+US_PER_SECOND = 1_000_000
+US_PER_MS = 1_000
+SECONDS_PER_HOUR = 3600.0
+
+
+def to_us(seconds: float) -> int:
+    """Return a duration in whole microseconds.
+
+    Args:
+        seconds: The duration in seconds.
+    """
+    return int(seconds * US_PER_SECOND)
--- /dev/null
+++ b/tests/model/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the simulated fleet."""
--- a/tests/planted_faults.py
+++ b/tests/model/planted_faults.py
@@ -169,7 +169,7 @@
     update_queue_type = QueueOfOwnSuspicions
 
 
-# By the scene that has to show the fault; a number tells two of one scene apart.
+# By the starting state from which the search finds the fault; a number tells two of one apart.
 PLANTED: dict[str, type[Membership]] = {
     "accused": DoesNotRefute,
     "accused 2": LastUpdateWins,
--- /dev/null
+++ b/tests/model/test_failure_scenarios.py
@@ -0,0 +1,136 @@
+"""Failures that are hard to tell apart: deaths, partitions, slowness, pauses, losses, restarts."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+import pytest
+
+from larchhaven.model.results import ExperimentResult
+from tests.model.harness import run
+
+# Each scenario has a fleet of its own; the predicate says what must hold of the result.
+FLEET = "seed: 3 members: 12 zones: 3 "
+
+
+def agrees_within(seconds: float) -> Callable[[ExperimentResult], bool]:
+    return lambda r: (
+        bool(r.deaths) and all(d.agreed_s is not None and d.agreed_s <= seconds for d in r.deaths)
+    )
+
+
+def converges_within(seconds: float) -> Callable[[ExperimentResult], bool]:
+    return lambda r: (
+        all(c.duration_s is not None and c.duration_s <= seconds for c in r.convergences)
+        and r.is_converged_at_end
+    )
+
+
+SCENARIOS: dict[str, tuple[str, Callable[[ExperimentResult], bool]]] = {
+    "one death": (
+        'seconds: 20 faults { at_seconds: 8 who { numbers: "4" } kill: true }',
+        agrees_within(6),
+    ),
+    "half of the fleet at once": (
+        'seconds: 40 faults { at_seconds: 8 who { numbers: "0-5" } kill: true }',
+        agrees_within(14),
+    ),
+    "a cut between zones heals": (
+        "seconds: 70 faults { at_seconds: 8 for_seconds: 30 who { zone: 1 } cut {} }",
+        converges_within(10),
+    ),
+    "one-way cut of one from all": (
+        (
+            'seconds: 60 faults { at_seconds: 8 for_seconds: 20 who { numbers: "2" }'
+            " cut { one_way: true } }"
+        ),
+        converges_within(10),
+    ),
+    "one-way cut of one from another": (
+        (
+            'seconds: 60 faults { at_seconds: 8 who { numbers: "2" }'
+            ' cut { to { numbers: "3" } one_way: true } }'
+        ),
+        lambda r: r.false_deaths == 0 and converges_within(4)(r),
+    ),
+    "a cut of two that a third reaches both of": (
+        'seconds: 60 faults { at_seconds: 8 who { numbers: "2" } cut { to { numbers: "3" } } }',
+        lambda r: r.false_deaths == 0 and converges_within(4)(r),
+    ),
+    "a slow process that suspects all others": (
+        'seconds: 90 faults { at_seconds: 8 for_seconds: 40 who { numbers: "2" } slow_ms: 700 }',
+        lambda r: (
+            all(death.number == 2 for death in r.false_death_samples) and converges_within(10)(r)
+        ),
+    ),
+    "a pause of two seconds": (
+        (
+            'seconds: 40 faults { at_seconds: 8 for_seconds: 2 who { numbers: "2" } pause: true'
+            " every_seconds: 6 }"
+        ),
+        lambda r: r.false_deaths == 0 and r.counters["gaps"] >= 5,
+    ),
+    "a pause of twenty seconds": (
+        'seconds: 60 faults { at_seconds: 8 for_seconds: 20 who { numbers: "2" } pause: true }',
+        # It is declared dead once, and no other process is.
+        lambda r: (
+            [death.number for death in r.false_death_samples] == [2] and converges_within(8)(r)
+        ),
+    ),
+    "flapping each second": (
+        (
+            'seconds: 60 faults { at_seconds: 8 for_seconds: 0.5 who { numbers: "2" } kill: true'
+            " every_seconds: 1 }"
+        ),
+        lambda r: (
+            r.max_messages_per_second < 25
+            and not [d for d in r.false_death_samples if d.number != 2]
+        ),
+    ),
+    "a restart with a clock that is behind": (
+        (
+            'seconds: 50 faults { at_seconds: 20 for_seconds: 0.6 who { numbers: "2" } kill: true'
+            " clock_seconds: -5000 }"
+        ),
+        converges_within(6),
+    ),
+    "a planned stop": (
+        'seconds: 20 faults { at_seconds: 8 who { numbers: "2" } leave: true }',
+        lambda r: agrees_within(1)(r) and r.suspicions == 0,
+    ),
+    "a lost announcement of leaving": (
+        (
+            'seconds: 40 faults { at_seconds: 7.9 for_seconds: 5 who { numbers: "2" } cut {} }'
+            ' faults { at_seconds: 8 who { numbers: "2" } leave: true }'
+        ),
+        agrees_within(12),
+    ),
+    "30% loss in bursts": (
+        (
+            "seconds: 60 links { loss_percent: 30 burst_ms: 200 }"
+            ' faults { at_seconds: 20 who { numbers: "2" } kill: true }'
+        ),
+        agrees_within(15),
+    ),
+    "every message twice and late": (
+        (
+            "seconds: 40 links { doubled_percent: 100 doubled_late_ms: 3000 }"
+            ' faults { at_seconds: 8 who { numbers: "2" } kill: true }'
+        ),
+        lambda r: agrees_within(6)(r) and r.false_deaths == 0,
+    ),
+    "clocks a day apart": (
+        (
+            "seconds: 30 clocks_apart_seconds: 86400"
+            ' faults { at_seconds: 8 for_seconds: 5 who { numbers: "2" } kill: true }'
+        ),
+        converges_within(6),
+    ),
+}
+
+
+@pytest.mark.parametrize("name", SCENARIOS)
+def test_scenario(name: str) -> None:
+    text, holds = SCENARIOS[name]
+    result = run(FLEET + text)
+    assert holds(result), result
--- /dev/null
+++ b/tests/model/test_search.py
@@ -0,0 +1,24 @@
+"""The search finds no violation in the protocol, and finds each planted fault."""
+
+from __future__ import annotations
+
+import pytest
+
+from larchhaven.model.search import search_from
+from larchhaven.model.starting_states import STARTING_STATES
+from tests.model.planted_faults import PLANTED
+
+
+@pytest.mark.parametrize("name", STARTING_STATES)
+def test_search_finds_no_violation(name: str) -> None:
+    report = search_from(name, max_depth=5, max_states=600)
+    assert not report.violation, (report.violation, report.counterexample)
+    assert report.states >= 40
+    assert report.healed_states >= 1
+
+
+@pytest.mark.parametrize("name", PLANTED)
+def test_search_catches_a_planted_fault(name: str) -> None:
+    state = name.removesuffix(" 2")
+    report = search_from(state, max_depth=5, max_states=600, membership_type=PLANTED[name])
+    assert report.violation
