--- a/larchhaven/cli/model.py
+++ b/larchhaven/cli/model.py
@@ -81,21 +81,13 @@
     except ModuleNotFoundError as error:
         return _report_missing_extra(error)
     base = _read_experiment(path)
-    if base is None:
-        return EXIT_UNUSABLE
-    try:
-        axes = _parse_axes(members, loss, detectors, seeds)
-    except ValueError as error:
-        print(f"larchhaven model sweep: {error}", file=sys.stderr)
+    axes = _parse_axes(members, loss, detectors, seeds) if base is not None else None
+    if base is None or axes is None:
         return EXIT_UNUSABLE
     results = _run_experiments(sweep.expand_axes(base, axes), jobs)
     cells = sweep.save_results(out, results)
-    if as_json:
-        print(msgspec.json.encode(cells).decode())
-    else:
-        _print_table(cells)
-    is_agreed = all(cell.agreed_fraction == 1.0 for cell in cells)
-    return EXIT_OK if is_agreed else EXIT_DOES_NOT_HOLD
+    _print_cells(cells, as_json)
+    return EXIT_OK if all(cell.agreed_fraction == 1.0 for cell in cells) else EXIT_DOES_NOT_HOLD
 
 
 def _run_experiments(experiments: Sequence[Experiment], jobs: int) -> list[ExperimentResult]:
@@ -193,16 +185,21 @@
     return None if parsed.complaints else parsed.experiment
 
 
-def _parse_axes(members: str, loss: str, detectors: Sequence[str], seeds: int) -> SweepAxes:
+def _parse_axes(members: str, loss: str, detectors: Sequence[str], seeds: int) -> SweepAxes | None:
+    """Read what a sweep varies; print what is wrong with it and return None if it is unusable."""
     from larchhaven.model.experiment_pb2 import Experiment
     from larchhaven.model.sweep import SweepAxes
 
-    return SweepAxes(
-        members=[int(size) for size in _parse_numbers(members)],
-        loss_percents=_parse_numbers(loss),
-        detectors=[Experiment.Detector.Value(name.upper()) for name in detectors],
-        seeds=seeds,
-    )
+    try:
+        return SweepAxes(
+            members=[int(size) for size in _parse_numbers(members)],
+            loss_percents=_parse_numbers(loss),
+            detectors=[Experiment.Detector.Value(name.upper()) for name in detectors],
+            seeds=seeds,
+        )
+    except ValueError as error:
+        print(f"larchhaven model sweep: {error}", file=sys.stderr)
+        return None
 
 
 def _parse_numbers(text: str) -> list[float]:
@@ -234,7 +231,10 @@
     return "never" if seconds is None else f"{seconds:.2f} s"
 
 
-def _print_table(cells: Sequence[SweepCell]) -> None:
+def _print_cells(cells: Sequence[SweepCell], as_json: bool) -> None:
+    if as_json:
+        print(msgspec.json.encode(cells).decode())
+        return
     from larchhaven.model.sweep_table import TABLE_HEADS, format_row
 
     rows = [list(TABLE_HEADS), *(format_row(cell) for cell in cells)]
--- a/larchhaven/model/invariants.py
+++ b/larchhaven/model/invariants.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from typing import NoReturn
 
 from larchhaven.membership.counters import ProtocolCounter
 from larchhaven.membership.member import MemberState
@@ -72,8 +73,11 @@
     """
     for number, stamp in before.stamps.items():
         known = member.view.get(number)
-        if known is None or known.stamp < stamp:
-            _fail(member.own_number, f"lowered the stamp of {number}: from {stamp} to {known}")
+        if known is None:
+            _fail(member.own_number, f"forgot {number}")
+        if known.stamp < stamp:
+            text = f"lowered the stamp of {number}: from {stamp} to {known.stamp}"
+            _fail(member.own_number, text)
     if member.stamp < before.own_stamp:
         _fail(member.own_number, "lowered its own stamp")
     for known in member.view.members.values():
@@ -109,9 +113,10 @@
     else:
         allowed = _STATES_AFTER_DEATH
     if known_state not in allowed:
-        text = f"knows {number} as {known_state} in the end, not {allowed[0].name}"
+        known_name = "unknown" if known_state is None else known_state.name
+        text = f"knows {number} as {known_name} in the end, not as {allowed[0].name}"
         _fail(member.own_number, text)
 
 
-def _fail(member: int, violation: str) -> None:
+def _fail(member: int, violation: str) -> NoReturn:
     raise InvariantViolationError(member, f"{member} {violation}")
