--- a/larchhaven/model/network.py
+++ b/larchhaven/model/network.py
@@ -129,7 +129,7 @@
     def _is_in_burst(self, now_us: int, link: _Link) -> bool:
         """Advance the two-state Markov chain of a link, which is evaluated only when it is used."""
         loss_ratio = self.conditions.loss_ratio
-        # The first draw is made even if the link is known: all streams replay as they always did.
+        # Drawn even if the link is known: seeds keep the runs that pages and tests refer to.
         initial = _LinkState(0, self._rng.random() < loss_ratio)
         state = self._link_states.get(link, initial)
         decay_us = self.conditions.burst_us * (1 - loss_ratio)
