--- a/benchmarks/memory_costs.py
+++ b/benchmarks/memory_costs.py
@@ -1,9 +1,10 @@
-"""How far the item costs are off on this machine: a real proxy's growth against what it accounts for.
+"""How far the item costs are off: the growth of a real proxy against what its account explains.
 
     python -m benchmarks.memory_costs [--json]
 
-For each number of connections a proxy is started on the test bed and all connect at once; the figure is the
-part of the growth over the start size that no purpose explains. The target is under a tenth.
+For each number of connections a proxy is started on the test bed and all connect at once; the
+figure is the part of the growth over the start size that no purpose explains. The target is under a
+tenth.
 """
 
 from __future__ import annotations
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -1,10 +1,11 @@
-"""What the memory account costs: line round trips and set-ups with and without it, in turn, in one run.
+"""What the memory account costs: line round trips and set-ups with and without it, in one run.
 
     python -m benchmarks.relay [--rounds 15] [--json]
 
-Both ways run the real parts in this process, on loopback sockets: listener, dispatcher, decisions, attempt and
-relay. Without the account means one whose methods do nothing. Each round times both ways, the order drawn
-anew; the ratio is of the medians of CPU time, which other load on the machine moves less than wall time.
+Both ways run the real parts in this process, on loopback sockets: listener, dispatcher, decisions,
+attempt and relay. Without the account means one whose methods do nothing. Each round times both
+ways, the order drawn anew; the ratio is of the medians of processor time, which other load on the
+machine moves less than wall time.
 """
 
 from __future__ import annotations
@@ -201,7 +202,8 @@
         return
     for what, row in found.items():
         print(
-            f"{what}: {row['with_us']} us with, {row['without_us']} us without: {row['ratio']} times"
+            f"{what}: {row['with_us']} us with, {row['without_us']} us without:"
+            f" {row['ratio']} times"
         )
 
 
--- a/tests/testbed/test_proxy_fleet.py
+++ b/tests/testbed/test_proxy_fleet.py
@@ -55,7 +55,7 @@
 
 
 async def no_harm_by_links(fleet: ProxyFleet) -> None:
-    """Cuts of pairs that others hear both of, a bad network, a moment's pause: nobody dies."""
+    """Cut pairs that others still reach, a lossy network, a short pause: nobody is declared dead."""
     await agreed(fleet, {})
     fleet.network.cut_links([2], [3], one_way=True)
     fleet.network.cut_links([4], [5])
@@ -117,7 +117,7 @@
 
 
 async def deaths(fleet: ProxyFleet) -> None:
-    """Killed and back without its files; paused for long; told to stop; half of the fleet at once."""
+    """A restart without files; a long pause; a graceful shutdown; half of the fleet killed at once."""
     fleet.kill(3)
     fleet.pause(5)
     await agreed(fleet, {3: "dead", 5: "dead"})
--- a/tests/testbed/test_scenarios.py
+++ b/tests/testbed/test_scenarios.py
@@ -46,7 +46,7 @@
     assert outcome.classes["chat"].answers["UP"] > 30
     assert outcome.classes["exam"].answers["UP"] > 5
     unanswered = outcome.event_counts["ask"] - outcome.event_counts["answer"]
-    assert 0 <= unanswered <= 5  # those under way as the day ended
+    assert 0 <= unanswered <= 5  # those in flight as the scenario ended
     again = InvariantChecker()
     for line in written.getvalue().splitlines():
         again.handle(msgspec.json.decode(line, type=EventRecord))
@@ -69,7 +69,7 @@
 
 
 def test_member_within_its_quota_does_not_pay_for_the_others_surplus() -> None:
-    """Plays the small day with members on the real program: the south asks for several times its quota."""
+    """The south asks for several times its quota, in the scenario with members on real proxies."""
     scenario, _ = load_scenario((BUILT_IN_SCENARIOS / "charts.textproto").read_text())
     scenario.seconds = 9.0
     del scenario.events[:]
