--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -12,7 +12,7 @@
     pytest_configure,
     pytest_terminal_summary,
 )
-from tests.rig import Proxy
+from tests.proxy_harness import Proxy
 
 
 @pytest.fixture
--- a/tests/rig.py
+++ b/tests/proxy_harness.py
@@ -1,4 +1,4 @@
-"""Starts the real program as a process; the tests play its clients, its instances and discovery."""
+"""Starts the real program as a process; the tests play its clients, its servers and discovery."""
 
 from __future__ import annotations
 
--- a/tests/test_admin_http_api.py
+++ b/tests/test_admin_http_api.py
@@ -13,7 +13,7 @@
 import pytest
 
 from larchhaven.net.admin.http_api import MAX_CALL_BYTES, MAX_CALLERS
-from tests.rig import PATIENCE, Proxy, Wire, answer_watch, host, opening
+from tests.proxy_harness import PATIENCE, Proxy, Wire, answer_watch, host, opening
 
 PLAIN = "c=chat,d=2000,g=ab"
 
--- a/tests/test_caps.py
+++ b/tests/test_caps.py
@@ -23,7 +23,7 @@
 from larchhaven.testbed.outcome import ScenarioOutcome
 from larchhaven.testbed.scenario_file import load_scenario
 from larchhaven.testbed.scenario_player import play_scenario
-from tests.rig import Proxy, opening
+from tests.proxy_harness import Proxy, opening
 
 USUAL = """
 seed: 5 classes { name: "chat" worth: 1 } classes { name: "exam" worth: 5 }
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tests.rig import ROOT, Proxy
+from tests.proxy_harness import ROOT, Proxy
 
 EXAMPLE = "example/config.json"
 OPERATOR = "deploy/operator.textproto"
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from tests.rig import PATIENCE, ROOT, Proxy, Wire, opening
+from tests.proxy_harness import PATIENCE, ROOT, Proxy, Wire, opening
 
 PLAIN = "c=chat,d=2000,g=ab"
 LONG = "c=chat,d=60000,g=ab"  # far beyond the moment at which the platform may kill
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -26,7 +26,7 @@
     RestartHello,
     SharedState,
 )
-from tests.rig import PATIENCE, Proxy, opening
+from tests.proxy_harness import PATIENCE, Proxy, opening
 
 PLAIN = "c=chat,d=2000,g=ab"
 KEY = derive_key("a key for this test")
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -27,7 +27,7 @@
     GossipReceived,
     ProxyDraining,
 )
-from tests.rig import (
+from tests.proxy_harness import (
     PATIENCE,
     ROOT,
     SETTINGS,
--- a/tests/testbed/test_scenarios.py
+++ b/tests/testbed/test_scenarios.py
@@ -14,7 +14,7 @@
 from larchhaven.testbed.invariant_checker import InvariantChecker
 from larchhaven.testbed.scenario_file import load_scenario
 from larchhaven.testbed.scenario_player import play_scenario
-from tests.rig import ROOT
+from tests.proxy_harness import ROOT
 
 SCENARIO = """
 name: "day" seed: 3 seconds: 6.5
