--- a/tests/model/planted_faults.py
+++ b/tests/model/planted_faults.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import replace
+from typing import NamedTuple
 
 from larchhaven.membership.counters import ProtocolCounter
 from larchhaven.membership.local_member import LocalMember
@@ -24,22 +25,22 @@
     """Stays at the incarnation that is suspected."""
 
     def apply_state(self, update: StateUpdate) -> None:
-        """Ignore what is said once joined."""
+        """Ignore updates about the local member once it has joined."""
         if not self.has_joined:
             super().apply_state(update)
 
 
 class DoesNotRefute(Membership):
-    """Says alive, but at the incarnation that is suspected."""
+    """Stays alive at the incarnation that is suspected."""
 
     local_member_type = LocalMemberWithoutRefutation
 
 
 class MergerOfLastUpdates(UpdateMerger):
-    """Takes whatever comes last."""
+    """Applies whatever update arrives last."""
 
     def apply_state(self, update: StateUpdate) -> None:
-        """Take smaller stamps too."""
+        """Apply smaller stamps too."""
         number = update.number
         known = self._table.get(number)
         is_own = number == self._table.own_number
@@ -50,7 +51,7 @@
 
 
 class LastUpdateWins(Membership):
-    """Takes whatever comes last."""
+    """Applies whatever update arrives last."""
 
     update_merger_type = MergerOfLastUpdates
 
@@ -79,7 +80,7 @@
     update_merger_type = MergerThatSuspectsWhoLeft
 
 
-class MergerThatMakesUpIncarnations(UpdateMerger):
+class MergerThatInventsIncarnations(UpdateMerger):
     """Raises another's incarnation so that its verdict stands."""
 
     def declare_dead(self, number: int) -> None:
@@ -92,10 +93,10 @@
         super().declare_dead(number)
 
 
-class MakesUpIncarnations(Membership):
+class InventsIncarnations(Membership):
     """Raises another's incarnation so that its verdict stands."""
 
-    update_merger_type = MergerThatMakesUpIncarnations
+    update_merger_type = MergerThatInventsIncarnations
 
 
 class ForgetfulLocalMember(LocalMember):
@@ -144,7 +145,7 @@
 
 
 class TrustsItselfAfterAPause(Membership):
-    """Does not look at its own clock."""
+    """Keeps its observations when its process was paused."""
 
     def _discard_observations(self) -> None:
         self.counters[ProtocolCounter.PROCESS_PAUSES] += 0
@@ -169,14 +170,20 @@
     update_queue_type = QueueOfOwnSuspicions
 
 
-# By the starting state from which the search finds the fault; a number tells two of one apart.
-PLANTED: dict[str, type[Membership]] = {
-    "accused": DoesNotRefute,
-    "accused 2": LastUpdateWins,
-    "leaving": SuspectsWhoLeft,
-    "killed": MakesUpIncarnations,
-    "restarted": ForgetsItsEarlierProcess,
-    "cut off": KeepsTheDeadToItself,
-    "asleep": TrustsItselfAfterAPause,
-    "killed 2": ClaimsSuspicionsAsItsOwn,
-}
+class PlantedFault(NamedTuple):
+    """A variant and the starting state from which the search has to find its fault."""
+
+    starting_state: str
+    membership_type: type[Membership]
+
+
+PLANTED_FAULTS = (
+    PlantedFault("accused", DoesNotRefute),
+    PlantedFault("accused", LastUpdateWins),
+    PlantedFault("leaving", SuspectsWhoLeft),
+    PlantedFault("killed", InventsIncarnations),
+    PlantedFault("restarted", ForgetsItsEarlierProcess),
+    PlantedFault("cut off", KeepsTheDeadToItself),
+    PlantedFault("asleep", TrustsItselfAfterAPause),
+    PlantedFault("killed", ClaimsSuspicionsAsItsOwn),
+)
--- a/tests/model/test_event_queue.py
+++ b/tests/model/test_event_queue.py
@@ -2,14 +2,20 @@
 
 from __future__ import annotations
 
+from functools import partial
+
 from larchhaven.model.event_queue import EventQueue
 
 
 def test_events_run_by_time_and_then_in_the_order_of_scheduling() -> None:
     queue = EventQueue()
     ran: list[tuple[int, str]] = []
+
+    def record(name: str) -> None:
+        ran.append((queue.now_us, name))
+
     for at_us, name in ((20, "third"), (10, "first"), (10, "second"), (31, "too late")):
-        queue.schedule(at_us, lambda name=name: ran.append((queue.now_us, name)))  # type: ignore[misc]
+        queue.schedule(at_us, partial(record, name))
     queue.run_until(30)
     assert ran == [(10, "first"), (10, "second"), (20, "third")]
     assert (queue.now_us, queue.events_run) == (30, 3)
--- a/tests/model/test_search.py
+++ b/tests/model/test_search.py
@@ -6,7 +6,7 @@
 
 from larchhaven.model.search import search_from
 from larchhaven.model.starting_states import STARTING_STATES
-from tests.model.planted_faults import PLANTED
+from tests.model.planted_faults import PLANTED_FAULTS, PlantedFault
 
 
 @pytest.mark.parametrize("name", STARTING_STATES)
@@ -17,8 +17,12 @@
     assert report.healed_states >= 1
 
 
-@pytest.mark.parametrize("name", PLANTED)
-def test_search_catches_a_planted_fault(name: str) -> None:
-    state = name.removesuffix(" 2")
-    report = search_from(state, max_depth=5, max_states=600, membership_type=PLANTED[name])
+@pytest.mark.parametrize("fault", PLANTED_FAULTS, ids=lambda f: f.membership_type.__name__)
+def test_search_catches_a_planted_fault(fault: PlantedFault) -> None:
+    report = search_from(
+        fault.starting_state,
+        max_depth=5,
+        max_states=600,
+        membership_type=fault.membership_type,
+    )
     assert report.violation
