--- a/tests/test_admin_http_api.py
+++ b/tests/test_admin_http_api.py
@@ -57,7 +57,7 @@
 
 
 @pytest.mark.parametrize("proxy", [{"servers": 0}], indirect=True)
-def test_proxy_that_knows_no_instance_is_not_ready(proxy: Proxy) -> None:
+def test_proxy_without_servers_is_not_ready(proxy: Proxy) -> None:
     assert proxy.call("GET", "/v1/readyz")[0] == 503
 
 
@@ -72,7 +72,7 @@
         [b"POST /v1/proxy/drain HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n", b"x" * 1_000_000],
     ],
 )
-def test_bad_or_huge_call_is_turned_away_and_changes_nothing(
+def test_malformed_or_oversized_call_is_rejected_and_changes_nothing(
     proxy: Proxy, parts: list[bytes]
 ) -> None:
     assert call_raw(proxy, *parts)[:10] in (b"", b"HTTP/1.1 4")
@@ -90,10 +90,10 @@
 
 
 @pytest.mark.parametrize("proxy", [{"sockets": 128}], indirect=True)
-def test_callers_that_never_finish_and_silent_clients_keep_no_operator_waiting(
+def test_incomplete_calls_and_idle_clients_keep_no_operator_waiting(
     proxy: Proxy,
 ) -> None:
-    """Guards the answers at full load: descriptors and buffers of calls are not for clients to use up."""
+    """Guards calls at full load: their descriptors and buffers are not for clients to use up."""
     held = [proxy.client() for _ in range(200)]
     callers = [socket.create_connection(proxy.management) for _ in range(2 * MAX_CALLERS)]
     for caller in callers:
@@ -112,13 +112,13 @@
     indirect=["proxy"],
     ids=["passes", "ends"],
 )
-def test_drained_proxy_turns_the_front_away_and_serves_stragglers(
+def test_draining_proxy_answers_no_to_ping_and_serves_late_clients(
     proxy: Proxy, moved: bool
 ) -> None:
-    """Guards a drain: PING must say so at once, and what stands goes only where connections end here."""
+    """Guards a drain: PING says so at once, and connections migrate only where they end here."""
     front = proxy.client("PING")
     assert front.line() == "PONG"
-    client, instance = proxy.opened()
+    client, server = proxy.opened()
     for _ in range(2):  # a repeat is harmless
         assert proxy.call("POST", "/v1/proxy/drain")[0] == 200
     front.send("PING")
@@ -131,10 +131,10 @@
     assert proxy.client("PING").line() == "PONG"
     if not moved:
         client.send("still here")
-        assert instance.line() == "still here"
+        assert server.line() == "still here"
 
 
-def test_activation_calls_back_the_moves_that_are_still_to_come(tmp_path: Path) -> None:
+def test_activation_cancels_the_migrations_still_to_come(tmp_path: Path) -> None:
     proxy = Proxy(tmp_path, family_info={"mode": "proxy"})
     pairs = [proxy.opened() for _ in range(6)]
     proxy.call("POST", "/v1/proxy/drain")
@@ -153,29 +153,29 @@
     proxy.close()
 
 
-def figures(proxy: Proxy) -> dict[str, Any]:
-    status, told = proxy.call("GET", "/v1/metrics")
+def read_metrics(proxy: Proxy) -> dict[str, Any]:
+    status, metrics = proxy.call("GET", "/v1/metrics")
     assert status == 200
-    return dict(told)
+    return dict(metrics)
 
 
 def wait_for(proxy: Proxy, name: str, value: object) -> dict[str, Any]:
-    """Read the figures until one of them is as it should be."""
+    """Read the metrics until one of them has its value."""
     until = time.monotonic() + PATIENCE
-    while (told := figures(proxy))[name] != value:
-        assert time.monotonic() < until, f"{name} stays at {told[name]}, not {value}"
-    return told
+    while (metrics := read_metrics(proxy))[name] != value:
+        assert time.monotonic() < until, f"{name} stays at {metrics[name]}, not {value}"
+    return metrics
 
 
-def test_figures_are_what_clients_and_instances_saw(proxy: Proxy) -> None:
-    """Guards figures that count twice, or not at all: each end of a command that the test brings about."""
+def test_metrics_are_what_clients_and_servers_saw(proxy: Proxy) -> None:
+    """Guards metrics that count twice, or not at all: each outcome of a request."""
     nothing = {"completed": 0, "rejected": 0, "failed": 0}
-    told = figures(proxy)
-    assert told["downstream_requests"] == {"chat": nothing, "exam": nothing}
-    assert (told["upstream_requests"], told["pending"], told["members"]) == (0, 0, 2)
+    metrics = read_metrics(proxy)
+    assert metrics["downstream_requests"] == {"chat": nothing, "exam": nothing}
+    assert (metrics["upstream_requests"], metrics["pending"], metrics["members"]) == (0, 0, 2)
     saw = {"chat": dict(nothing), "exam": dict(nothing)}
     attempts = 0
-    standing = [proxy.opened() for _ in range(3)]
+    established = [proxy.opened() for _ in range(3)]
     saw["chat"]["completed"], attempts = 3, 3
     leaver = proxy.client(opening("c=exam,d=60000,g=ab"))
     held = proxy.accept()
@@ -183,21 +183,21 @@
     for number in range(2):  # the second hears at once that all are full
         client = proxy.client(opening(f"c=exam,d={60_000 + number},g=ab"))
         for _ in proxy.instances if number == 0 else ():
-            instance = proxy.accept()
-            attempts += bool(instance.line())
-            instance.send("BUSY")
+            server = proxy.accept()
+            attempts += bool(server.line())
+            server.send("BUSY")
         assert client.line().startswith("BUSY")
         saw["exam"]["rejected"] += 1
     assert wait_for(proxy, "pending", 4)["upstream_requests"] == attempts
     leaver.close()
-    for client, _ in standing[:2]:
+    for client, _ in established[:2]:
         client.close()
-    told = wait_for(proxy, "pending", 1)
-    assert told["downstream_requests"] == saw
-    assert told["upstream_requests"] == attempts
+    metrics = wait_for(proxy, "pending", 1)
+    assert metrics["downstream_requests"] == saw
+    assert metrics["upstream_requests"] == attempts
 
 
-def test_class_of_a_command_with_a_used_id_and_reloads_are_counted(proxy: Proxy) -> None:
+def test_duplicate_identity_and_reloads_are_counted(proxy: Proxy) -> None:
     first = opening(PLAIN)
     client = proxy.client(first)
     assert proxy.accept().line()
@@ -205,17 +205,17 @@
     proxy.reload("{}")
     wait_for(proxy, "config_reload_errors", 1)
     proxy.reload(json.dumps(proxy.configuration))
-    told = wait_for(proxy, "config_reloads", 1)
-    assert told["downstream_requests"]["chat"]["failed"] == 1
+    metrics = wait_for(proxy, "config_reloads", 1)
+    assert metrics["downstream_requests"]["chat"]["failed"] == 1
     client.close()
 
 
 @pytest.mark.parametrize("proxy", [{"discovery": "subscribe"}], indirect=True)
-def test_members_are_those_on_the_list_and_the_avoided_among_them(proxy: Proxy) -> None:
-    assert [figures(proxy)[name] for name in ("members", "members_unavailable")] == [2, 0]
+def test_members_are_the_listed_servers_and_the_unavailable_among_them(proxy: Proxy) -> None:
+    assert [read_metrics(proxy)[name] for name in ("members", "members_unavailable")] == [2, 0]
     discovery = Wire(proxy.discovery.accept()[0])
-    told = {"seq": 8, "hosts": [host("s0", proxy.instances[0], "draining")]}
-    answer_watch(discovery, json.dumps(told))
+    changes = {"seq": 8, "hosts": [host("s0", proxy.instances[0], "draining")]}
+    answer_watch(discovery, json.dumps(changes))
     assert wait_for(proxy, "members_unavailable", 1)["members"] == 2
     answer_watch(
         discovery, json.dumps({"seq": 9, "hosts": [host("s0", proxy.instances[0], "gone")]})
@@ -224,20 +224,20 @@
 
 
 def stand(proxy: Proxy, number: int) -> tuple[Wire, Wire]:
-    """Bring up a connection at one of the instances."""
+    """Establish a connection at one of the servers."""
     client = proxy.client(opening(f"{PLAIN},at=s{number}"))
-    instance = proxy.accept(proxy.instances[number])
-    assert instance.line()
-    instance.send("UP 1")
+    server = proxy.accept(proxy.instances[number])
+    assert server.line()
+    server.send("UP 1")
     assert client.line() == "UP 1"
-    return client, instance
+    return client, server
 
 
-def test_suspended_instance_loses_its_clients_and_gets_nothing_until_it_is_called_back(
+def test_ejected_server_loses_its_clients_and_gets_nothing_until_it_is_reinstated(
     proxy: Proxy,
 ) -> None:
-    """Guards an exam server that is to be restarted: nothing new from the yes on, its clients elsewhere."""
-    client, instance = stand(proxy, 0)
+    """Guards a server that is to be restarted: nothing new once it is ejected, its clients elsewhere."""
+    client, server = stand(proxy, 0)
     stays = stand(proxy, 1)
     for _ in range(2):
         assert proxy.call("POST", "/v1/exam-servers/s0/suspend")[0] == 200
@@ -246,11 +246,11 @@
     for end in taken:
         assert end.line()
         end.send("UP 1")
-    assert figures(proxy)["members_unavailable"] == 1
-    assert [client.line(), client.line(), instance.line()] == ["MOVE", "", ""]
+    assert read_metrics(proxy)["members_unavailable"] == 1
+    assert [client.line(), client.line(), server.line()] == ["MOVE", "", ""]
     for _ in range(2):
         assert proxy.call("POST", "/v1/exam-servers/s0/resume")[0] == 200
-    assert figures(proxy)["members_unavailable"] == 0
+    assert read_metrics(proxy)["members_unavailable"] == 0
     until = time.monotonic() + PATIENCE
     while not select.select([proxy.instances[0]], [], [], 0.1)[0]:
         assert time.monotonic() < until, "it is not used again"
@@ -258,14 +258,14 @@
     stays[0].close()
 
 
-def test_all_suspended_means_a_refusal_at_once(proxy: Proxy) -> None:
+def test_all_servers_ejected_means_a_rejection_at_once(proxy: Proxy) -> None:
     for number in range(2):
         assert proxy.call("POST", f"/v1/exam-servers/s{number}/suspend")[0] == 200
     assert proxy.client(opening("c=chat,d=3000000,g=ab")).line().startswith("BUSY")
 
 
 @pytest.mark.parametrize("proxy", [{"discovery": "subscribe"}], indirect=True)
-def test_instance_that_is_gone_may_be_suspended_and_stays_so_when_it_comes_back(
+def test_server_that_is_gone_may_be_ejected_and_stays_so_when_it_returns(
     proxy: Proxy,
 ) -> None:
     discovery = Wire(proxy.discovery.accept()[0])
@@ -282,10 +282,10 @@
 
 
 @pytest.mark.parametrize("broken", [None, b"{", b'{"v":9,"hosts":["s0"]}', b"\x00" * 2_000_000])
-def test_next_process_knows_the_suspensions_unless_their_file_is_broken(
+def test_next_process_knows_the_ejections_unless_their_file_is_broken(
     tmp_path: Path, broken: bytes | None
 ) -> None:
-    """Guards suspensions across an upgrade, and the start from whatever the file holds."""
+    """Guards ejections across a hot restart, and the start from whatever the file holds."""
     proxy = Proxy(tmp_path)
     assert proxy.call("POST", "/v1/exam-servers/s0/suspend")[0] == 200
     proxy.close()
@@ -294,15 +294,15 @@
     if broken is not None:
         saved.write_bytes(broken)
     proxy = Proxy(tmp_path)
-    assert figures(proxy)["members_unavailable"] == (broken is None)
+    assert read_metrics(proxy)["members_unavailable"] == (broken is None)
     assert proxy.call("POST", "/v1/exam-servers/s1/suspend")[0] == 200
     assert (b"s0" in saved.read_bytes()) == (broken is None)
     proxy.close()
 
 
-def test_suspension_that_cannot_be_saved_gets_a_no(tmp_path: Path) -> None:
+def test_ejection_that_cannot_be_saved_is_answered_500(tmp_path: Path) -> None:
     proxy = Proxy(tmp_path)
     (tmp_path / "larchhaven-suspended.new").mkdir()
     assert proxy.call("POST", "/v1/exam-servers/s0/suspend")[0] == 500
-    assert figures(proxy)["members_unavailable"] == 0
+    assert read_metrics(proxy)["members_unavailable"] == 0
     proxy.close()
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""The graceful shutdown of the real program: what it owes at each moment is settled before it ends."""
+"""The graceful shutdown of the real program: every request is answered before it ends."""
 
 from __future__ import annotations
 
@@ -20,23 +20,25 @@
 
 
 def stop(proxy: Proxy) -> None:
-    """Tell the program to stop, and wait until it has heard."""
+    """Send SIGTERM, and wait until the shutdown has started."""
     proxy.process.send_signal(signal.SIGTERM)
     while "shutdown started" not in (line := proxy.log_line()):
         assert line, "the program ended"
 
 
 def waiting(proxy: Proxy, fields: str) -> tuple[Wire, Wire]:
-    """Bring a command to an instance that does not answer."""
+    """Send a request to a server that does not answer."""
     client = proxy.client(opening(fields))
-    instance = proxy.accept()
-    assert instance.line().startswith("OPEN ")
-    return client, instance
+    server = proxy.accept()
+    assert server.line().startswith("OPEN ")
+    return client, server
 
 
 @pytest.mark.parametrize("proxy", [{}, ENDS_AT_PROXY], indirect=True)
-def test_resting_client_is_answered_and_what_it_sends_after_that_goes_nowhere(proxy: Proxy) -> None:
-    """Guards a request that crosses the end of a resting connection: it was sent on, and lost with us."""
+def test_idle_client_is_answered_and_what_it_sends_after_that_is_not_forwarded(
+    proxy: Proxy,
+) -> None:
+    """Guards a request that crosses the end of an idle connection: it was forwarded, and lost."""
     client = proxy.client("PING")
     assert client.line() == "PONG"
     stop(proxy)
@@ -46,31 +48,33 @@
     assert not select.select(proxy.instances, [], [], 0)[0]
 
 
-@pytest.mark.parametrize("comes", ["queue", "resting"])
-def test_request_that_comes_before_our_end_is_served(proxy: Proxy, comes: str) -> None:
-    """Guards what stands in the accept queue, or in a resting connection, when its phase is over."""
-    resting = proxy.client("PING")
-    assert resting.line() == "PONG"
+@pytest.mark.parametrize("arrives_in", ["queue", "idle"])
+def test_request_that_arrives_before_the_lingering_phase_is_served(
+    proxy: Proxy, arrives_in: str
+) -> None:
+    """Guards what waits in the accept queue, or in an idle connection, when its phase is over."""
+    idle = proxy.client("PING")
+    assert idle.line() == "PONG"
     stop(proxy)
     proxy.process.send_signal(signal.SIGSTOP)
     os.waitid(os.P_PID, proxy.process.pid, os.WSTOPPED | os.WNOWAIT)
-    client = proxy.client() if comes == "queue" else resting
+    client = proxy.client() if arrives_in == "queue" else idle
     client.send(opening(PLAIN))
-    select.select([], [], [], 0.8)  # the phases that take newcomers are over when it wakes
+    select.select([], [], [], 0.8)  # the phases that accept clients are over when it resumes
     proxy.process.send_signal(signal.SIGCONT)
-    instance = proxy.accept()
-    assert instance.line().startswith("OPEN ")
-    instance.send("UP 1")
+    server = proxy.accept()
+    assert server.line().startswith("OPEN ")
+    server.send("UP 1")
     assert client.line() == "UP 1"
     client.close()
-    resting.close()
+    idle.close()
     assert proxy.process.wait(PATIENCE) == 0
 
 
 @pytest.mark.parametrize("proxy", [{}, ENDS_AT_PROXY, {"held": True}], indirect=True)
-def test_command_whose_time_is_longer_than_ours_is_answered(proxy: Proxy) -> None:
-    """Guards deadlines of over three seconds: the platform kills before them, with the command in flight."""
-    client, _instance = waiting(proxy, LONG)
+def test_request_with_a_deadline_after_the_shutdown_is_answered(proxy: Proxy) -> None:
+    """Guards deadlines of over three seconds: the platform kills before them, with the request in flight."""
+    client, _server = waiting(proxy, LONG)
     stop(proxy)
     late = None if proxy.held else waiting(proxy, LONG)[0]
     for each in (client, late):
@@ -79,25 +83,25 @@
 
 
 @pytest.mark.parametrize("proxy", [{}, ENDS_AT_PROXY], indirect=True)
-def test_second_signal_answers_all_and_ends(proxy: Proxy) -> None:
-    """Guards what is owed when somebody is in a hurry: the process ended at once, with all of it."""
-    client, _instance = waiting(proxy, LONG)
-    standing, _ = proxy.opened()
-    resting = proxy.client("PING")
-    assert resting.line() == "PONG"
+def test_second_signal_answers_all_requests_and_ends(proxy: Proxy) -> None:
+    """Guards requests at a second signal: the process ended at once, without their answers."""
+    client, _server = waiting(proxy, LONG)
+    established, _ = proxy.opened()
+    idle = proxy.client("PING")
+    assert idle.line() == "PONG"
     stop(proxy)
     proxy.process.send_signal(signal.SIGTERM)
     assert client.line() == "ERR"
-    assert resting.line() == "BUSY"
+    assert idle.line() == "BUSY"
     ends_here = proxy.configuration["settings"]["family_info"]["mode"] == "proxy"
-    assert standing.line() == ("MOVE" if ends_here else "")
+    assert established.line() == ("MOVE" if ends_here else "")
     assert proxy.process.wait(PATIENCE) == 0
 
 
-def test_signal_during_the_start_is_heeded_once_clients_may_have_come(
+def test_signal_during_the_start_is_handled_once_clients_may_have_connected(
     proxy: Proxy, tmp_path: Path
 ) -> None:
-    """Guards those who connect as soon as the socket listens: the process died of the signal."""
+    """Guards clients that connect as soon as the socket listens: the process died of the signal."""
     path = tmp_path / "second.json"
     path.write_text(json.dumps(proxy.configuration))
     program = (
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -58,14 +58,14 @@
 @pytest.mark.parametrize(
     "predecessor", [{}, {"family_info": {"mode": "proxy", "park": 0}}], indirect=True
 )
-def test_connections_go_on_in_the_next_process_byte_for_byte(predecessor: Proxy) -> None:
-    """Guards clients that an upgrade would cut off or move: also in the midst of a line."""
+def test_connections_continue_in_the_successor_byte_for_byte(predecessor: Proxy) -> None:
+    """Guards clients that a hot restart would disconnect or migrate: also in the middle of a line."""
     pairs = [predecessor.opened() for _ in range(3)]
-    client, instance = pairs[0]
+    client, server = pairs[0]
     client.sock.sendall(b"half a li")
-    instance.sock.sendall(b"first\r\nhalf an an")
+    server.sock.sendall(b"first\r\nhalf an an")
     assert client.line() == "first"
-    assert instance.file.read(9) == b"half a li"
+    assert server.file.read(9) == b"half a li"
     flooded, source = pairs[1]
     block = b"0123456789abcde\n" * 512
     source.sock.settimeout(0.3)
@@ -77,8 +77,8 @@
     successor = predecessor.beside()
     stop(predecessor)
     client.send("ne")
-    assert instance.line() == "ne"
-    instance.send("swer")
+    assert server.line() == "ne"
+    server.send("swer")
     assert client.line() == "half an answer"
     assert flooded.file.read(sent) == (block * (sent // len(block) + 1))[:sent]
     pairs[2][0].reset()
@@ -88,14 +88,14 @@
     finish(successor)
 
 
-def test_command_under_way_is_finished_and_its_connection_passed_on(predecessor: Proxy) -> None:
-    """Guards the one answer of a command that an upgrade finds unanswered, and its one execution."""
+def test_request_in_flight_is_finished_and_its_connection_transferred(predecessor: Proxy) -> None:
+    """Guards the one answer of a request that a hot restart finds unanswered, and its one attempt."""
     silent = predecessor.client()
     assert predecessor.client("PING").line() == "PONG"  # those before it are accepted
     first = opening("c=chat,d=3000,g=ab")
     waiting = predecessor.client(first)
-    instance = predecessor.accept()
-    assert instance.line()
+    server = predecessor.accept()
+    assert server.line()
     successor = predecessor.beside()
     predecessor.process.send_signal(signal.SIGTERM)
     while b"shutdown started" not in predecessor.log_line().encode():
@@ -104,26 +104,26 @@
     second = predecessor.accept()
     assert second.line()
     again = successor.client(first)
-    assert again.line() == "ERR"  # the predecessor holds a command of this id
-    for end, at in ((waiting, instance), (silent, second)):
+    assert again.line() == "ERR"  # the predecessor holds a request of this identity
+    for end, at in ((waiting, server), (silent, second)):
         at.send("UP 1")
         assert end.line() == "UP 1"
     assert predecessor.process.wait(PATIENCE) == 0
     waiting.send("still there")
-    assert instance.line() == "still there"
+    assert server.line() == "still there"
     finish(successor)
 
 
-def test_nobody_is_turned_away_while_processes_change(predecessor: Proxy) -> None:
+def test_no_request_is_rejected_during_hot_restarts(predecessor: Proxy) -> None:
     proxy = predecessor
     for _ in range(3):
         successor = proxy.beside()
         proxy.process.send_signal(signal.SIGTERM)
         clients = [successor.client(opening(PLAIN)) for _ in range(10)]
         for _ in clients:
-            instance = predecessor.accept()
-            assert instance.line()
-            instance.send("UP 1")
+            server = predecessor.accept()
+            assert server.line()
+            server.send("UP 1")
         assert {client.line() for client in clients} == {"UP 1"}
         assert proxy.process.wait(PATIENCE) == 0
         for client in clients:
@@ -132,7 +132,7 @@
     finish(proxy)
 
 
-def test_both_processes_know_of_a_suspension_that_either_was_told(predecessor: Proxy) -> None:
+def test_both_processes_apply_an_ejection_called_at_either(predecessor: Proxy) -> None:
     successor = predecessor.beside()
     for told, other, name in ((predecessor, successor, "s0"), (successor, predecessor, "s1")):
         before = other.call("GET", "/v1/metrics")[1]["members_unavailable"]
@@ -144,13 +144,13 @@
 
 
 @pytest.mark.parametrize("number", [0, 1])
-def test_next_process_knows_where_a_connection_stands(tmp_path: Path, number: int) -> None:
-    """Guards packets that reach the next process while their connection is still with the predecessor."""
+def test_successor_knows_the_server_of_a_connection(tmp_path: Path, number: int) -> None:
+    """Guards packets that reach the successor while their connection is with the predecessor."""
     predecessor = Proxy(tmp_path, held=True, instances=2)
     client = predecessor.client(first := opening(f"{PLAIN},at=s{number}"))
-    instance = predecessor.accept(predecessor.instances[number])
-    assert instance.line()
-    instance.send("UP 1")
+    server = predecessor.accept(predecessor.instances[number])
+    assert server.line()
+    server.send("UP 1")
     assert client.line() == "UP 1"
     successor = predecessor.beside()
     stop(predecessor)
@@ -164,7 +164,7 @@
 @pytest.mark.parametrize(
     "what", ["nothing", "a file", "a dead socket", "silence", "garbage", "another version"]
 )
-def test_state_that_is_absent_stale_or_broken_means_a_plain_start(
+def test_predecessor_that_is_absent_stale_or_broken_means_a_plain_start(
     tmp_path: Path, what: str
 ) -> None:
     path = tmp_path / "larchhaven-upgrade.sock"
@@ -188,18 +188,18 @@
 @pytest.mark.parametrize(
     "said", [b"\xff\x00garbage", b"x" * 200_000, msgspec.msgpack.encode(RestartHello(99))]
 )
-def test_stranger_at_the_upgrade_socket_changes_nothing(
+def test_unknown_peer_at_the_hot_restart_socket_changes_nothing(
     predecessor: Proxy, tmp_path: Path, said: bytes
 ) -> None:
     folder = os.open(tmp_path, os.O_RDONLY)
     while not (tmp_path / "larchhaven-upgrade.sock").exists():
         assert predecessor.process.poll() is None  # it listens to clients a moment earlier
         time.sleep(0.01)
-    with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as stranger:
-        stranger.settimeout(PATIENCE)
-        stranger.connect(f"/proc/self/fd/{folder}/larchhaven-upgrade.sock")
-        stranger.send(said)
-        assert stranger.recv(100) == b""
+    with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as unknown_peer:
+        unknown_peer.settimeout(PATIENCE)
+        unknown_peer.connect(f"/proc/self/fd/{folder}/larchhaven-upgrade.sock")
+        unknown_peer.send(said)
+        assert unknown_peer.recv(100) == b""
     os.close(folder)
     ends = predecessor.opened()
     successor = predecessor.beside()
@@ -234,8 +234,8 @@
         raise AssertionError("nothing is transferred")
 
 
-def test_open_ids_and_messages_go_both_ways_until_one_side_ends(tmp_path: Path) -> None:
-    """Guards one execution per command while two processes take clients side by side."""
+def test_identities_and_gossip_are_forwarded_both_ways(tmp_path: Path) -> None:
+    """Guards one attempt per request while two processes accept clients side by side."""
     loop = EventLoop()
     predecessor, successor = Side(loop, tmp_path), Side(loop, tmp_path)
     assert predecessor.ready
@@ -257,34 +257,42 @@
         assert not other.hot_restart.is_open_elsewhere(b"id")
 
 
-def heard(peer: socket.socket, life: int | None = None, besides: int | None = None) -> Message:
-    """Wait for what a process says of itself: one of this life, or of any other than that one."""
+def receive_own_update(
+    peer: socket.socket, session_id: int | None = None, other_than: int | None = None
+) -> Message:
+    """Wait for what a process says of itself: one of this session, or of any but that one."""
     for _ in range(2_000):
         data = peer.recv(300)
         if data[:1] != DATAGRAM_PREFIX:
             continue  # the decision module's
         message = decode(data, [KEY])
-        if message.stamp and life in (None, message.session_id) and message.session_id != besides:
+        if (
+            message.stamp
+            and session_id in (None, message.session_id)
+            and message.session_id != other_than
+        ):
             return message
     raise AssertionError("only others speak")
 
 
-def test_incarnation_is_handed_on_and_one_process_speaks(tmp_path: Path) -> None:
+def test_incarnation_is_handed_over_and_one_process_speaks(tmp_path: Path) -> None:
     """Guards against two processes that accuse each other, and a proxy that nobody speaks for."""
     (tmp_path / "operator.textproto").write_text(
         'membership { on: true key: "a key for this test" }'
     )
     predecessor = Proxy(tmp_path, held=True, instances=2, policy_limits={"may_tell": True})
-    first = heard(predecessor.peer)
+    first = receive_own_update(predecessor.peer)
     successor = predecessor.beside()
-    second = heard(predecessor.peer, besides=first.session_id)
+    second = receive_own_update(predecessor.peer, other_than=first.session_id)
     assert second.stamp >> 2 > first.stamp >> 2
     assert second.stamp & 3 == MemberState.ALIVE
     successor.process.kill()
     successor.process.communicate()
-    third = heard(predecessor.peer, besides=second.session_id)
+    third = receive_own_update(predecessor.peer, other_than=second.session_id)
     while third.session_id == first.session_id and third.stamp <= second.stamp:
-        third = heard(predecessor.peer, besides=second.session_id)  # what was in the socket
+        third = receive_own_update(
+            predecessor.peer, other_than=second.session_id
+        )  # what was in the socket
     assert third.stamp >> 2 > first.stamp >> 2
     host, port = predecessor.configuration["peer_listen"].split(":")
     speaks = Message(MessageKind.GOSSIP, 1, 0, make_stamp(5, MemberState.ALIVE))
@@ -292,7 +300,10 @@
     while len(predecessor.call("GET", "/v1/members")[1]["members"]) < 2:
         time.sleep(0.01)
     predecessor.process.send_signal(signal.SIGTERM)
-    while heard(predecessor.peer, life=third.session_id).stamp & 3 != MemberState.LEFT:
+    while (
+        receive_own_update(predecessor.peer, session_id=third.session_id).stamp & 3
+        != MemberState.LEFT
+    ):
         pass
     assert predecessor.process.wait(PATIENCE) == 0
     assert "Traceback" not in predecessor.close()
