--- a/larchhaven/routing/admission.py
+++ b/larchhaven/routing/admission.py
@@ -105,8 +105,10 @@
         return quota <= self._connection_counts[tenant_index] * self._live_peers.count
 
     def _rank(self, density: float) -> float:
-        """Return the fraction of recent arrivals with a lower priority density."""
-        if not self._recent_densities:
+        """Return the fraction of recent arrivals of lower priority density; ties count half."""
+        recent = self._recent_densities
+        if not recent:
             return 1.0
-        below = sum([(d < density) + 0.5 * (d == density) for d in self._recent_densities])
-        return below / len(self._recent_densities)
+        lower = sum([each < density for each in recent])
+        ties = recent.count(density)
+        return (lower + 0.5 * ties) / len(recent)
