--- a/larchhaven/model/experiment.py
+++ b/larchhaven/model/experiment.py
@@ -17,7 +17,7 @@
 from larchhaven.model.random_streams import RandomStream, RandomStreams
 from larchhaven.model.results import ExperimentResult
 from larchhaven.model.simulation import Simulation
-from larchhaven.model.units import US_PER_MS, US_PER_SECOND, to_us
+from larchhaven.model.units import PERCENT_PER_WHOLE, US_PER_MS, US_PER_SECOND, to_us
 
 # Monotonic clocks of processes begin anywhere within this.
 MAX_CLOCK_OFFSET_US = 1_000_000_000
@@ -52,9 +52,9 @@
     return LinkConditions(
         delay_us=delay_us if links.HasField("delay_ms") else default.delay_us,
         jitter_us=jitter_us if links.HasField("jitter_ms") else default.jitter_us,
-        loss_ratio=links.loss_percent / 100,
+        loss_ratio=links.loss_percent / PERCENT_PER_WHOLE,
         burst_us=links.burst_ms * US_PER_MS,
-        duplication_ratio=links.doubled_percent / 100,
+        duplication_ratio=links.doubled_percent / PERCENT_PER_WHOLE,
         max_duplicate_delay_us=(
             duplicate_delay_us
             if links.HasField("doubled_late_ms")
--- a/larchhaven/model/observer.py
+++ b/larchhaven/model/observer.py
@@ -24,6 +24,8 @@
 # The states are the low bits of stamps; arrays of stamps are masked at once.
 STATE_MASK = max(MemberState)
 SECONDS_DIGITS = 6
+MESSAGE_RATE_DIGITS = 3
+BYTE_RATE_DIGITS = 1
 # Where views converged at the very end, rates are still finite.
 MIN_MEASURED_S = 1e-6
 
@@ -198,9 +200,9 @@
             suspicions=len(self._suspected),
             convergences=self._convergences,
             is_converged_at_end=self._are_views_equal(),
-            messages_per_second=round(sum(rates) / len(rates), 3),
-            max_messages_per_second=round(max(rates), 3),
-            bytes_per_second=round(sent_bytes / len(processes) / measured_s, 1),
+            messages_per_second=round(sum(rates) / len(rates), MESSAGE_RATE_DIGITS),
+            max_messages_per_second=round(max(rates), MESSAGE_RATE_DIGITS),
+            bytes_per_second=round(sent_bytes / len(processes) / measured_s, BYTE_RATE_DIGITS),
             socket_overflows=sum(process.socket_overflows for process in processes),
             counters=dict(sorted(self._counters.items())),
             events=self._simulation.events.events_run,
--- a/larchhaven/model/process_selection.py
+++ b/larchhaven/model/process_selection.py
@@ -7,6 +7,7 @@
 from larchhaven.model.errors import ProcessNumbersError
 from larchhaven.model.experiment_pb2 import Who
 from larchhaven.model.random_streams import RandomStream
+from larchhaven.model.units import PERCENT_PER_WHOLE
 
 
 def parse_numbers(text: str, members: int) -> list[int]:
@@ -63,4 +64,5 @@
 
     def draw(self, percent: float, rng: RandomStream) -> list[int]:
         """Return the numbers of a percentage of the processes, in the order of drawing."""
-        return rng.sample(round(self.members * percent / 100), list(range(self.members)))
+        count = round(self.members * percent / PERCENT_PER_WHOLE)
+        return rng.sample(count, list(range(self.members)))
--- a/larchhaven/model/units.py
+++ b/larchhaven/model/units.py
@@ -1,10 +1,11 @@
-"""Units of time of the simulation; instants and durations are whole microseconds."""
+"""Units of the simulation, whose instants and durations are whole microseconds."""
 
 from __future__ import annotations
 
 US_PER_SECOND = 1_000_000
 US_PER_MS = 1_000
 SECONDS_PER_HOUR = 3600.0
+PERCENT_PER_WHOLE = 100
 
 
 def to_us(seconds: float) -> int:
