--- a/larchhaven/net/admin/administrative_ejection.py
+++ b/larchhaven/net/admin/administrative_ejection.py
@@ -67,7 +67,7 @@
         self,
         directory: str,
         on_changed: Callable[[str, bool], None],
-        can_write_file: Callable[[Path, int], bool] = lambda path, size: True,
+        can_write_file: Callable[[Path, int], bool] = lambda _path, _size: True,
     ) -> None:
         self._can_write_file = can_write_file
         self._path = Path(directory) / FILE_NAME if directory else None
--- a/larchhaven/net/admin/http_api.py
+++ b/larchhaven/net/admin/http_api.py
@@ -224,16 +224,11 @@
         return route.respond()
 
     def _find_route(self, segments: list[str]) -> Route | None:
-        backend = self._backend
         match segments:
             case ["", "v1", "readyz"]:
                 return Route("GET", self._report_readiness)
-            case ["", "v1", "metrics"]:
-                return Route("GET", lambda: Response(HTTPStatus.OK, backend.encode_metrics()))
-            case ["", "v1", "memory"]:
-                return Route("GET", lambda: Response(HTTPStatus.OK, backend.encode_memory()))
-            case ["", "v1", "members"]:
-                return Route("GET", lambda: Response(HTTPStatus.OK, backend.encode_members()))
+            case ["", "v1", "metrics" | "memory" | "members" as report]:
+                return Route("GET", partial(self._report, report))
             case ["", "v1", "exam-servers", name, "suspend" | "resume" as verb]:
                 return Route("POST", partial(self._set_ejected, unquote(name), verb == "suspend"))
             case ["", "v1", "proxy", "drain" | "activate" as verb]:
@@ -244,6 +239,14 @@
         is_ready = self._backend.is_ready()
         return Response(HTTPStatus.OK if is_ready else HTTPStatus.SERVICE_UNAVAILABLE)
 
+    def _report(self, name: str) -> Response:
+        encoders = {
+            "metrics": self._backend.encode_metrics,
+            "memory": self._backend.encode_memory,
+            "members": self._backend.encode_members,
+        }
+        return Response(HTTPStatus.OK, encoders[name]())
+
     def _set_ejected(self, server_id: str, is_ejected: bool) -> Response:
         return Response(_EJECTION_STATUS[self._backend.set_ejected(server_id, is_ejected)])
 
--- a/larchhaven/net/control/attempt_runner.py
+++ b/larchhaven/net/control/attempt_runner.py
@@ -123,7 +123,7 @@
         can_send = self._drain_guard.may_send_to(request.server_id)
         return can_send and self._is_attempt_allowed(self._loop.now_us, request_id)
 
-    def on_request_sent(self, request_id: int) -> None:
+    def on_request_sent(self, _request_id: int) -> None:
         """Count a request sent: from now on its server may have executed it."""
         self._metrics.upstream_requests += 1
 
--- a/larchhaven/net/control/connection_limits.py
+++ b/larchhaven/net/control/connection_limits.py
@@ -64,7 +64,7 @@
         self.admission = Admission(priority_weights)
         self.max_descriptors = max_descriptors
         self.descriptor_rejections = 0
-        self.evict_table_bytes: Callable[[int], None] = lambda size_bytes: None
+        self.evict_table_bytes: Callable[[int], None] = lambda _: None
 
     def is_exhausted(self, awaiting_request: int, lingering: int) -> bool:
         """Return whether no new client fits.
--- a/larchhaven/net/control/endpoint_directory.py
+++ b/larchhaven/net/control/endpoint_directory.py
@@ -77,7 +77,7 @@
         # Every server that was ever listed, the latest last.
         self._remembered: dict[str, None] = {}
         self._unix_offset_us = unix_offset_us()
-        self.on_server_removed: Callable[[str], None] = lambda server_id: None
+        self.on_server_removed: Callable[[str], None] = lambda _: None
 
     def find_address(self, server_id: str) -> tuple[str, int] | None:
         """Return host and port of a server; None if it is not listed."""
--- a/larchhaven/net/control/membership_switch.py
+++ b/larchhaven/net/control/membership_switch.py
@@ -83,7 +83,7 @@
         send_datagram: Callable[[int, bytes], None],
         shares_load_reports: bool,
     ) -> None:
-        self.on_present_changed: Callable[[frozenset[int]], None] = lambda proxies: None
+        self.on_present_changed: Callable[[frozenset[int]], None] = lambda _: None
         self._loop = loop
         self._config = config
         self._send_datagram = send_datagram
--- a/larchhaven/net/control/membership_transport.py
+++ b/larchhaven/net/control/membership_transport.py
@@ -85,7 +85,7 @@
     ) -> None:
         self._loop = loop
         self._send_datagram = send_datagram
-        self.on_present_changed: Callable[[frozenset[int]], None] = lambda proxies: None
+        self.on_present_changed: Callable[[frozenset[int]], None] = lambda _: None
         unix_us = loop.now_us + unix_offset_us()
         unix_s = max(unix_us // _US_PER_S, INCARNATION_EPOCH_UNIX_S + 1)
         rng = Random(seed ^ unix_us)
--- a/larchhaven/net/core/event_loop.py
+++ b/larchhaven/net/core/event_loop.py
@@ -99,7 +99,7 @@
         self._no_traceback_until_us = 0
         self.now_us = time.monotonic_ns() // 1000
         self.on_iteration_end: Callable[[], None] = lambda: None
-        self.on_process_resumed: Callable[[int], None] = lambda late_us: None
+        self.on_process_resumed: Callable[[int], None] = lambda _: None
 
     # Sockets
 
--- a/larchhaven/net/hot_restart_socket.py
+++ b/larchhaven/net/hot_restart_socket.py
@@ -107,16 +107,27 @@
             self._sock, MAX_MESSAGE_BYTES, MAX_DESCRIPTORS_PER_MESSAGE
         )
         try:
-            if not data:
-                raise ChannelClosedError
-            if flags & (socket.MSG_TRUNC | socket.MSG_CTRUNC):
-                raise TruncatedMessageError("message too long")
-            return decode(data), descriptors
+            return _decode_datagram(data, flags), descriptors
         except (ChannelClosedError, TruncatedMessageError, InvalidMessageError):
             close_descriptors(descriptors)
             raise
 
 
+def _decode_datagram(data: bytes, flags: int) -> Message:
+    """Return the message of a datagram.
+
+    Raises:
+        ChannelClosedError: The other process has closed the channel.
+        TruncatedMessageError: The message is longer than is read.
+        InvalidMessageError: The bytes are no message.
+    """
+    if not data:
+        raise ChannelClosedError
+    if flags & (socket.MSG_TRUNC | socket.MSG_CTRUNC):
+        raise TruncatedMessageError("message too long")
+    return decode(data)
+
+
 class HotRestartSocket:
     """The socket file in the directory that the two processes share.
 
--- a/larchhaven/net/peer_messaging.py
+++ b/larchhaven/net/peer_messaging.py
@@ -56,7 +56,7 @@
                 shares_socket,
                 self._count_invalid_message,
             )
-        self.forward_gossip: Callable[[bytes], None] = lambda data: None
+        self.forward_gossip: Callable[[bytes], None] = lambda _: None
         self.membership = MembershipSwitch(
             resources.loop, config, self._send_datagram, uses_shared_checks(config.settings)
         )
