--- a/larchhaven/__main__.py
+++ b/larchhaven/__main__.py
@@ -17,7 +17,6 @@
 
     Returns:
         The exit code.
-
     """
     # The process that reads the operators' file ends before the proxy takes its memory, so the
     # proxy is imported only after that.
--- a/larchhaven/cli/members.py
+++ b/larchhaven/cli/members.py
@@ -31,7 +31,6 @@
     Returns:
         The exit code: 0 if the view is synchronized, nobody is suspected or dead, and the proxy is
         not on the minority side of a partition; 1 if not; 2 if the proxy did not answer.
-
     """
     last_shown: tuple[object, ...] | None = None
     while True:
--- a/larchhaven/membership/actions.py
+++ b/larchhaven/membership/actions.py
@@ -23,7 +23,6 @@
 
     Args:
         now_us: The time, by the local monotonic clock.
-
     """
 
     def __init__(self, now_us: int) -> None:
--- a/larchhaven/membership/authenticator.py
+++ b/larchhaven/membership/authenticator.py
@@ -58,7 +58,6 @@
     Attributes:
         keys: The valid keys; may be replaced at any time.
         rejected: How many datagrams were rejected, by reason.
-
     """
 
     def __init__(
@@ -84,7 +83,6 @@
         Args:
             data: The datagram.
             sender: The number of its source address in the local peer table, if known.
-
         """
         try:
             message = decode(data, self.keys)
--- a/larchhaven/membership/codec.py
+++ b/larchhaven/membership/codec.py
@@ -113,7 +113,6 @@
 
     Raises:
         ValueError: The datagram would be longer than 256 bytes.
-
     """
     header = _HEADER.pack(
         DATAGRAM_PREFIX,
@@ -144,7 +143,6 @@
 
     Raises:
         DatagramError: It is damaged, or not from a member of this version.
-
     """
     if not _HEADER.size + TAG_BYTES <= len(data) <= MAX_DATAGRAM_BYTES:
         raise DatagramError(RejectReason.SIZE)
--- a/larchhaven/membership/config.py
+++ b/larchhaven/membership/config.py
@@ -30,7 +30,6 @@
         isolation_timeout_us: After this time without any answer the own observations count again.
         messages_per_second: Messages that are sent without being replies, whatever the table size.
         message_burst: Such messages that may be sent at once.
-
     """
 
     probe_interval_us: int = 500_000
--- a/larchhaven/membership/context.py
+++ b/larchhaven/membership/context.py
@@ -22,7 +22,6 @@
         rng: Random numbers.
         batch: The time and the actions of the call under way.
         counters: The protocol's counters.
-
     """
 
     config: ProtocolConfig
--- a/larchhaven/membership/dissemination.py
+++ b/larchhaven/membership/dissemination.py
@@ -22,7 +22,6 @@
         table: What is known of the members.
         queue: The updates to send.
         sender: Sends the messages.
-
     """
 
     def __init__(
--- a/larchhaven/membership/errors.py
+++ b/larchhaven/membership/errors.py
@@ -28,7 +28,6 @@
 
     Attributes:
         reason: The first rule that it breaks.
-
     """
 
     def __init__(self, reason: RejectReason) -> None:
--- a/larchhaven/membership/indirect_probes.py
+++ b/larchhaven/membership/indirect_probes.py
@@ -24,7 +24,6 @@
         requester_sequence: The sequence number that the answer has to carry.
         target: The probed member.
         deadline_us: When a nack is sent.
-
     """
 
     sequence: int
@@ -42,7 +41,6 @@
         table: What is known of the members.
         local: The local member; it helps once it has joined.
         sender: Sends pings and answers.
-
     """
 
     def __init__(
--- a/larchhaven/membership/local_member.py
+++ b/larchhaven/membership/local_member.py
@@ -34,7 +34,6 @@
     Attributes:
         info: What it says of itself.
         stamp: Its incarnation and state; ``NO_STAMP`` before it has joined.
-
     """
 
     def __init__(
--- a/larchhaven/membership/member.py
+++ b/larchhaven/membership/member.py
@@ -70,7 +70,6 @@
         protocol_version: The version of the protocol that its program speaks.
         started_unix_s: When it started, by its own clock. For operators; no decision uses it.
         capabilities: What its program supports.
-
     """
 
     name: str = ""
@@ -104,7 +103,6 @@
         accusers: Who suspects it or declared it dead; empty if the member spoke for itself.
         info: What it says of itself; None until that arrives.
         info_incarnation: The incarnation at which it said so.
-
     """
 
     number: int
--- a/larchhaven/membership/member_table.py
+++ b/larchhaven/membership/member_table.py
@@ -26,7 +26,6 @@
     Attributes:
         view: The current view.
         peers: All numbers but the own one, in ascending order.
-
     """
 
     def __init__(self, own_number: int, size: int, batch: ActionBatch) -> None:
--- a/larchhaven/membership/membership.py
+++ b/larchhaven/membership/membership.py
@@ -62,7 +62,6 @@
         due_us: When ``run_timers`` has something to do.
         health: The local health.
         counters: The protocol's counters.
-
     """
 
     # A variant of the protocol replaces one of these, for instance to show that a test catches it.
--- a/larchhaven/membership/message_budget.py
+++ b/larchhaven/membership/message_budget.py
@@ -19,7 +19,6 @@
 
     Attributes:
         refill_interval_us: How long it takes until there is one more token.
-
     """
 
     def __init__(self, now_us: int, config: ProtocolConfig) -> None:
--- a/larchhaven/membership/message_sender.py
+++ b/larchhaven/membership/message_sender.py
@@ -30,7 +30,6 @@
         local: The local member, whose stamp is on each message.
         queue: The updates to be piggybacked.
         budget: Bounds the messages.
-
     """
 
     def __init__(
@@ -86,7 +85,6 @@
 
         Returns:
             Whether the budget allowed it.
-
         """
         if not self._spend(is_reply):
             return False
--- a/larchhaven/membership/messages.py
+++ b/larchhaven/membership/messages.py
@@ -33,7 +33,6 @@
         number: The member that the update is about.
         stamp: Its incarnation and state.
         accuser: Who suspects it or declared it dead, or ``NO_MEMBER``.
-
     """
 
     number: int
@@ -55,7 +54,6 @@
         number: The member that the update is about.
         incarnation: The incarnation at which it said so.
         info: What it says of itself.
-
     """
 
     number: int
@@ -79,7 +77,6 @@
         info_updates: Piggybacked infos.
         session_id: Drawn at the start of the sender's process; filled in by the authenticator.
         counter: Raised with each message of a session; filled in by the authenticator.
-
     """
 
     kind: MessageKind
--- a/larchhaven/membership/partition.py
+++ b/larchhaven/membership/partition.py
@@ -42,7 +42,6 @@
             is not synchronized.
         side: Which side of a partition this is.
         lost_zones: Zones that had members when all last agreed, and have none present.
-
     """
 
     present_count: int
@@ -87,7 +86,6 @@
 
     Attributes:
         agreed: That set, without those that have left since.
-
     """
 
     def __init__(self) -> None:
--- a/larchhaven/membership/probe_order.py
+++ b/larchhaven/membership/probe_order.py
@@ -12,7 +12,6 @@
     Args:
         table: What is known of the members.
         rng: Random numbers.
-
     """
 
     def __init__(self, table: MemberTable, rng: RandomSource) -> None:
--- a/larchhaven/membership/probing.py
+++ b/larchhaven/membership/probing.py
@@ -56,7 +56,6 @@
         merger: Takes the suspicions.
         synchronizer: Tells whether the own observations count.
         health: The local health.
-
     """
 
     def __init__(
--- a/larchhaven/membership/rendezvous.py
+++ b/larchhaven/membership/rendezvous.py
@@ -40,7 +40,6 @@
 
     Returns:
         Their numbers, the most responsible one first.
-
     """
     excluded_numbers = set(excluded)
     candidates = sorted(
--- a/larchhaven/membership/sampling.py
+++ b/larchhaven/membership/sampling.py
@@ -27,7 +27,6 @@
         count: How many are wanted; fewer are drawn if there are fewer candidates.
         candidates: Distinct numbers.
         excluded: A number that must not be drawn.
-
     """
     if _SPARSE_FACTOR * count < len(candidates):
         return _draw_until_distinct(rng, count, candidates, excluded)
--- a/larchhaven/membership/state_exchange.py
+++ b/larchhaven/membership/state_exchange.py
@@ -42,7 +42,6 @@
         context: What all parts of the protocol share.
         table: What is known of the members.
         sender: Sends the messages.
-
     """
 
     def __init__(
--- a/larchhaven/membership/suspicion.py
+++ b/larchhaven/membership/suspicion.py
@@ -24,7 +24,6 @@
         wanted_confirmations: How many accusers beside the first shorten it to the minimum.
         accusers: Who suspects it, the first one first.
         next_probe_us: When a local accuser probes it again.
-
     """
 
     began_us: int
@@ -45,7 +44,6 @@
             accuser: Who suspects the member.
             present_count: How many members are present; of few, fewer can confirm.
             config: Limits of the protocol.
-
         """
         wanted = max(min(config.suspicion_confirmations, present_count - 2), 0)
         min_timeout_us = config.min_suspicion_us
@@ -85,7 +83,6 @@
 
     Args:
         config: Limits of the protocol.
-
     """
 
     def __init__(self, config: ProtocolConfig) -> None:
--- a/larchhaven/membership/suspicion_monitor.py
+++ b/larchhaven/membership/suspicion_monitor.py
@@ -23,7 +23,6 @@
         merger: Declares members dead.
         suspicions: The suspicions.
         synchronizer: Tells whether the own observations count.
-
     """
 
     def __init__(
--- a/larchhaven/membership/synchronization.py
+++ b/larchhaven/membership/synchronization.py
@@ -20,7 +20,6 @@
         table: What is known of the members.
         local: The local member.
         exchange: Sends push-pull requests.
-
     """
 
     def __init__(
--- a/larchhaven/membership/update_merger.py
+++ b/larchhaven/membership/update_merger.py
@@ -37,7 +37,6 @@
         local: Gets the updates about the local member.
         suspicions: The suspicions that updates begin and end.
         probe_order: Decides which member is probed next.
-
     """
 
     def __init__(
--- a/larchhaven/membership/update_queue.py
+++ b/larchhaven/membership/update_queue.py
@@ -35,7 +35,6 @@
     Args:
         table: What is known of the members.
         config: Limits of the protocol.
-
     """
 
     def __init__(self, table: MemberTable, config: ProtocolConfig) -> None:
@@ -78,7 +77,6 @@
             room_bytes: How many bytes there are.
             include_receiver: Whether it learns so if it is not suspected either. It may be a new
                 member that has to take an incarnation above its last one.
-
         """
         limit = min(room_bytes // STATE_UPDATE_BYTES, MAX_STATE_UPDATES)
         chosen = list(islice(self._states, limit))
--- a/larchhaven/membership/view.py
+++ b/larchhaven/membership/view.py
@@ -19,7 +19,6 @@
         previous_state: The state before; None if the member was unknown.
         member: What is known of the member now.
         view_version: The version of the view that contains the change.
-
     """
 
     at_us: int
@@ -39,7 +38,6 @@
         is_synchronized: False from the start, and from a pause of the local process, until another
             member has answered a push-pull request.
         members: What is known of each member, by number.
-
     """
 
     own_number: int
--- a/larchhaven/model/errors.py
+++ b/larchhaven/model/errors.py
@@ -15,7 +15,6 @@
     Attributes:
         numbers: The part of the list that is at fault.
         reason: What is wrong, in words for the author of the experiment.
-
     """
 
     def __init__(self, numbers: str, reason: str) -> None:
@@ -30,7 +29,6 @@
     Attributes:
         member: The number of the member that broke it.
         violation: Which invariant is broken and how.
-
     """
 
     def __init__(self, member: int, violation: str) -> None:
--- a/larchhaven/model/event_queue.py
+++ b/larchhaven/model/event_queue.py
@@ -23,7 +23,6 @@
     Attributes:
         now_us: The simulated clock.
         events_run: How many events have run.
-
     """
 
     def __init__(self) -> None:
--- a/larchhaven/model/experiment_file.py
+++ b/larchhaven/model/experiment_file.py
@@ -17,7 +17,6 @@
     Attributes:
         experiment: What could be read.
         complaints: Each with its place; the experiment is usable only if there are none.
-
     """
 
     experiment: Experiment
--- a/larchhaven/model/fault_injection.py
+++ b/larchhaven/model/fault_injection.py
@@ -32,7 +32,6 @@
 
     Attributes:
         offsets_us: The wall clock less the simulated one, by process number.
-
     """
 
     offsets_us: list[int] = field(default_factory=list)
@@ -47,7 +46,6 @@
         processes: The processes that are affected.
         end_us: When it ends; None: never.
         rng: Random numbers of the fault.
-
     """
 
     fault: Fault
@@ -65,7 +63,6 @@
         observer: Is notified of deaths and of the ends of faults.
         streams: Random numbers; each fault has a stream of its own.
         clocks: The wall clocks; a start after a fault may set one off.
-
     """
 
     def __init__(
--- a/larchhaven/model/heartbeat_program.py
+++ b/larchhaven/model/heartbeat_program.py
@@ -29,7 +29,6 @@
 
     Attributes:
         due_us: When the program wants its next turn.
-
     """
 
     def __init__(self, now_us: int, own_number: int, fleet_size: int, rng: RandomSource) -> None:
--- a/larchhaven/model/invariants.py
+++ b/larchhaven/model/invariants.py
@@ -25,7 +25,6 @@
         own_stamp: Its own stamp.
         stamps: The stamps in its view, by number.
         process_pauses: How many pauses of its own process it had noticed.
-
     """
 
     own_stamp: int
--- a/larchhaven/model/membership_program.py
+++ b/larchhaven/model/membership_program.py
@@ -30,7 +30,6 @@
     Attributes:
         authenticator: Signs and checks the datagrams.
         membership: The protocol.
-
     """
 
     def __init__(
--- a/larchhaven/model/network.py
+++ b/larchhaven/model/network.py
@@ -26,7 +26,6 @@
         burst_us: Mean length of a burst of losses; 0: datagrams are lost independently.
         duplication_ratio: Share of the datagrams that arrive twice.
         max_duplicate_delay_us: The second copy arrives later by up to this.
-
     """
 
     delay_us: float = 500.0
@@ -70,7 +69,6 @@
 
     Attributes:
         conditions: What the links are like.
-
     """
 
     def __init__(self, conditions: LinkConditions, rng: RandomStream) -> None:
--- a/larchhaven/model/observer.py
+++ b/larchhaven/model/observer.py
@@ -56,7 +56,6 @@
     Args:
         simulation: What is observed; its ``observe`` is set.
         members: How many processes there will be.
-
     """
 
     def __init__(self, simulation: Simulation, members: int) -> None:
--- a/larchhaven/model/process.py
+++ b/larchhaven/model/process.py
@@ -17,7 +17,6 @@
     Attributes:
         receiver: The number of the receiving process.
         data: The payload.
-
     """
 
     receiver: int
@@ -31,7 +30,6 @@
     Attributes:
         data: The payload.
         sender: The number of the sending process.
-
     """
 
     data: bytes
@@ -79,7 +77,6 @@
         datagrams_sent: Datagrams sent.
         bytes_sent: Payload bytes sent.
         socket_overflows: Datagrams that found the socket buffer full.
-
     """
 
     number: int
--- a/larchhaven/model/process_selection.py
+++ b/larchhaven/model/process_selection.py
@@ -40,7 +40,6 @@
     Attributes:
         members: How many processes there are.
         zones: How many zones they are spread over, by number modulo zones.
-
     """
 
     members: int
--- a/larchhaven/model/random_streams.py
+++ b/larchhaven/model/random_streams.py
@@ -20,7 +20,6 @@
 
     Args:
         sequence: The seed of the stream.
-
     """
 
     def __init__(self, sequence: SeedSequence) -> None:
@@ -63,7 +62,6 @@
 
     Args:
         seed: The seed of the experiment.
-
     """
 
     def __init__(self, seed: int) -> None:
--- a/larchhaven/model/results.py
+++ b/larchhaven/model/results.py
@@ -20,7 +20,6 @@
         detected_s: Seconds until the first other process declared it; None: nobody did before
             the end, or before the process was back.
         agreed_s: Seconds until all running processes agreed; None as above.
-
     """
 
     number: int
@@ -36,7 +35,6 @@
         at_s: When.
         number: The process that was declared dead.
         declared_by: The process that declared it first.
-
     """
 
     at_s: float
@@ -51,7 +49,6 @@
         cause: What made them differ.
         at_s: Since when they were compared.
         duration_s: Seconds until they were equal; None: they were not by the end.
-
     """
 
     cause: str
@@ -97,7 +94,6 @@
         counters: The protocol's counters and rejected datagrams, all members together.
         events: Events that the simulation has run.
         trace_digest: Digest of all datagrams; equal digests mean equal runs.
-
     """
 
     name: str
--- a/larchhaven/model/search.py
+++ b/larchhaven/model/search.py
@@ -52,7 +52,6 @@
         is_truncated: Whether there were more states than allowed.
         violation: The invariant that was broken first; empty if none was.
         counterexample: The shortest path to it, as the words of its steps.
-
     """
 
     starting_state: str
@@ -85,7 +84,6 @@
 
     Attributes:
         report: What was found so far.
-
     """
 
     def __init__(
--- a/larchhaven/model/search_state.py
+++ b/larchhaven/model/search_state.py
@@ -23,7 +23,6 @@
 
     Attributes:
         state: The state of the generator, at first the seed.
-
     """
 
     state: int
@@ -47,7 +46,6 @@
         left_numbers: Members that have left as planned.
         earlier_incarnations: The highest incarnation of a member's earlier processes, which others
             may still know.
-
     """
 
     now_us: int
--- a/larchhaven/model/search_steps.py
+++ b/larchhaven/model/search_steps.py
@@ -44,7 +44,6 @@
         kind: What it does.
         index: The message in flight that it concerns; not used when time passes.
         message: That message, or None when time passes.
-
     """
 
     kind: StepKind
--- a/larchhaven/model/simulation.py
+++ b/larchhaven/model/simulation.py
@@ -39,7 +39,6 @@
         events: The simulated clock and what is scheduled.
         processes: All processes, by number.
         observe: What is called with the output of programs beside datagrams.
-
     """
 
     def __init__(self, network: SimulatedNetwork) -> None:
--- a/larchhaven/model/summary.py
+++ b/larchhaven/model/summary.py
@@ -24,7 +24,6 @@
         mean: The mean.
         low: The lower end, at ``CONFIDENCE_LEVEL``.
         high: The upper end.
-
     """
 
     mean: float
@@ -69,7 +68,6 @@
         unconverged: In how many runs views were not equal by the end.
         messages_per_second: Of one member.
         bytes_per_second: Of one member.
-
     """
 
     detector: str
--- a/larchhaven/model/sweep.py
+++ b/larchhaven/model/sweep.py
@@ -29,7 +29,6 @@
         loss_percents: Shares of the datagrams that links lose.
         detectors: Numbers of ``Experiment.Detector``.
         seeds: How many seeds are run, from the experiment's own on.
-
     """
 
     members: Sequence[int] = field(default_factory=tuple)
--- a/larchhaven/net/admin/administrative_ejection.py
+++ b/larchhaven/net/admin/administrative_ejection.py
@@ -34,7 +34,6 @@
     Attributes:
         server_id: The server that was to be ejected or reinstated.
         reason: Why it could not be written.
-
     """
 
     def __init__(self, server_id: str, reason: str) -> None:
@@ -60,7 +59,6 @@
         on_changed: Called with each server whose state has changed and whether it is ejected now,
             whichever process made the change.
         can_write_file: Tells whether a file may be written at a path with a size in bytes.
-
     """
 
     def __init__(
@@ -84,7 +82,6 @@
 
         Raises:
             EjectionNotSavedError: If it cannot be saved; nothing has changed.
-
         """
         if self._path is None:
             self._apply(self._with_change(server_id, is_ejected))
--- a/larchhaven/net/admin/http_api.py
+++ b/larchhaven/net/admin/http_api.py
@@ -179,7 +179,6 @@
         backend: Carries out the calls.
         shares_address: Whether the other process of a hot restart may listen there too.
         pool: The buffers of the callers; its own, so clients cannot use them up.
-
     """
 
     def __init__(
--- a/larchhaven/net/admin_backend.py
+++ b/larchhaven/net/admin_backend.py
@@ -49,7 +49,6 @@
         report_members: Returns what is known of the other proxies, as JSON.
         migrate_connections: Has connections migrated within a time in microseconds, or with 0 has
             those stay that are still here; does nothing where connections do not end at the proxy.
-
     """
 
     def __init__(
--- a/larchhaven/net/configuration.py
+++ b/larchhaven/net/configuration.py
@@ -28,7 +28,6 @@
 
     Attributes:
         reason: Why, for operators.
-
     """
 
     def __init__(self, reason: str) -> None:
@@ -42,7 +41,6 @@
     Attributes:
         setting: The key in the file, or the name of the environment variable.
         requirement: What the value must be, and what it is.
-
     """
 
     def __init__(self, setting: str, requirement: str) -> None:
@@ -58,7 +56,6 @@
         path: The file.
         line: The line in it, from 1; 0 if no line is to blame.
         reason: Why, for operators.
-
     """
 
     def __init__(self, path: str, line: int, reason: str) -> None:
@@ -113,7 +110,6 @@
         tenant_indexes: The index of each tenant, by name.
         zones: The names of the zones, by index.
         hardware_kinds: The names of the server kinds, by index.
-
     """
 
     name: str
@@ -144,7 +140,6 @@
 
     Raises:
         ConfigurationError: If the proxy cannot start with it.
-
     """
     path = environment.get("EDGE_CONFIG", "")
     if not path:
@@ -165,7 +160,6 @@
 
     Raises:
         ConfigurationError: If the proxy cannot start with it.
-
     """
     file = _decode_file(raw)
     settings = _decode_settings(file.settings)
--- a/larchhaven/net/control/membership_log.py
+++ b/larchhaven/net/control/membership_log.py
@@ -35,7 +35,6 @@
         loop: The event loop.
         current_view: Returns the current view, for names of members.
         current_status: Returns the current partition status.
-
     """
 
     def __init__(
--- a/larchhaven/net/control/membership_report.py
+++ b/larchhaven/net/control/membership_report.py
@@ -28,7 +28,6 @@
         protocol_version: The version of the protocol that its program speaks.
         started_unix_s: When it started, by its own clock.
         capabilities: What its program supports.
-
     """
 
     number: int
@@ -81,7 +80,6 @@
         members: What is known of each member.
         counters: The counters of the protocol.
         rejected: How many datagrams were rejected, by reason.
-
     """
 
     is_enabled: bool
@@ -110,7 +108,6 @@
     Attributes:
         is_enabled: False.
         disabled_reason: Why it is off.
-
     """
 
     is_enabled: bool
--- a/larchhaven/net/control/membership_switch.py
+++ b/larchhaven/net/control/membership_switch.py
@@ -73,7 +73,6 @@
     Attributes:
         on_present_changed: Called with the proxies that are presumed present when that changes;
             with all of the peer table when the membership is disabled.
-
     """
 
     def __init__(
--- a/larchhaven/net/control/membership_transport.py
+++ b/larchhaven/net/control/membership_transport.py
@@ -70,7 +70,6 @@
 
     Attributes:
         on_present_changed: Called with the proxies that are presumed present when that changes.
-
     """
 
     def __init__(
--- a/larchhaven/net/graceful_shutdown.py
+++ b/larchhaven/net/graceful_shutdown.py
@@ -51,7 +51,6 @@
         answers_us: Every request has its final answer.
         migrations_us: Every established connection is migrated, where connections have to be.
         end_us: The process ends; None if it stays while it holds anything.
-
     """
 
     answers_us: int
@@ -65,7 +64,6 @@
     Args:
         settings: The settings of the decisions.
         shares_socket: Whether another process may hold the clients' socket too.
-
     """
     longest_us = max(c.deadline_us for c in settings.classes)
     migrations_us = min(longest_us, MAX_AWAITED_DEADLINE_US)
@@ -122,7 +120,6 @@
         queue_event: Takes events for the decisions.
         settings: The settings of the decisions.
         shares_socket: Whether another process may hold the clients' socket too.
-
     """
 
     def __init__(
@@ -157,7 +154,6 @@
 
         Args:
             migration_delay_us: After this time the connections that have to migrate are migrated.
-
         """
         self.phase = ShutdownPhase.LAME_DUCK
         loop, deadlines = self._loop, self._deadlines
@@ -194,7 +190,6 @@
 
         Args:
             within_us: All are migrated within this time; with 0 those stay that are still here.
-
         """
         if not self._passes_through and not self.is_shutting_down:
             self._queue_event(ProxyDraining(within_us))
--- a/larchhaven/net/hot_restart.py
+++ b/larchhaven/net/hot_restart.py
@@ -63,7 +63,6 @@
 
     Args:
         account: Is charged for each of them.
-
     """
 
     def __init__(self, account: MemoryAccount) -> None:
@@ -101,7 +100,6 @@
         directory: The directory that the processes share; empty if there is none.
         listener: Supplies and receives the state.
         account: Is charged for the identities of the other process.
-
     """
 
     def __init__(
@@ -127,7 +125,6 @@
 
         Args:
             on_started: Called once the predecessor's state has arrived, or there is no predecessor.
-
         """
         self._on_started = on_started
         try:
@@ -155,7 +152,6 @@
 
         Returns:
             Whether it was sent; if not, this process still owns it.
-
         """
         return self._successor is not None and self._successor.send(transfer, descriptors)
 
--- a/larchhaven/net/hot_restart_messages.py
+++ b/larchhaven/net/hot_restart_messages.py
@@ -23,7 +23,6 @@
 
     Attributes:
         reason: Why it cannot be decoded.
-
     """
 
     def __init__(self, reason: str) -> None:
@@ -84,7 +83,6 @@
         reports: The latest load reports.
         identity_hashes: The hashes of the identities of its open requests.
         incarnation: Its incarnation in the membership; 0 if membership was off.
-
     """
 
     version: int = msgspec.field(name="v")
@@ -138,7 +136,6 @@
 
     Raises:
         InvalidMessageError: If the data is not a message of this protocol.
-
     """
     try:
         return _decoder.decode(data)
--- a/larchhaven/net/hot_restart_socket.py
+++ b/larchhaven/net/hot_restart_socket.py
@@ -55,7 +55,6 @@
         loop: The event loop.
         sock: The connected socket; the channel owns it from here on.
         listener: Receives the messages and the end.
-
     """
 
     def __init__(self, loop: EventLoop, sock: socket.socket, listener: ChannelListener) -> None:
@@ -71,7 +70,6 @@
 
         Returns:
             Whether it was sent.
-
         """
         if self.closed:
             return False
@@ -134,7 +132,6 @@
     Args:
         loop: The event loop.
         directory: The shared directory; if it is empty, nothing can be reached or listened to.
-
     """
 
     def __init__(self, loop: EventLoop, directory: str) -> None:
@@ -146,7 +143,6 @@
 
         Raises:
             OSError: If there is none.
-
         """
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         try:
@@ -165,7 +161,6 @@
 
         Raises:
             OSError: If the directory cannot hold a socket.
-
         """
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         temporary_name = f"{SOCKET_NAME}.{os.getpid()}"
--- a/larchhaven/net/lifecycle.py
+++ b/larchhaven/net/lifecycle.py
@@ -64,7 +64,6 @@
         shutdown: Shuts the proxy down.
         configuration_reload: Reads the configuration again.
         operator_file_reload: Reads the operators' file again.
-
     """
 
     def __init__(
--- a/larchhaven/net/peer_messaging.py
+++ b/larchhaven/net/peer_messaging.py
@@ -29,7 +29,6 @@
     Attributes:
         membership: The membership of this proxy among the others.
         forward_gossip: Forwards each gossip message to the other process of a hot restart.
-
     """
 
     def __init__(
--- a/larchhaven/net/proxy.py
+++ b/larchhaven/net/proxy.py
@@ -45,7 +45,6 @@
     Raises:
         ConfigurationError: If the operators' caps do not fit the grant.
         OSError: If an address cannot be listened at.
-
     """
 
     def __init__(
--- a/larchhaven/net/reload.py
+++ b/larchhaven/net/reload.py
@@ -44,7 +44,6 @@
         listener: Closes clients that do not read.
         membership: Is enabled and disabled by them.
         is_log_json: Whether the log is in JSON already.
-
     """
 
     def __init__(
@@ -81,7 +80,6 @@
         config: The configuration, which says what the machine grants.
         metrics: Counts the reloads.
         settings: Applies what was read.
-
     """
 
     def __init__(
@@ -137,7 +135,6 @@
         config: The configuration at the start.
         metrics: Counts the reloads.
         change_discovery_address: Has discovery called at another host and port.
-
     """
 
     def __init__(
--- a/larchhaven/net/resources.py
+++ b/larchhaven/net/resources.py
@@ -34,7 +34,6 @@
         health_check_pool: Those of health checks.
         directory: Where files are kept; empty if they are not.
         program_bytes: The resident size of the program before anything was made.
-
     """
 
     loop: EventLoop
@@ -58,7 +57,6 @@
 
     Raises:
         MemoryPlanError: If the operators' caps do not fit the grant.
-
     """
     program_bytes = measure_program_bytes(settings)
     memory_plan = plan_memory(limits, program_bytes, settings)
@@ -98,7 +96,6 @@
 
     Raises:
         MemoryPlanError: If the operators' caps do not fit the grant.
-
     """
     caps = caps_by_purpose(settings.caps)
     return plan.make_plan(grant_bytes(limits), program_bytes, limits.sockets, caps)
@@ -109,7 +106,6 @@
 
     Returns:
         How many of the wanted descriptors there may be.
-
     """
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if hard != resource.RLIM_INFINITY:
--- a/larchhaven/net/sampled_memory.py
+++ b/larchhaven/net/sampled_memory.py
@@ -41,7 +41,6 @@
         sticky_table: The sticky table, which can be evicted from.
         endpoints: Holds the endpoint list.
         count_membership_bytes: Counts what the membership takes.
-
     """
 
     def __init__(
--- a/larchhaven/net/state_transfer.py
+++ b/larchhaven/net/state_transfer.py
@@ -100,7 +100,6 @@
 
     Attributes:
         hot_restart: The channels to the other process.
-
     """
 
     def __init__(
@@ -131,7 +130,6 @@
 
         Args:
             on_started: Called once the state has arrived, or there is no predecessor.
-
         """
         self.hot_restart.start(on_started)
 
--- a/larchhaven/net/upstream_servers.py
+++ b/larchhaven/net/upstream_servers.py
@@ -66,7 +66,6 @@
         health_checks: The connections for health checks.
         endpoint_watch: The calls to discovery.
         latest_reports: The latest load report of each server, by its id.
-
     """
 
     def __init__(
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import ast
 import re
 from pathlib import Path
 
@@ -35,6 +36,26 @@
     assert not [name for name in names if not (ROOT / name).exists()]
 
 
+def defined_names() -> set[str]:
+    """Return the classes of the program, and their methods and attributes as ``Class.name``."""
+    names = set()
+    for path in (ROOT / "larchhaven").rglob("*.py"):
+        for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
+            if isinstance(node, ast.ClassDef):
+                names.add(node.name)
+                members = [each for each in node.body if isinstance(each, ast.FunctionDef)]
+                names |= {f"{node.name}.{member.name}" for member in members}
+    return names
+
+
+def test_classes_and_methods_of_the_page_of_architecture_are_there() -> None:
+    text = (ROOT / "docs" / "architecture.md").read_text(encoding="utf-8")
+    current, _, _ = text.partition("### Earlier names")
+    named = re.findall(r"`(?:[\w/]+\.)?([A-Z][a-z]\w*[a-z](?:\.\w+)?)`", current)
+    assert len(named) > 20
+    assert not set(named) - defined_names()
+
+
 def test_modules_of_the_page_of_architecture_are_there() -> None:
     text = (ROOT / "docs" / "architecture.md").read_text(encoding="utf-8")
     current, _, _ = text.partition("### Earlier names")
