--- a/larchhaven/net/control/request_spec.py
+++ b/larchhaven/net/control/request_spec.py
@@ -5,10 +5,12 @@
 from dataclasses import dataclass
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class RequestSpec:
     """What a client asks for.
 
+    It stays as it is, but for the payload, which is dropped once a server has accepted the request.
+
     Attributes:
         payload: What servers get to see, in the form of its protocol.
         class_index: Its class, by index into the settings.
@@ -36,3 +38,7 @@
     is_mid_flow: bool = False
     pinned_server_id: str | None = None
     tenant_index: int = 0
+
+    def drop_payload(self) -> None:
+        """Drop the payload: it may be 4 KiB long, and a connection may last for hours."""
+        self.payload = b""
--- a/larchhaven/net/control/request_table.py
+++ b/larchhaven/net/control/request_table.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import replace
 from functools import partial
 
 from larchhaven.memory.account import MemoryAccount
@@ -236,11 +235,10 @@
         request.connection = client.establish_connection(attempt, request.request_id, observer)
 
     def _release_payload(self, request: Request) -> None:
-        """Drop the payload: it may be 4 KiB long, and a connection may last for hours."""
         payload_bytes = len(request.spec.payload)
         self._account.release(MemoryPurpose.TABLES, payload_bytes)
         request.charged_bytes -= payload_bytes
-        request.spec = replace(request.spec, payload=b"")
+        request.spec.drop_payload()
 
     def _end_pending(self, request: Request) -> ClientConnection:
         """End a request that is owed an answer, and its attempt; return its client."""
