--- a/tests/model/test_network.py
+++ b/tests/model/test_network.py
@@ -1,4 +1,4 @@
-"""The simulated network loses, duplicates and blocks what it is told to."""
+"""The simulated network loses, duplicates and blocks as its conditions and cuts say."""
 
 from __future__ import annotations
 
