--- a/larchhaven/simulator/host.py
+++ b/larchhaven/simulator/host.py
@@ -61,12 +61,8 @@
 
     def run(self) -> int:
         """Answer batches until the input ends; return the exit code."""
-        while True:
-            self._batch = _Batch()
-            line = next(self._lines, None)
-            if line is None:
-                return 0
-            self._note_line(line)
+        for line in self._lines:
+            self._batch = _Batch(line=line.rstrip("\n"), line_count=1)
             try:
                 reply = self._answer()
             except FormatError as error:
@@ -74,23 +70,26 @@
                 return FAULT_EXIT_CODE
             self._out.write("\n".join(reply) + "\n")
             self._out.flush()
-
-    def _note_line(self, line: str) -> str:
-        self._batch.line = line.rstrip("\n")
-        self._batch.line_count += 1
-        return self._batch.line
+        return 0
 
     def _take_line(self) -> str:
         line = next(self._lines, None)
         if line is None:
             raise codec.UnexpectedLineError(f"{END_OF_BATCH!r}, but the input ended")
-        return self._note_line(line)
+        batch = self._batch
+        batch.line_count += 1
+        batch.line = text = line.rstrip("\n")
+        return text
 
     def _answer(self) -> list[str]:
         batch = self._batch
         now_us = self._read_clock(batch.line.split(" "))
-        while (line := self._take_line()) != END_OF_BATCH:
-            self._read_line(line)
+        while (text := self._take_line()) != END_OF_BATCH:
+            line = text.split(" ")
+            if line[0] == "context":
+                batch.proxy_index = codec.decode_proxy_index(line)
+            else:
+                self._read_line(line, text)
         reply = []
         for proxy_index, events in batch.events.items():
             actions = self._balancers[proxy_index].handle(now_us, events)
@@ -110,13 +109,10 @@
         self._batch.number = str(codec.decode_clock(number))
         return now_us
 
-    def _read_line(self, text: str) -> None:
-        batch = self._batch
-        line = text.split(" ")
+    def _read_line(self, line: list[str], text: str) -> None:
+        """Read a line for the current proxy: split, and as it came."""
         name = line[0]
-        if name == "context":
-            batch.proxy_index = codec.decode_proxy_index(line)
-            return
+        batch = self._batch
         proxy_index = batch.proxy_index
         if proxy_index is None:
             raise codec.UnexpectedLineError("'context i' ahead of the first event")
@@ -127,13 +123,12 @@
             raise codec.UnexpectedLineError(expectation)
         elif name == "teardown":
             self._stop_proxy(proxy_index, line)
+        elif name == "view":
+            update = codec.decode_endpoint_list(line, self._take_line)
+            batch.events.setdefault(proxy_index, []).append(update)
         else:
-            batch.events.setdefault(proxy_index, []).append(self._decode_event(line))
-
-    def _decode_event(self, line: list[str]) -> Event:
-        if line[0] == "view":
-            return codec.decode_endpoint_list(line, self._take_line)
-        return codec.decode_event(line)
+            event = codec.decode_event(line)
+            batch.events.setdefault(proxy_index, []).append(event)
 
     def _start_proxy(self, proxy_index: int, text: str) -> None:
         line = text.split(" ", 2)
