--- a/larchhaven/routing/admission.py
+++ b/larchhaven/routing/admission.py
@@ -5,8 +5,8 @@
 from bisect import bisect_left
 from collections import deque
 from collections.abc import Mapping
-from dataclasses import dataclass
 from itertools import accumulate
+from typing import NamedTuple
 
 from larchhaven.routing.arrival_statistics import MIN_LOAD_CORES
 from larchhaven.routing.live_peers import LivePeers
@@ -19,8 +19,7 @@
 PRIORITY_WINDOW = 32  # arrivals among which the priority of the next is ranked
 
 
-@dataclass(frozen=True, slots=True)
-class AdmissionThresholds:
+class AdmissionThresholds(NamedTuple):
     """At which pressure load is shed; all are ratios of load over capacity.
 
     Attributes:
--- a/larchhaven/routing/migration.py
+++ b/larchhaven/routing/migration.py
@@ -4,8 +4,8 @@
 
 import random
 from collections.abc import Iterable, Mapping
-from dataclasses import dataclass
 from functools import partial
+from typing import NamedTuple
 
 from larchhaven.routing.actions import MigrateConnection
 from larchhaven.routing.arrival_statistics import ArrivalStatistics
@@ -19,8 +19,7 @@
 from larchhaven.routing.settings import RoutingSettings
 
 
-@dataclass(frozen=True, slots=True)
-class RebalancingLimits:
+class RebalancingLimits(NamedTuple):
     """When connections are moved off an overloaded server, and how many.
 
     Attributes:
@@ -36,8 +35,7 @@
     cool_down_lags: int = 3  # migrated clients reconnect only after a while
 
 
-@dataclass(frozen=True, slots=True)
-class DrainPace:
+class DrainPace(NamedTuple):
     """How fast the connections of a draining server are moved.
 
     Attributes:
--- a/larchhaven/simulator/host.py
+++ b/larchhaven/simulator/host.py
@@ -1,4 +1,4 @@
-"""Hosts one balancer for each simulated proxy: ``python -m larchhaven.simulator.host``.
+"""Hosts one balancer for each simulated proxy.
 
 The simulator sends batches: a clock line, lines that name a proxy and its events, and a line that
 ends the batch. The host answers each batch with the actions of all its proxies.
@@ -6,7 +6,6 @@
 
 from __future__ import annotations
 
-import gc
 import sys
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
@@ -22,8 +21,6 @@
 NO_BATCH = "-"
 MAX_SHOWN_LINE_LENGTH = 200
 FAULT_EXIT_CODE = 2
-# Balancers make next to no reference cycles, so frequent full collections would find nothing.
-GC_THRESHOLDS = 100_000, 50, 50
 
 
 @dataclass(slots=True)
@@ -154,15 +151,3 @@
             self._out.write(f"on_behalf {batch.proxy_index}\n")
         self._out.write(f"fault {text}\nnext {batch.number}\n")
         self._out.flush()
-
-
-def main() -> int:
-    """Serve the simulator on standard input and output; return the exit code."""
-    gc.set_threshold(*GC_THRESHOLDS)
-    sys.stdin.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
-    sys.stdout.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
-    return SimulatorHost(sys.stdin, sys.stdout).run()
-
-
-if __name__ == "__main__":
-    sys.exit(main())
--- a/tests/simulator/test_codec.py
+++ b/tests/simulator/test_codec.py
@@ -232,7 +232,7 @@
 
 
 def test_host_process_answers_and_exits_with_the_input() -> None:
-    command = [sys.executable, "-m", "larchhaven.simulator.host"]
+    command = [sys.executable, "-m", "larchhaven.simulator"]
     text = OPENING + "clock 2000 2\nyour_turn\n"
     done = subprocess.run(
         command, input=text, capture_output=True, text=True, timeout=60, check=False
