--- a/larchhaven/simulator/__main__.py
+++ b/larchhaven/simulator/__main__.py
@@ -15,6 +15,7 @@
     gc.set_threshold(*GC_THRESHOLDS)
     from larchhaven.simulator.host import SimulatorHost
 
+    gc.freeze()  # what was loaded at the start stays to the end
     sys.stdin.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
     sys.stdout.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
     return SimulatorHost(sys.stdin, sys.stdout).run()
