--- /dev/null
+++ b/tests/net/test_endpoint_updates.py
@@ -0,0 +1,110 @@
+"""Endpoint updates: the watch of the endpoint list and what its events change."""
+
+from __future__ import annotations
+
+import json
+import select
+
+import pytest
+
+from tests.proxy_harness import (
+    SETTINGS,
+    Proxy,
+    Wire,
+    answer_watch,
+    host,
+    opening,
+)
+
+REQUEST_FIELDS = "c=chat,d=2000,g=ab"
+
+
+@pytest.mark.parametrize("proxy", [{"discovery": "subscribe"}], indirect=True)
+def test_watch_is_renewed_and_its_events_are_applied(proxy: Proxy) -> None:
+    discovery = Wire(proxy.discovery.accept()[0])
+    draining = host("s0", proxy.instances[0], "draining")
+    update = json.dumps({"seq": 8, "whole": False, "hosts": [draining]})
+    assert answer_watch(discovery, update).startswith("GET /v1/endpoints?from=7&hold_ms=")
+    assert discovery.line().startswith("GET /v1/endpoints?from=8&hold_ms=")
+    while discovery.line():
+        pass
+    clients = [proxy.client(opening(REQUEST_FIELDS)) for _ in range(6)]
+    for _ in clients:
+        assert proxy.accept(proxy.instances[1]).line()
+    complete_list = json.dumps({"seq": 9, "whole": True, "hosts": [host("s0", proxy.instances[0])]})
+    discovery.sock.sendall(
+        f"HTTP/1.1 200 OK\r\nContent-Length: {len(complete_list)}\r\n\r\n{complete_list}".encode()
+    )
+    assert discovery.line().startswith("GET /v1/endpoints?from=9&hold_ms=")
+    client = proxy.client(opening(f"{REQUEST_FIELDS},at=s0"))
+    assert proxy.accept(proxy.instances[0]).line()
+    client.close()
+
+
+LONG_DEADLINE_SERVICES = [
+    {**service, "aim": 40_000_000, "deadline": 60_000_000} for service in SETTINGS["services"]
+]
+
+
+@pytest.mark.parametrize("proxy", [{"services": LONG_DEADLINE_SERVICES}], indirect=True)
+def test_endpoint_list_is_received_before_the_first_attempt(proxy: Proxy) -> None:
+    """Guards the drain rule: the previous list is old, so every watch event counts at once."""
+    clients = [proxy.client(opening("c=chat,d=50000,g=ab")) for _ in range(4)]
+    late = proxy.client("PING")
+    assert (
+        late.line() == "PONG"
+    )  # what came before it has been read, and a whole iteration has passed
+    late.send("PING")
+    assert late.line() == "PONG"
+    assert not select.select(proxy.instances, [], [], 0)[0]
+    update = json.dumps(
+        {"seq": 8, "whole": False, "hosts": [host("s0", proxy.instances[0], "draining")]}
+    )
+    assert "hold_ms=0" in answer_watch(Wire(proxy.discovery.accept()[0]), update)
+    for _ in clients:
+        assert proxy.accept(proxy.instances[1]).line()
+
+
+@pytest.mark.parametrize("proxy", [{"discovery": "subscribe"}], indirect=True)
+def test_clients_of_a_draining_server_are_migrated(proxy: Proxy) -> None:
+    """Guards clients that learn of a drain only when their server exits and disconnects them."""
+    ends = []
+    for number in (0, 1, 0):
+        client = proxy.client(opening(f"{REQUEST_FIELDS},at=s{number}"))
+        server = proxy.accept(proxy.instances[number])
+        server.line()
+        server.send("UP 1")
+        assert client.line() == "UP 1"
+        ends.append((client, server))
+    update = json.dumps({"seq": 8, "hosts": [host("s0", proxy.instances[0], "draining")]})
+    answer_watch(Wire(proxy.discovery.accept()[0]), update)
+    for client, server in (ends[0], ends[2]):
+        assert [client.line(), client.line(), server.line()] == ["MOVE", "", ""]
+    client, server = ends[1]
+    client.send("still here")
+    assert server.line() == "still here"
+
+
+@pytest.mark.parametrize(
+    ("body", "status"),
+    [
+        ("", "503 Service Unavailable"),
+        ("{", "200 OK"),
+        ('{"seq":"x","hosts":[]}', "200 OK"),
+        ('{"seq":8,"hosts":[{"host":1}]}', "200 OK"),
+        ("\xff\x00", "200 OK"),
+        ("", "what is this"),
+    ],
+)
+@pytest.mark.parametrize("proxy", [{"discovery": "subscribe"}], indirect=True)
+def test_invalid_answer_of_discovery_is_retried_and_the_old_list_kept(
+    proxy: Proxy, body: str, status: str
+) -> None:
+    answer_watch(Wire(proxy.discovery.accept()[0]), body, status)
+    again = Wire(proxy.discovery.accept()[0])
+    assert again.line().startswith("GET /v1/endpoints?from=7&hold_ms=")
+    again.reset()
+    client = proxy.client(opening(REQUEST_FIELDS))
+    assert proxy.accept().line()
+    client.close()
+    assert Wire(proxy.discovery.accept()[0]).line()
