--- a/tests/membership/test_datagrams.py
+++ b/tests/membership/test_datagrams.py
@@ -198,9 +198,10 @@
     assert authenticator.open(DatagramAuthenticator(1, 4, 1, (b"stolen",)).seal(ping)) is None
     for other in (replace(ping, receiver=3), replace(ping, sender=9), replace(ping, sender=0)):
         assert authenticator.open(DatagramAuthenticator(1, 4, 1, (b"new",)).seal(other)) is None
+    # The datagram comes from another address.
     assert (
         authenticator.open(DatagramAuthenticator(1, 4, 2, (b"new",)).seal(ping), sender=3) is None
-    )  # of another address
+    )
     future = bytearray(encode(ping, b"new"))
     future[1] += 1
     assert authenticator.open(bytes(future)) is None
--- a/tests/membership/test_failure_detection.py
+++ b/tests/membership/test_failure_detection.py
@@ -55,9 +55,8 @@
     assert times == sorted(times, reverse=True)
     assert times[-1] == CONFIG.min_suspicion_us
     assert suspicion.deadline_us(9) == alone
-    assert (
-        Suspicion.begin(0, 1, 2, CONFIG).deadline_us(1) == CONFIG.min_suspicion_us
-    )  # of two nobody else can confirm
+    # With two members nobody else can confirm.
+    assert Suspicion.begin(0, 1, 2, CONFIG).deadline_us(1) == CONFIG.min_suspicion_us
 
 
 def test_accuser_probes_again_until_the_deadline() -> None:
--- a/tests/membership/test_partition.py
+++ b/tests/membership/test_partition.py
@@ -44,8 +44,8 @@
 def test_death_moves_only_the_keys_of_the_dead_member(
     key: bytes, numbers: set[int], data: st.DataObject
 ) -> None:
-    whole = view_of(dict.fromkeys(numbers, MemberState.ALIVE), zones=1)
-    chosen = choose_members(whole, key, 3)
+    complete = view_of(dict.fromkeys(numbers, MemberState.ALIVE), zones=1)
+    chosen = choose_members(complete, key, 3)
     assert len(set(chosen)) == 3
     assert set(chosen) <= numbers
     dead = data.draw(st.sampled_from(sorted(numbers)))
@@ -82,10 +82,10 @@
 
 def test_partition_side_follows_from_the_last_agreement() -> None:
     tracker = PartitionTracker()
-    whole = dict.fromkeys(range(6), MemberState.ALIVE)
-    assert tracker.update(0, view_of(whole)).side is PartitionSide.UNKNOWN
-    assert tracker.update(AGREEMENT_DELAY_US, view_of(whole)).side is PartitionSide.WHOLE
-    larger = {**whole, 0: MemberState.DEAD, 3: MemberState.DEAD}
+    complete = dict.fromkeys(range(6), MemberState.ALIVE)
+    assert tracker.update(0, view_of(complete)).side is PartitionSide.UNKNOWN
+    assert tracker.update(AGREEMENT_DELAY_US, view_of(complete)).side is PartitionSide.WHOLE
+    larger = {**complete, 0: MemberState.DEAD, 3: MemberState.DEAD}
     status = tracker.update(AGREEMENT_DELAY_US + 1, view_of(larger))
     assert (status.side, status.present_count, status.agreed_count, status.lost_zones) == (
         PartitionSide.MAJORITY,
@@ -99,16 +99,14 @@
         assert (status.side, status.agreed_count) == (PartitionSide.MINORITY, 6)
     half = {n: MemberState.ALIVE if n < 3 else MemberState.DEAD for n in range(6)}
     other = {n: MemberState.ALIVE if n >= 3 else MemberState.DEAD for n in range(6)}
-    assert (
-        tracker.update(30 * AGREEMENT_DELAY_US, view_of(half)).side is PartitionSide.MAJORITY
-    )  # it has the lowest number
+    # This half has the lowest number.
+    assert tracker.update(30 * AGREEMENT_DELAY_US, view_of(half)).side is PartitionSide.MAJORITY
     fresh = PartitionTracker()
     fresh.agreed = frozenset(range(6))
     assert fresh.update(0, view_of(other)).side is PartitionSide.MINORITY
     gone = {n: MemberState.ALIVE if n in (0, 3) else MemberState.LEFT for n in range(6)}
-    assert (
-        fresh.update(1, view_of(gone)).side is PartitionSide.WHOLE
-    )  # members that left do not count
+    # Members that left do not count.
+    assert fresh.update(1, view_of(gone)).side is PartitionSide.WHOLE
 
 
 def test_confidence_falls_with_suspects_and_after_a_pause() -> None:
@@ -121,20 +119,19 @@
     }
     assert tracker.update(0, view_of(states)).confidence_ratio == 0.5
     assert tracker.update(0, view_of(states, is_synchronized=False)).confidence_ratio == 0.0
-    assert (
-        tracker.update(9 * AGREEMENT_DELAY_US, view_of(states)).side is PartitionSide.UNKNOWN
-    )  # nothing is agreed with suspects
+    # Nothing is agreed with suspects.
+    assert tracker.update(9 * AGREEMENT_DELAY_US, view_of(states)).side is PartitionSide.UNKNOWN
 
 
 def test_only_a_synchronized_majority_takes_others_out() -> None:
     """Work for all is divided among the rest: the minority side must not take all of it."""
     tracker = PartitionTracker()
-    whole = dict.fromkeys(range(6), MemberState.ALIVE)
-    assert presumed_present(view_of(whole), tracker.update(0, view_of(whole))) == frozenset(
+    complete = dict.fromkeys(range(6), MemberState.ALIVE)
+    assert presumed_present(view_of(complete), tracker.update(0, view_of(complete))) == frozenset(
         range(64)
     )
-    tracker.update(AGREEMENT_DELAY_US, view_of(whole))
-    lost = {**whole, 1: MemberState.DEAD, 2: MemberState.LEFT, 3: MemberState.SUSPECT}
+    tracker.update(AGREEMENT_DELAY_US, view_of(complete))
+    lost = {**complete, 1: MemberState.DEAD, 2: MemberState.LEFT, 3: MemberState.SUSPECT}
     seen = view_of(lost)
     assert presumed_present(seen, tracker.update(AGREEMENT_DELAY_US + 1, seen)) == frozenset(
         range(64)
--- a/tests/membership/test_protocol.py
+++ b/tests/membership/test_protocol.py
@@ -69,14 +69,14 @@
     assert membership.health.score == 1  # a member that has to refute may be slow
     receive_updates(membership, 20, accusation)  # a stale one changes nothing any more
     assert membership.incarnation == before + 1
-    receive_updates(
-        membership, 30, StateUpdate(0, make_stamp(before + 7, MemberState.DEAD), 3)
-    )  # an earlier process was declared dead
+    # An earlier process was declared dead.
+    receive_updates(membership, 30, StateUpdate(0, make_stamp(before + 7, MemberState.DEAD), 3))
     assert membership.incarnation == before + 8
     assert membership.view.state_of(0) is MemberState.ALIVE
+    # There is no larger incarnation.
     receive_updates(
         membership, 40, StateUpdate(0, make_stamp(MAX_INCARNATION, MemberState.DEAD), 3)
-    )  # nothing is above it
+    )
     assert membership.incarnation == before + 8
 
 
--- a/tests/net/control/test_peer_socket.py
+++ b/tests/net/control/test_peer_socket.py
@@ -41,9 +41,8 @@
     for _ in range(3):
         stranger.sendto(PROXY_STARTED, address)
     known.sendto(bytes(MAX_DATAGRAM_BYTES + 1), address)
-    known.sendto(
-        PROXY_STARTED, address
-    )  # on loopback nothing overtakes what one socket sent before
+    # On loopback nothing overtakes what one socket sent before.
+    known.sendto(PROXY_STARTED, address)
     for _ in range(200):
         loop.call_later(10_000, lambda: None)
         loop.run_once()
--- a/tests/net/test_endpoint_updates.py
+++ b/tests/net/test_endpoint_updates.py
@@ -53,9 +53,8 @@
     """Guards the drain rule: the previous list is old, so every watch event counts at once."""
     clients = [proxy.connect_client(make_request_line("c=chat,d=50000,g=ab")) for _ in range(4)]
     late = proxy.connect_client("PING")
-    assert (
-        late.read_line() == "PONG"
-    )  # what came before it has been read, and a whole iteration has passed
+    # The answer shows that earlier input has been read and a complete iteration has passed.
+    assert late.read_line() == "PONG"
     late.send_line("PING")
     assert late.read_line() == "PONG"
     assert not select.select(proxy.servers, [], [], 0)[0]
--- a/tests/net/test_hot_restart.py
+++ b/tests/net/test_hot_restart.py
@@ -220,7 +220,7 @@
     for _ in range(2_000):
         data = peer.recv(300)
         if data[:1] != DATAGRAM_PREFIX:
-            continue  # the decision module's
+            continue  # gossip of the decisions
         message = decode(data, [KEY])
         if (
             message.stamp
@@ -248,9 +248,8 @@
     successor.process.communicate()
     third = receive_own_update(predecessor.peer, other_than=second.session_id)
     while third.session_id == first.session_id and third.stamp <= second.stamp:
-        third = receive_own_update(
-            predecessor.peer, other_than=second.session_id
-        )  # what was in the socket
+        # This one was still in the socket.
+        third = receive_own_update(predecessor.peer, other_than=second.session_id)
     assert third.stamp >> 2 > first.stamp >> 2
     host, port = predecessor.configuration["peer_listen"].split(":")
     speaks = Message(MessageKind.GOSSIP, 1, 0, make_stamp(5, MemberState.ALIVE))
--- a/tests/net/test_request_lines.py
+++ b/tests/net/test_request_lines.py
@@ -138,9 +138,9 @@
 def test_idle_clients_do_not_keep_other_clients_out(proxy: ProxyProcess, data: str) -> None:
     """Guards normal clients, which waited behind silent ones until these timed out after 10 s."""
     idle_clients = [proxy.connect_client() for _ in range(300)]
-    for wire in idle_clients:
-        with contextlib.suppress(OSError):  # some have had to give way already
-            wire.sock.sendall(data.encode())
+    for idle_client in idle_clients:
+        with contextlib.suppress(OSError):  # some are shed already
+            idle_client.sock.sendall(data.encode())
     client, server = proxy.establish("c=chat,d=1000,g=ab")
     client.send_line("still here")
     assert server.read_line() == "still here"
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -26,9 +26,9 @@
 
 
 def test_help_teaches_each_command() -> None:
-    whole = run("--help").stdout
+    help_text = run("--help").stdout
     for command in ("serve", "check", "memory", "lab", "soak"):
-        assert command in whole
+        assert command in help_text
     assert "Example" in run("soak", "--help").stdout
     assert "No such command" in run("frob", code=2).stderr
 
@@ -59,18 +59,18 @@
 def test_check_tells_all_at_once_and_sums_against_the_grant(tmp_path: Path) -> None:
     path = tmp_path / "operator.textproto"
     path.write_text("memory { bufers: 1 }\nlog { form: XML }\n")
-    told = json.loads(run("check", "--operator", str(path), "--json", code=2).stdout)
-    assert [(c["line"], c["column"]) for c in told["complaints"]] == [
+    printed = json.loads(run("check", "--operator", str(path), "--json", code=2).stdout)
+    assert [(c["line"], c["column"]) for c in printed["complaints"]] == [
         (1, 10),
         (2, 13),
     ]
-    assert not told["holds"]
+    assert not printed["holds"]
     path.write_text("\n memory { buffers: 400 }\n")
-    told = json.loads(
+    printed = json.loads(
         run("check", "--config", EXAMPLE, "--operator", str(path), "--json", code=2).stdout
     )
-    assert [(c["line"], c["column"]) for c in told["complaints"]] == [(2, 2)]
-    assert "of the 192 MB granted" in told["complaints"][0]["text"]
+    assert [(c["line"], c["column"]) for c in printed["complaints"]] == [(2, 2)]
+    assert "of the 192 MB granted" in printed["complaints"][0]["text"]
 
 
 def test_plan_is_shown_for_a_grant() -> None:
@@ -171,11 +171,11 @@
 def test_model_plays_and_says_whether_it_holds(tmp_path: Path) -> None:
     path = tmp_path / "small.textproto"
     path.write_text(SMALL)
-    told = json.loads(run("model", "run", str(path), "--seed", "3", "--json").stdout)
-    assert told["holds"]
-    assert told["deaths"][0]["agreed"] < 9
+    printed = json.loads(run("model", "run", str(path), "--seed", "3", "--json").stdout)
+    assert printed["holds"]
+    assert printed["deaths"][0]["agreed"] < 9
     text = run("model", "run", str(path), "--seed", "3").stdout
-    assert told["trace"] in text
+    assert printed["trace"] in text
     assert "2 died at 5 s" in text
     assert text.endswith("holds\n")
     path.write_text(SMALL.replace("seconds: 14", "seconds: 6"))  # too short for anybody to agree
@@ -212,10 +212,12 @@
 
 
 def test_model_search_counts_its_states() -> None:
-    told = json.loads(run("model", "search", "--scene", "accused", "--depth", "3", "--json").stdout)
-    assert told[0]["states"] > 20
-    assert told[0]["deepest"] == 3
-    assert not told[0]["broken"]
+    printed = json.loads(
+        run("model", "search", "--scene", "accused", "--depth", "3", "--json").stdout
+    )
+    assert printed[0]["states"] > 20
+    assert printed[0]["deepest"] == 3
+    assert not printed[0]["broken"]
     assert "known are" in run("model", "search", "--scene", "none", code=2).stderr
 
 
@@ -230,10 +232,12 @@
     proxy.process.kill()
     proxy.process.communicate()
     proxy.start()
-    told = ""
-    while "(this one)" not in told:  # it takes an incarnation when nobody has answered for a second
-        told = run("members", "{}:{}".format(*proxy.management), code=1).stdout
-    assert "1 never heard of" in told
-    assert "not synchronized" in told
+    printed = ""
+    while (
+        "(this one)" not in printed
+    ):  # it takes an incarnation when nobody has answered for a second
+        printed = run("members", "{}:{}".format(*proxy.management), code=1).stdout
+    assert "1 never heard of" in printed
+    assert "not synchronized" in printed
     assert "HOST:PORT" in run("members", "nowhere", code=2).stderr
     assert "members" in run("members", "127.0.0.1:1", code=2).stderr
