--- a/tests/test_membership_datagrams.py
+++ b/tests/membership/test_datagrams.py
@@ -37,7 +37,7 @@
     MessageKind,
     StateUpdate,
 )
-from tests.membership_harness import (
+from tests.membership.harness import (
     CONFIG,
     SECOND_US,
     STATE_UPDATES,
@@ -110,7 +110,7 @@
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(MESSAGES, st.binary(max_size=60))
 def test_any_body_with_a_valid_tag_is_decoded_or_rejected(sent: Message, tail: bytes) -> None:
-    """Whoever has the key may be of another version, or faulty: decoding must not fail otherwise."""
+    """A sender with the key may be faulty or of another version: no other error is raised."""
     body = (encode(sent)[:-TAG_BYTES] + tail)[: MAX_DATAGRAM_BYTES - TAG_BYTES]
     authenticator = DatagramAuthenticator(sent.receiver % 8, 8, 1)
     read = authenticator.open(body + compute_tag(body, b""))
@@ -198,9 +198,10 @@
     assert authenticator.open(DatagramAuthenticator(1, 4, 1, (b"stolen",)).seal(ping)) is None
     for other in (replace(ping, receiver=3), replace(ping, sender=9), replace(ping, sender=0)):
         assert authenticator.open(DatagramAuthenticator(1, 4, 1, (b"new",)).seal(other)) is None
+    # The datagram comes from another address.
     assert (
         authenticator.open(DatagramAuthenticator(1, 4, 2, (b"new",)).seal(ping), sender=3) is None
-    )  # of another address
+    )
     future = bytearray(encode(ping, b"new"))
     future[1] += 1
     assert authenticator.open(bytes(future)) is None
--- a/tests/testbed/test_proxy_fleet.py
+++ b/tests/testbed/test_proxy_fleet.py
@@ -1,4 +1,4 @@
-"""Real processes with a faulty network between them: membership through kills, pauses, cuts, forgeries."""
+"""Membership of real processes through kills, pauses, cuts and forged datagrams."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
 
 
 async def no_harm_by_links(fleet: ProxyFleet) -> None:
-    """Cut pairs that others still reach, a lossy network, a short pause: nobody is declared dead."""
+    """Cut pairs that others reach, a lossy network, a short pause: nobody is declared dead."""
     await agreed(fleet, {})
     fleet.network.cut_links([2], [3], one_way=True)
     fleet.network.cut_links([4], [5])
@@ -71,7 +71,7 @@
 
 
 async def forged(fleet: ProxyFleet) -> None:
-    """What no member sent, was cut short, was heard before, or a later version sends: counted only."""
+    """Forged, truncated and replayed datagrams, and those of later versions, are only counted."""
     before = await fleet.read_view(0)
     key = derive_key(MEMBERSHIP_KEY)
     death = StateUpdate(2, make_stamp(1 << 29, MemberState.DEAD), 1)
@@ -103,7 +103,7 @@
 
 
 async def roll_key(fleet: ProxyFleet) -> None:
-    """First all are given the new key as their second, then as their first: nobody is lost on the way."""
+    """All get the new key as their second, then as their first: no member is lost on the way."""
     for text in (
         write_operator_text(MEMBERSHIP_KEY, "the next key of all"),
         write_operator_text("the next key of all", MEMBERSHIP_KEY),
@@ -117,7 +117,7 @@
 
 
 async def deaths(fleet: ProxyFleet) -> None:
-    """A restart without files; a long pause; a graceful shutdown; half of the fleet killed at once."""
+    """A restart without files; a long pause; a graceful shutdown; half of the fleet killed."""
     fleet.kill(3)
     fleet.pause(5)
     await agreed(fleet, {3: "dead", 5: "dead"})
@@ -159,7 +159,7 @@
         step = await fleet.wait_until(f"{number} says that it is of the {part}", says, LATER)
         assert step.holds, step
 
-    # The larger part says so for SETTLED_US only, then it is the whole: looked for first, not after the rest.
+    # The larger side is a majority for AGREEMENT_DELAY_US only, then it is the whole: so first.
     await parts_are(theirs[0], "majority", [1], fleet.size)
     await agreed(fleet, dict.fromkeys(theirs, "dead"), LATER, observers=ours)
     await agreed(fleet, dict.fromkeys(ours, "dead"), LATER, observers=theirs)
@@ -167,7 +167,7 @@
     await parts_are(ours[0], "minority", [0, 2], fleet.size)  # however long it waits
     fleet.network.heal_links(ours, theirs)
     await agreed(fleet, {})
-    # One has another table of peers, as after a change that reached some only: no harm, and it is counted.
+    # One has another table of peers, as after a change that reached some only: it is counted.
     one = fleet.proxies[0]
     one.configuration["peers"] = one.configuration["peers"][:-1]
     fleet.kill(0)
--- a/tests/testbed/test_scenarios.py
+++ b/tests/testbed/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Scenarios hold against the real program, and those of the repository are read without complaint."""
+"""Scenarios hold against the real program, and those of the repository can be read."""
 
 from __future__ import annotations
 
