--- a/larchhaven/routing/actions.py
+++ b/larchhaven/routing/actions.py
@@ -1,4 +1,4 @@
-"""Actions that the balancer asks for: what is to be done, as small frozen types."""
+"""Output actions of the balancer, as small immutable types; durations are in microseconds."""
 
 from __future__ import annotations
 
@@ -9,7 +9,15 @@
 
 @dataclass(frozen=True, slots=True)
 class StartAttempt:
-    """Begin an attempt; the attempts of a request count up from 0 in the order sent."""
+    """Send a request to a server.
+
+    The attempts of a request are numbered from 0 in the order in which they start.
+
+    Attributes:
+        request_id: Id of the request.
+        server_id: The server to send it to.
+        timeout_us: Time limit of the attempt; 0 for no limit but the deadline of the request.
+    """
 
     request_id: int
     server_id: str
@@ -18,7 +26,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RejectRequest:
-    """Final answer: not served, and a retry does no harm."""
+    """Final answer: the request was not served, and the client may safely retry it.
+
+    Attributes:
+        request_id: Id of the request.
+        retry_after_us: Advice to the client when to retry; 0 for none.
+    """
 
     request_id: int
     retry_after_us: int = 0
@@ -26,14 +39,14 @@
 
 @dataclass(frozen=True, slots=True)
 class FailRequest:
-    """Final answer: failed, with no promise about its effect."""
+    """Final answer: the request failed, and may or may not have been executed."""
 
     request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Stop waiting for an attempt."""
+    """Cancel an attempt that is in flight."""
 
     request_id: int
     attempt: int
@@ -41,21 +54,21 @@
 
 @dataclass(frozen=True, slots=True)
 class MigrateConnection:
-    """End an established connection politely, so that its client reconnects."""
+    """Ask the client of an established connection to reconnect."""
 
     request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class CheckHealth:
-    """Ask a server for its load report."""
+    """Send a health check to a server, which answers with its load report."""
 
     server_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class SendGossip:
-    """Send a message to one other proxy, or to every one if ``peer_index`` is None."""
+    """Send a message to one peer, or to all peers if ``peer_index`` is None."""
 
     peer_index: int | None
     message: GossipMessage
@@ -63,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartTimer:
-    """Ask for a ``TimerFired`` after a while."""
+    """Request a ``TimerFired`` event after a delay."""
 
     timer_id: int
     delay_us: int
@@ -78,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PollEndpoints:
-    """Ask once for the complete endpoint list."""
+    """Fetch the complete endpoint list once."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -90,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogMessage:
-    """A line for the operators' log."""
+    """Write a line to the operators' log."""
 
     text: str
 
--- a/larchhaven/routing/admission.py
+++ b/larchhaven/routing/admission.py
@@ -1,4 +1,4 @@
-"""Admission: load is shed early rather than servers overloaded, the least priority first."""
+"""Admission control: sheds load before servers are overloaded, lowest priority first."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 from larchhaven.routing.server import Server
 from larchhaven.routing.settings import RoutingSettings
 
-PRIORITY_WINDOW = 32  # arrivals among which the priority of the next is ranked
+PRIORITY_WINDOW = 32  # recent arrivals that a new one is ranked against
 
 
 class AdmissionThresholds(NamedTuple):
-    """At which pressure load is shed; all are ratios of load over capacity.
+    """Pressure levels at which load is shed, as ratios of load over capacity.
 
     Attributes:
-        shed_from_ratio: From here arrivals are rejected, those of the least priority first.
-        shed_all_ratio: From here all are.
-        max_spread_ratio: The pressure lies above the lowest server by so much at most.
+        shed_from_ratio: Above this pressure arrivals are rejected, lowest priority first.
+        shed_all_ratio: Above this pressure every arrival is rejected.
+        max_spread_ratio: Largest amount by which the pressure may exceed the lowest load ratio.
     """
 
     shed_from_ratio: float = 0.5
@@ -37,7 +37,7 @@
 
 
 class Admission:
-    """Decides whether an arrival is rejected, by its priority and the load of the fleet."""
+    """Decides whether to reject an arrival, by its priority and the load of the fleet."""
 
     def __init__(
         self,
@@ -49,7 +49,7 @@
         connection_counts: Mapping[int, int],
     ) -> None:
         self._has_tenants = bool(settings.tenants)
-        # The last quota is that of requests of no tenant.
+        # The last quota applies to requests without a tenant.
         self._quotas = [*(tenant.connection_quota for tenant in settings.tenants), 0.0]
         self._over_quota_factor = settings.over_quota_priority_factor
         self._weighs_priority_by_load = settings.weighs_priority_by_load
@@ -60,12 +60,15 @@
         self._recent_densities: deque[float] = deque(maxlen=PRIORITY_WINDOW)
 
     def should_reject(self, request: Request) -> bool:
-        """Return whether an arrival is to be rejected at once; it counts for later ones."""
+        """Return whether to reject an arrival at once.
+
+        Every arrival is recorded, so that later ones are ranked against it.
+        """
         density = self._priority_density(request)
         rank = self._rank(density)
         self._recent_densities.append(density)
         usable = [server for _, server in self._ranking.usable_servers(request)]
-        # Where nobody reports, slow messages alone tell how full the fleet is.
+        # Without load reports, slow messages are the only sign of a full fleet.
         has_reports = self._load_estimate.has_reports()
         occupancy_ratio = self._load_estimate.occupancy_ratio
         open_servers = usable
@@ -74,24 +77,29 @@
         if not open_servers:
             return bool(usable)
         weights = list(accumulate(server.weight for server in open_servers))
-        middle = open_servers[bisect_left(weights, weights[-1] / 2)]
-        pressure = occupancy_ratio(middle)
+        weighted_median = open_servers[bisect_left(weights, weights[-1] / 2)]
+        pressure = occupancy_ratio(weighted_median)
         if has_reports:
-            lowest = occupancy_ratio(open_servers[0])
-            pressure = min(pressure, lowest + THRESHOLDS.max_spread_ratio)
+            lowest_ratio = occupancy_ratio(open_servers[0])
+            pressure = min(pressure, lowest_ratio + THRESHOLDS.max_spread_ratio)
         shed_range = THRESHOLDS.shed_all_ratio - THRESHOLDS.shed_from_ratio
         return rank < (pressure - THRESHOLDS.shed_from_ratio) / shed_range
 
     def would_overload(self, request: Request, server: Server) -> bool:
-        """Return whether a request has to be rejected rather than placed on the drawn server.
+        """Return whether placing a request on the selected server would overload it.
 
-        A mid-flow connection is placed in any case, and a server of which nothing is known is used.
+        Mid-flow connections are always placed. A server counts as overloaded only if its load is
+        known, from a report or from this proxy's own placements.
         """
-        is_known = server.reported_ratio is not None or server.unreported_load > 0
-        return is_known and not request.is_mid_flow and not self._load_estimate.has_capacity(server)
+        has_known_load = server.reported_ratio is not None or server.unreported_load > 0
+        return (
+            has_known_load
+            and not request.is_mid_flow
+            and not self._load_estimate.has_capacity(server)
+        )
 
     def _priority_density(self, request: Request) -> float:
-        """Return the priority of a request for the load that it brings."""
+        """Return the priority weight of a request per unit of its load."""
         priority = request.request_class.priority_weight
         if self._has_tenants and self._is_over_quota(request.tenant_index):
             priority *= self._over_quota_factor
@@ -104,7 +112,7 @@
         return quota <= self._connection_counts[tenant_index] * self._live_peers.count
 
     def _rank(self, density: float) -> float:
-        """Return the fraction of recent arrivals of lower priority density; ties count half."""
+        """Return the fraction of recent arrivals with a lower priority density; ties count half."""
         recent = self._recent_densities
         if not recent:
             return 1.0
--- a/larchhaven/routing/affinity.py
+++ b/larchhaven/routing/affinity.py
@@ -1,7 +1,7 @@
-"""Connection affinity: the sticky table, by which a mid-flow connection finds its server.
+"""Connection affinity: a sticky table that maps mid-flow connections to their servers.
 
-Where packets pass through, connections outlive their proxy. Each proxy notifies some others, the
-replica holders, where its connections are established.
+In pass-through mode connections outlive their proxy. Each proxy therefore replicates its entries
+to a few other proxies, the replica holders.
 """
 
 from __future__ import annotations
@@ -23,14 +23,18 @@
 from larchhaven.routing.server import Server
 from larchhaven.routing.settings import RoutingSettings
 
-MAX_ENTRIES_PER_MESSAGE = 42
+MAX_ENTRIES_PER_MESSAGE = 42  # fits into a datagram of 256 bytes
 MAX_ENTRIES_AT_START = 10 * MAX_ENTRIES_PER_MESSAGE  # sent to a proxy that has just started
-MIN_PROXIES_FOR_REPLICAS = 8  # with fewer each proxy notifies only the next one
+MIN_PROXIES_FOR_REPLICAS = 8  # with fewer, each proxy replicates to the next one only
 REPLICA_COUNT = 4
 
 
 class StickyTable:
-    """Which server holds a connection, by short hashes of its key and of the server's id."""
+    """Maps the short hash of a connection's key to the short hash of its server's id.
+
+    Attributes:
+        is_replicated: Whether entries are exchanged with other proxies.
+    """
 
     def __init__(
         self,
@@ -51,34 +55,34 @@
         self._proxy_count = settings.proxy_count
         self._proxy_index = settings.proxy_index
         self._has_replica_ring = settings.proxy_count >= MIN_PROXIES_FOR_REPLICAS
-        # A draining server may be used for so long after the list said that it drains.
+        # How long a draining server may be used after the endpoint list marked it as draining.
         self._drain_usable_us = settings.drain_grace_us - settings.timer_resolution_us
-        self._server_hashes: dict[bytes, bytes] = {}  # by key hash, the oldest first
+        self._server_hashes: dict[bytes, bytes] = {}  # by key hash, oldest first
 
     def __len__(self) -> int:
-        """Return how many connections are remembered."""
+        """Return the number of entries."""
         return len(self._server_hashes)
 
     def __contains__(self, key_hash: bytes) -> bool:
-        """Return whether the server of a connection is remembered."""
+        """Return whether there is an entry for a connection."""
         return key_hash in self._server_hashes
 
     def remember(self, key_hash: bytes, server_hash: bytes) -> None:
-        """Remember the server of a connection, and forget the oldest one past the capacity."""
+        """Add or renew the entry of a connection; evict the oldest entry beyond the capacity."""
         self._server_hashes.pop(key_hash, None)
         self._server_hashes[key_hash] = server_hash
         if len(self._server_hashes) > self._capacity:
             del self._server_hashes[next(iter(self._server_hashes))]
 
     def forget_oldest(self, count: int) -> None:
-        """Forget the connections that were remembered longest ago."""
+        """Evict the oldest entries."""
         for key_hash in list(islice(self._server_hashes, count)):
             del self._server_hashes[key_hash]
 
     def find_server(self, request: Request) -> Server | None:
-        """Return the server that a request has to go to, if there is one and it is known.
+        """Return the server that a request must go to, or None if there is none or it is unknown.
 
-        A mid-flow connection goes back to its server while that drains, within the grace.
+        A mid-flow connection may return to a draining server until the drain grace is over.
         """
         if request.pinned_server_id is not None:
             pinned = self._servers.get(request.pinned_server_id)
@@ -93,13 +97,13 @@
         return server if is_usable else None
 
     def remember_connection(self, key_hash: bytes, server: Server) -> None:
-        """Remember a connection that is established here, and notify the replica holders."""
+        """Add the entry of a connection established here, and send it to the replica holders."""
         self.remember(key_hash, server.hash)
         for peer_index in self.replica_holders(key_hash):
             self.send_entries(peer_index, [key_hash])
 
     def replica_holders(self, key_hash: bytes) -> list[int]:
-        """Return the other proxies that remember a connection which is established here."""
+        """Return the other proxies that hold a copy of a connection's entry."""
         first, count = self._proxy_index + 1, 1
         if self._has_replica_ring:
             first, count = int.from_bytes(key_hash, "big"), REPLICA_COUNT
@@ -108,17 +112,17 @@
         return [index for index in islice(live, count) if index != self._proxy_index]
 
     def send_entries(self, peer_index: int, key_hashes: Sequence[bytes]) -> None:
-        """Notify another proxy where connections are established, as far as that is known."""
+        """Send another proxy the entries of connections; those without an entry are left out."""
         if not self.is_replicated:
             return
-        known = self._server_hashes
-        entries = [StickyEntry(each, known[each]) for each in key_hashes if each in known]
+        hashes = self._server_hashes
+        entries = [StickyEntry(each, hashes[each]) for each in key_hashes if each in hashes]
         for first in range(0, len(entries), MAX_ENTRIES_PER_MESSAGE):
-            part = tuple(entries[first : first + MAX_ENTRIES_PER_MESSAGE])
-            self._scheduler.emit(SendGossip(peer_index, StickyEntries(part)))
+            batch = tuple(entries[first : first + MAX_ENTRIES_PER_MESSAGE])
+            self._scheduler.emit(SendGossip(peer_index, StickyEntries(batch)))
 
     def query_entry(self, key_hash: bytes) -> None:
-        """Ask who knows where a connection is established: the replica holders, or all proxies."""
+        """Ask the replica holders for a connection's entry, or all proxies if they are few."""
         query = StickyEntryQuery(key_hash)
         if not self._has_replica_ring:
             self._scheduler.emit(SendGossip(None, query))
@@ -127,7 +131,7 @@
             self._scheduler.emit(SendGossip(peer_index, query))
 
     def announce_start(self) -> None:
-        """Ask the neighbours for what this proxy held for others before it started."""
+        """Ask neighbouring proxies to resend the entries that this proxy held before its start."""
         if not self.is_replicated:
             return
         for step in (-1, 1) if self._has_replica_ring else (-1,):
@@ -135,11 +139,11 @@
             self._scheduler.emit(SendGossip(neighbour, ProxyStarted()))
 
     def answer_start(self, peer_index: int, established: Sequence[bytes]) -> None:
-        """Notify a proxy that has just started of the connections that it is to know.
+        """Send a proxy that has just started the entries that it should hold.
 
         Args:
-            peer_index: That proxy; this one's own index at a hot restart.
-            established: Key hashes of the connections that are established here.
+            peer_index: Index of that proxy; this proxy's own index at a hot restart.
+            established: Key hashes of the connections established here.
         """
         is_own = peer_index == self._proxy_index
         key_hashes = established
--- a/larchhaven/routing/attempts.py
+++ b/larchhaven/routing/attempts.py
@@ -1,4 +1,4 @@
-"""What becomes of attempts: established connections, failures, and the load that they bring."""
+"""Handling of attempt events: established connections, failures, disconnects, load changes."""
 
 from __future__ import annotations
 
@@ -31,12 +31,12 @@
 from larchhaven.routing.server import Server
 from larchhaven.routing.settings import RoutingSettings
 
-# A failure within this part of the latency objective may be the fault of the request.
+# A failure within this fraction of the latency objective may be caused by the request itself.
 FAST_FAILURE_OBJECTIVES = 0.5
 
 
 class AttemptEvents:
-    """Learns from how attempts end, and goes on with their requests."""
+    """Handles the events of attempts and connections, and retries failed attempts."""
 
     def __init__(
         self,
@@ -70,34 +70,36 @@
         self._placement = placement
 
     def on_connection_restored(self, event: ConnectionRestored) -> None:
-        """Take in a connection that another process of this proxy established."""
+        """Add a connection that this proxy's previous process established before a hot restart."""
         request = self._placement.add_request(event.arrival)
         request.begin_attempt(self._servers.get(event.server_id))
         request.establish()
         self._add_connection(request)
 
     def on_connection_established(self, event: ConnectionEstablished) -> None:
-        """Note that a set-up succeeded."""
+        """Record an established connection, and eject the servers that failed its request fast."""
         request = self._requests.get(event.request_id)
         if request is None or request.attempt_in_flight != event.attempt:
             return
         request.establish()
         self._breaker.record_success()
         for server in request.suspected_outliers:
-            self._ejection.eject_server(server)  # nothing is wrong with what another one takes
+            # Another server accepted the request, so the request was not at fault.
+            self._ejection.eject_server(server)
         self._add_connection(request)
 
     def on_attempt_ended(self, event: AttemptEnded) -> None:
-        """Learn from how an attempt ended, and retry unless nothing is owed any more."""
+        """Record the result of an attempt, then retry or close its request."""
         request = self._requests.get(event.request_id)
         server = self._servers.get(event.server_id)
         is_fast = False
-        # A request that no server can use fails at each in turn, and one with no time at any.
+        # An invalid request fails fast at every server, and so does one with no time left. Such
+        # failures must not count against the servers.
         if request is not None and not request.is_established:
             objective_us = request.request_class.latency_objective_us
             is_fast = event.latency_us < FAST_FAILURE_OBJECTIVES * objective_us
         if server is not None:
-            self._judge_server(server, request, event, is_fast)
+            self._record_server_result(server, request, event, is_fast)
         if request is None or request.attempt_in_flight != event.attempt:
             return
         self._count_failure(request, event.result, is_fast)
@@ -108,7 +110,7 @@
             self._placement.place(request)
 
     def on_client_disconnected(self, event: ClientDisconnected) -> None:
-        """Cancel the attempt of a request whose client left."""
+        """Cancel the attempt of a request whose client disconnected."""
         request = self._requests.get(event.request_id)
         if request is None:
             return
@@ -119,7 +121,7 @@
         self._placement.close(request)
 
     def on_connection_load_changed(self, event: ConnectionLoadChanged) -> None:
-        """Learn the load of a connection."""
+        """Record the new load of a connection."""
         request = self._requests.get(event.request_id)
         if request is None or request.attempt_in_flight != event.attempt:
             return
@@ -131,26 +133,26 @@
     def _add_connection(self, request: Request) -> None:
         self._connections.add_connection(request)
         if request.server is not None and request.key_hash:
-            # Another proxy knows it too, should this one crash.
+            # Replicated, so that other proxies can find the server if this proxy crashes.
             self._sticky_table.remember_connection(request.key_hash, request.server)
         self._migration.on_connection_established(request)
 
-    def _judge_server(
+    def _record_server_result(
         self, server: Server, request: Request | None, event: AttemptEnded, is_fast: bool
     ) -> None:
-        """Learn from the end of an attempt what it says of its server."""
+        """Update the load and the health of a server by the result of an attempt."""
         self._ranking.apply_report(server, event.report, event.latency_us)
         if request is not None and is_fast and event.result in SUSPECT_RESULTS:
             request.suspected_outliers.append(server)
         elif is_fast and event.result is AttemptResult.TIMEOUT:
-            return  # the request had no time left at any server
+            return  # the request had no time left; any server would have timed out
         elif event.result in OUTLIER_RESULTS:
             self._ejection.eject_server(server)
         elif event.result is AttemptResult.OVERLOADED:
             self._ranking.mark_full(server)
 
     def _count_failure(self, request: Request, result: AttemptResult, is_fast: bool) -> None:
-        """Have the circuit breaker count a failed set-up, unless the request may be at fault."""
+        """Report a failed set-up to the circuit breaker, unless the request may be at fault."""
         if result not in SHARED_FAILURES or request.is_established:
             return
         is_first_error = result is AttemptResult.ERROR and request.attempt_count == 1
--- a/larchhaven/routing/balancer.py
+++ b/larchhaven/routing/balancer.py
@@ -1,7 +1,7 @@
-"""The decisions of one proxy: events and a time in, actions out.
+"""The balancer of one proxy: least ratio routing for long-lived connections.
 
-A balancer for long-lived connections by least ratio routing. It does no I/O and reads no clock.
-This module puts the parts together and hands each event to the one that it concerns.
+It takes events and the current time, and returns actions. It does no I/O and reads no clock. This
+module wires up the components and dispatches each event to the component that handles it.
 """
 
 from __future__ import annotations
@@ -53,18 +53,18 @@
 
 
 class Balancer:
-    """All decisions of one proxy.
+    """Makes all routing decisions of one proxy.
 
     Attributes:
-        settings: The settings that it was given at its start.
-        servers: What it knows of each server, by id.
-        requests: The requests that are not closed, by number.
-        arrivals: What arrivals have shown.
+        settings: The settings that the proxy was started with.
+        servers: The state of each server, by id.
+        requests: The requests that are not closed, by id.
+        arrivals: Statistics of arriving requests.
         connections: The established connections.
-        ranking: The ready servers in order.
-        sticky_table: Where connections are established, as far as is known.
-        migration: Which connections are moved.
-        placement: Where requests go.
+        ranking: The ready servers, lowest load ratio first.
+        sticky_table: Maps connections to their servers.
+        migration: Moves established connections to other servers.
+        placement: Selects a server for each request.
     """
 
     def __init__(self, settings: RoutingSettings, seed: int) -> None:
@@ -106,14 +106,14 @@
         self._has_started = False
 
     def handle(self, now_us: int, events: Iterable[Event]) -> Sequence[Action]:
-        """Take the events of one moment.
+        """Process a batch of events.
 
         Args:
-            now_us: The time, in microseconds; it never goes back.
-            events: What happened, in order.
+            now_us: The current time, in microseconds; it never decreases.
+            events: The events since the last call, in order.
 
         Returns:
-            The actions that the events call for, in order.
+            The actions to carry out, in order.
         """
         self._scheduler.begin_batch(now_us)
         if not self._has_started:
@@ -127,11 +127,13 @@
         return self._scheduler.actions
 
     def may_start_attempt(self, now_us: int, request_id: int) -> bool:
-        """Return whether the attempt in flight does no harm if its first byte goes out now.
+        """Return whether an attempt may still be sent without risk of executing its request twice.
+
+        Called before the first byte is sent, since connecting may have taken long.
 
         Args:
-            now_us: The time, in microseconds; connecting may have taken long.
-            request_id: The request.
+            now_us: The current time, in microseconds.
+            request_id: Id of the request.
         """
         self._scheduler.now_us = now_us
         request = self.requests.get(request_id)
@@ -142,7 +144,11 @@
         )
 
     def count_unavailable_servers(self, now_us: int) -> int:
-        """Count the listed servers that get nothing new now: draining, or ejected."""
+        """Count the listed servers that get no new requests, as they are draining or ejected.
+
+        Args:
+            now_us: The current time, in microseconds.
+        """
         self._scheduler.now_us = now_us
         return self.ranking.count_unavailable_servers()
 
--- a/larchhaven/routing/circuit_breaker.py
+++ b/larchhaven/routing/circuit_breaker.py
@@ -1,4 +1,4 @@
-"""Circuit breaker: while set-ups fail one after the other, attempts are paced, for all servers."""
+"""Circuit breaker across all servers: paces attempts while connection set-ups keep failing."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 from larchhaven.routing.settings import RoutingSettings
 
 FAILURE_THRESHOLD = 2
-OPEN_OBJECTIVES = 0.5  # time open at the threshold, in shortest latency objectives
+OPEN_OBJECTIVES = 0.5  # open time at the threshold, in multiples of the shortest objective
 MAX_OPEN_OBJECTIVES = 8
 MAX_DOUBLINGS = 20
 
-# Failures that servers share, as where a store that all use is slow.
+# Failures with a cause that servers may share, such as a slow store behind all of them.
 SHARED_FAILURES = (AttemptResult.ERROR, AttemptResult.TIMEOUT)
 
 
 class CircuitBreaker:
-    """Opens for longer with each failure; half-open, it lets one attempt pass and opens again."""
+    """Opens for longer with each failure; when half-open, it admits one attempt and reopens."""
 
     def __init__(self, settings: RoutingSettings, scheduler: Scheduler, rng: random.Random) -> None:
         self._scheduler = scheduler
@@ -29,38 +29,38 @@
 
     @property
     def is_tripped(self) -> bool:
-        """Whether attempts are paced."""
+        """Whether enough set-ups have failed that attempts are paced."""
         return self._failures >= FAILURE_THRESHOLD
 
     @property
     def is_open(self) -> bool:
-        """Whether no attempt may begin now."""
+        """Whether no attempt may start now."""
         return self._scheduler.now_us < self._open_until_us
 
     @property
     def open_for_us(self) -> int:
-        """Time until an attempt may begin; not positive if one may now."""
+        """Microseconds until an attempt may start; zero or negative if one may start now."""
         return self._open_until_us - self._scheduler.now_us
 
     def record_failure(self) -> None:
-        """Count a failed set-up."""
+        """Count a failed set-up, and open the breaker if the threshold is reached."""
         self._failures += 1
         if self._failures >= FAILURE_THRESHOLD:
             self._open()
 
     def record_success(self) -> None:
-        """Count an established connection, which does not prove that all set-ups would succeed."""
+        """Halve the failure count; one success does not prove that all set-ups would succeed."""
         self._failures //= 2
         if self._failures < FAILURE_THRESHOLD:
             self._open_until_us = 0
 
     def begin_half_open_attempt(self) -> None:
-        """Open again behind an attempt that is let through while the breaker is tripped."""
+        """Reopen after an attempt is admitted while the breaker is tripped."""
         if self._failures >= FAILURE_THRESHOLD:
             self._open()
 
     def _open(self) -> None:
         doublings = min(self._failures - FAILURE_THRESHOLD, MAX_DOUBLINGS)
-        longest_us = MAX_OPEN_OBJECTIVES * self._objective_us
-        open_us = min(self._objective_us * OPEN_OBJECTIVES * 2**doublings, longest_us)
+        max_open_us = MAX_OPEN_OBJECTIVES * self._objective_us
+        open_us = min(self._objective_us * OPEN_OBJECTIVES * 2**doublings, max_open_us)
         self._open_until_us = self._scheduler.now_us + int(open_us * (0.5 + self._rng.random()))
--- a/larchhaven/routing/connections.py
+++ b/larchhaven/routing/connections.py
@@ -10,10 +10,10 @@
 
 
 class ConnectionTable:
-    """Which connections are established, until their attempt ends.
+    """The connections that are established and have not ended.
 
     Attributes:
-        count_by_tenant: How many each tenant has, by its index.
+        count_by_tenant: Number of connections of each tenant, by its index.
     """
 
     def __init__(self) -> None:
@@ -21,17 +21,17 @@
         self._by_server: dict[str, dict[int, Request]] = {}
 
     def on_server(self, server: Server) -> Mapping[int, Request]:
-        """Return the connections of a server, by request, the oldest first."""
+        """Return the connections of a server, by request id, oldest first."""
         return self._by_server.get(server.id, {})
 
     def add_connection(self, request: Request) -> None:
-        """Count a connection that was just established."""
+        """Add a connection that was just established."""
         self.count_by_tenant[request.tenant_index] += 1
         if request.server is not None:
             self._by_server.setdefault(request.server.id, {})[request.id] = request
 
     def remove_connection(self, request: Request) -> None:
-        """Forget a connection that has ended."""
+        """Remove a connection that has ended."""
         self.count_by_tenant[request.tenant_index] -= 1
         if request.server is not None:
             self._by_server.get(request.server.id, {}).pop(request.id, None)
--- a/larchhaven/routing/events.py
+++ b/larchhaven/routing/events.py
@@ -1,7 +1,7 @@
-"""Events that the balancer takes: what happened, as small frozen types.
+"""Input events of the balancer, as small immutable types.
 
-Times and durations are microseconds on the caller's clock; loads are standard cores (seconds of
-work per second). A server is named by an opaque string, a request by an opaque number.
+Times and durations are in microseconds on the caller's clock. Loads are in standard cores (seconds
+of work per second). Server ids are opaque strings, request ids opaque numbers.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class ServerState(Enum):
-    """What the endpoint list says of a server."""
+    """The state of a server in the endpoint list."""
 
     READY = auto()
     DRAINING = auto()
@@ -21,12 +21,12 @@
 
 
 class EndpointListKind(Enum):
-    """What a watch event carries."""
+    """What an endpoint list update contains."""
 
     CHANGES = auto()
     COMPLETE = auto()
-    CACHED = auto()  # the list that the process was started with
-    FAILED = auto()  # the watch or the poll failed; there is no list
+    CACHED = auto()  # the list that was given to the process at its start
+    FAILED = auto()  # the watch or the poll failed; the update contains no list
 
 
 class AttemptResult(Enum):
@@ -34,7 +34,7 @@
 
     OK = auto()
     ERROR = auto()
-    OVERLOADED = auto()  # the server was full and rejected it
+    OVERLOADED = auto()  # the server was full and rejected the request
     TIMEOUT = auto()
     UNREACHABLE = auto()
     RESET = auto()
@@ -44,14 +44,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """A server's load report; a field that was not sent is None.
+    """A server's load report; fields that the server did not send are None.
 
     Attributes:
         load_ratio: Load over capacity.
-        utilization: Busy fraction of the server, used where there is no ``load_ratio``.
-        in_flight: Requests that the server works on.
-        queue_length: Requests that wait there.
-        backlog_s: Work that waits there, in seconds.
+        utilization: Busy fraction of the server, used if there is no ``load_ratio``.
+        in_flight: Number of requests that the server is processing.
+        queue_length: Number of requests in the server's queue.
+        backlog_s: Work in the server's queue, in seconds.
     """
 
     load_ratio: float | None = None
@@ -63,16 +63,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One server as the endpoint list names it.
+    """One entry of the endpoint list.
 
     Attributes:
-        server_id: Its name.
-        state: Whether it may be used.
-        weight: Its capacity, relative to the others.
-        zone: Index of its zone.
-        cell: Index of its cell, the smallest scope of deduplication.
-        hardware_kind: Index of its kind of machine.
-        started_at_us: When it started, if it is warming up; 0 if it is not.
+        server_id: Id of the server.
+        state: Whether the server is ready, draining or removed.
+        weight: Capacity relative to the other servers.
+        zone: Index of the server's zone.
+        cell: Index of the server's cell, the smallest scope of deduplication.
+        hardware_kind: Index of the server's hardware kind.
+        started_at_us: Start time of a server that is warming up; 0 for any other server.
     """
 
     server_id: str
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListUpdate:
-    """A watch event: the endpoint list, or changes of it, or that calling for it failed."""
+    """The complete endpoint list, changes to it, or the failure of a watch or poll."""
 
     kind: EndpointListKind
     version: int = 0
@@ -95,20 +95,21 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestArrived:
-    """A client's request, which is owed exactly one final answer.
+    """A request from a client, which must get exactly one final answer.
 
     Attributes:
-        request_id: Its number, until the final answer or the end of its connection.
-        class_index: Its class, by index into the settings.
-        budget_us: Time left until its deadline.
-        tenant_index: Its tenant, by index into the settings; past the last for none.
-        affinity_key: Key of its connection, by which it is found again mid-flow.
-        load: Load that the client announces.
-        affinity_group: Group of clients that are cheaper to keep on one server.
-        is_retry: Whether the client has tried before.
-        is_mid_flow: Whether its connection was established through another proxy.
-        is_reconnect: Whether its client had a connection before.
-        pinned_server_id: The server that holds it already; no other will do.
+        request_id: Id of the request, valid until its final answer or the end of its connection.
+        class_index: Index of the request class in the settings.
+        budget_us: Time left until the deadline.
+        tenant_index: Index of the tenant in the settings; past the last one for no tenant.
+        affinity_key: Key of the connection, by which its server is found again mid-flow.
+        load: Load that the client announces, if any.
+        affinity_group: Group of clients that cost less if they share a server, if any.
+        is_retry: Whether the client has sent this request before.
+        is_mid_flow: Whether the connection was established through another proxy.
+        is_reconnect: Whether the client was connected before.
+        pinned_server_id: The only server that may be used, as it already holds the connection;
+            None if any server may be used.
     """
 
     request_id: int
@@ -126,7 +127,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionRestored:
-    """A connection that is established through this proxy already at its start."""
+    """A connection that was already established through this proxy when the process started."""
 
     arrival: RequestArrived
     server_id: str
@@ -134,7 +135,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer that the balancer started has come due."""
+    """A timer that the balancer started has expired."""
 
     timer_id: int
 
@@ -151,7 +152,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GossipReceived:
-    """A message from another proxy."""
+    """A message from another proxy, or from the other process at a hot restart."""
 
     sender_index: int
     message: GossipMessage
@@ -159,7 +160,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionLoadChanged:
-    """An established connection now has this load."""
+    """The load of an established connection changed."""
 
     request_id: int
     attempt: int
@@ -169,7 +170,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageDelayObserved:
-    """A message on an established connection now takes this long at its server."""
+    """The delay of a message on an established connection, answered or still pending."""
 
     request_id: int
     attempt: int
@@ -179,7 +180,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerUnresponsive:
-    """The server of an established connection has been silent for so long that it is to move."""
+    """A message on a connection has gone unanswered for so long that the connection must move."""
 
     request_id: int
     attempt: int
@@ -189,14 +190,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyDraining:
-    """The proxy is to give up its connections within a time; 0 withdraws that."""
+    """The proxy must migrate its connections within a duration; 0 ends the drain."""
 
     within_us: int
 
 
 @dataclass(frozen=True, slots=True)
 class AdministrativeEjection:
-    """Operators take a server out whatever the endpoint list says, or let it serve again."""
+    """Operators eject a server regardless of the endpoint list, or lift its ejection."""
 
     server_id: str
     is_ejected: bool
@@ -204,21 +205,21 @@
 
 @dataclass(frozen=True, slots=True)
 class LivePeersChanged:
-    """Which proxies, this one among them, are not known to be gone; before the first, all."""
+    """The proxies, this one included, not known to have failed or left; initially all of them."""
 
     proxies: frozenset[int]
 
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client left; nothing is owed any more."""
+    """The client disconnected; its request needs no answer any more."""
 
     request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionEstablished:
-    """The connection is established, and stays with this attempt until it ends."""
+    """An attempt established its connection; the attempt lasts until the connection ends."""
 
     request_id: int
     attempt: int
@@ -228,7 +229,17 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """How one attempt ended; ``is_final`` says that no answer is owed any more."""
+    """An attempt, or the connection that it established, ended.
+
+    Attributes:
+        request_id: Id of the request.
+        attempt: Number of the attempt.
+        server_id: Server of the attempt.
+        result: How the attempt ended.
+        latency_us: Time since the start of the attempt.
+        is_final: Whether the request needs no answer any more, so that it is not retried.
+        report: Load report that came with the answer, if any.
+    """
 
     request_id: int
     attempt: int
--- a/larchhaven/routing/gossip_messages.py
+++ b/larchhaven/routing/gossip_messages.py
@@ -1,4 +1,4 @@
-"""Messages between proxies, as typed values; ``larchhaven.gossip.codec`` writes and reads them."""
+"""Gossip messages between proxies; ``larchhaven.gossip.codec`` encodes and decodes them."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class StickyEntry(NamedTuple):
-    """Which server holds a connection, both by their short hashes."""
+    """Maps a connection to its server, both by their short hashes."""
 
     key_hash: bytes
     server_hash: bytes
@@ -15,32 +15,32 @@
 
 @dataclass(frozen=True, slots=True)
 class StickyEntries:
-    """Where connections are established."""
+    """Sticky entries of connections that are established."""
 
     entries: tuple[StickyEntry, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class StickyEntryQuery:
-    """Asks who knows where a mid-flow connection is established."""
+    """Asks for the sticky entry of a mid-flow connection."""
 
     key_hash: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class ProxyStarted:
-    """The sender has just started and knows no sticky entries."""
+    """The sender has just started and has no sticky entries."""
 
 
 @dataclass(frozen=True, slots=True)
 class LearnedState:
-    """What a process has learned, for the one that takes over from it at a hot restart.
+    """State that a process hands over to its successor at a hot restart.
 
     Attributes:
-        arrival_count: Requests within the window of the arrival rate.
-        mean_load: Mean load of a connection.
-        migration_credit: Migrations that may still be spent.
-        class_loads: Mean load of a connection, by class.
+        arrival_count: Number of arrivals in the window that the arrival rate is taken from.
+        mean_load: Average load of a connection, in cores.
+        migration_credit: Number of migrations that rebalancing may still spend.
+        class_loads: Average load of a connection, by class, in cores.
     """
 
     arrival_count: float
@@ -50,7 +50,7 @@
 
 
 class ServerLoad(NamedTuple):
-    """One entry of a load report: a server's short hash and its load level."""
+    """One entry of shared load reports: a server's short hash and its load level."""
 
     server_hash: int
     level: int
@@ -58,10 +58,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SharedLoadReports:
-    """What one proxy's health checks have found, for the others.
+    """Results of one proxy's health checks, shared with its peers.
 
     Attributes:
-        entries: Load levels; ``larchhaven.gossip.shared_health_checks`` states their steps.
+        entries: Load levels; ``larchhaven.gossip.shared_health_checks`` defines their steps.
     """
 
     entries: tuple[ServerLoad, ...]
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UnrecognizedMessage:
-    """Bytes that are in no form of ours."""
+    """Data that is not a valid gossip message."""
 
     data: bytes
 
@@ -85,5 +85,5 @@
 
 
 def is_peer_message(message: GossipMessage) -> bool:
-    """Return whether another proxy may have sent this; a hot restart's state comes from no peer."""
+    """Return whether a peer may send this message; only a hot restart sends ``LearnedState``."""
     return not isinstance(message, LearnedState | UnrecognizedMessage)
