--- a/tests/routing/builders.py
+++ b/tests/routing/builders.py
@@ -1,4 +1,4 @@
-"""Hand-made events, settings and balancers; no server is simulated here."""
+"""Builders of events, settings and balancers for unit tests; they simulate no servers."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 from larchhaven.routing.gossip_messages import GossipMessage
 from larchhaven.routing.settings import RequestClass, RoutingSettings
 
-A = TypeVar("A")
+ActionT = TypeVar("ActionT")
 
 SECOND_US = 1_000_000
 START_US = 100 * SECOND_US
@@ -60,18 +60,18 @@
 
 
 def endpoints(count: int, **changes: object) -> tuple[Endpoint, ...]:
-    """Return the servers s0, s1 and so on, with changes to their entries."""
+    """Return endpoints for the servers s0, s1 and so on, with the given field values."""
     names = (f"s{i}" for i in range(count))
     return tuple(replace(Endpoint(name), **changes) for name in names)  # type: ignore[arg-type]
 
 
 def endpoint_list(count: int, **changes: object) -> EndpointListUpdate:
-    """Return the complete list of ``endpoints``."""
+    """Return an update with the complete list of ``endpoints``."""
     return EndpointListUpdate(EndpointListKind.COMPLETE, 1, endpoints(count, **changes))
 
 
 def load_report(server: int, ratio: float) -> HealthCheckCompleted:
-    """Return a health check that reports a server's load over capacity."""
+    """Return a health check that reports a load ratio for a server."""
     return HealthCheckCompleted(f"s{server}", AttemptResult.OK, 500, LoadReport(load_ratio=ratio))
 
 
@@ -83,36 +83,36 @@
 
 
 def make_balancer(count: int = 3, seed: int = 1, **changes: object) -> Balancer:
-    """Return a balancer that knows the servers s0, s1 and so on since ``START_US``."""
-    made = Balancer(replace(BASIC_SETTINGS, **changes), seed)  # type: ignore[arg-type]
-    made.handle(START_US, [endpoint_list(count)])
-    return made
+    """Return a balancer that got the servers s0, s1 and so on at ``START_US``."""
+    balancer = Balancer(replace(BASIC_SETTINGS, **changes), seed)  # type: ignore[arg-type]
+    balancer.handle(START_US, [endpoint_list(count)])
+    return balancer
 
 
 def attempt_ended(
     request: int, attempt: int, server: str, result: AttemptResult, finished: bool = False
 ) -> AttemptEnded:
-    """Return the end of an attempt after a millisecond."""
+    """Return the end of an attempt that took one millisecond."""
     return AttemptEnded(request, attempt, server, result, 1000, finished)
 
 
-def actions_of(kind: type[A], actions: Iterable[object]) -> list[A]:
+def actions_of(kind: type[ActionT], actions: Iterable[object]) -> list[ActionT]:
     """Return the actions of one type."""
     return [action for action in actions if isinstance(action, kind)]
 
 
 def chosen_servers(actions: Iterable[object]) -> list[str]:
-    """Return the servers that attempts go to."""
+    """Return the servers of the started attempts, in order."""
     return [action.server_id for action in actions_of(StartAttempt, actions)]
 
 
 def checked_servers(actions: Iterable[object]) -> list[str]:
-    """Return the servers that are health-checked."""
+    """Return the servers of the health checks, in order."""
     return [action.server_id for action in actions_of(CheckHealth, actions)]
 
 
 def rejected_requests(actions: Iterable[object]) -> list[int]:
-    """Return the requests that are rejected."""
+    """Return the ids of the rejected requests."""
     return [action.request_id for action in actions_of(RejectRequest, actions)]
 
 
@@ -122,7 +122,7 @@
 
 
 def establish_connections(balancer: Balancer, count: int) -> None:
-    """Have a balancer place requests, and establish their connections."""
+    """Place requests with a balancer, and establish their connections."""
     for request in range(count):
         now_us = START_US + request
         actions = balancer.handle(now_us, [request_arrived(request, load=0.01)])
@@ -131,26 +131,26 @@
 
 
 def run_timers(
-    balancer: Balancer, actions: Iterable[object], now: int, end: int
+    balancer: Balancer, actions: Iterable[object], now_us: int, end_us: int
 ) -> list[tuple[int, object]]:
-    """Fire all timers until an end, in order, and return the actions behind their times."""
-    due = [(now + t.delay_us, t.timer_id) for t in actions_of(StartTimer, actions)]
-    done: list[tuple[int, object]] = []
-    while due and min(due)[0] <= end:
+    """Fire the timers that are due by ``end_us`` in order; return each action with its time."""
+    due = [(now_us + t.delay_us, t.timer_id) for t in actions_of(StartTimer, actions)]
+    timed_actions: list[tuple[int, object]] = []
+    while due and min(due)[0] <= end_us:
         due.sort()
-        at, token = due.pop(0)
-        made = balancer.handle(at, [TimerFired(token)])
-        due += [(at + t.delay_us, t.timer_id) for t in actions_of(StartTimer, made)]
-        done += [(at, action) for action in made]
-    return done
+        at_us, timer_id = due.pop(0)
+        emitted = balancer.handle(at_us, [TimerFired(timer_id)])
+        due += [(at_us + t.delay_us, t.timer_id) for t in actions_of(StartTimer, emitted)]
+        timed_actions += [(at_us, action) for action in emitted]
+    return timed_actions
 
 
 def zeroed_message(message: GossipMessage) -> GossipMessage:
-    """Return a message of the same kind and size with nothing but zeros in it."""
+    """Return a message of the same kind and size whose content is all zero bytes."""
     data = encode(message)
     return decode(data[:1] + bytes(len(data) - 1))
 
 
 def gossip_from(sender: int, actions: Iterable[object]) -> list[GossipReceived]:
-    """Return what a proxy sends to others, as they receive it."""
+    """Return the gossip among a proxy's actions, as its peers receive it."""
     return [GossipReceived(sender, sent.message) for sent in actions_of(SendGossip, actions)]
--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -1,4 +1,4 @@
-"""Load is shed before servers are overloaded, the least priority first."""
+"""Admission control: load is shed before servers are overloaded, lowest priority first."""
 
 from __future__ import annotations
 
@@ -30,8 +30,8 @@
 )
 
 
-def test_full_fleet_rejects_the_least_priority_for_its_load_first() -> None:
-    """Guards against an overload of the whole fleet: once all was placed however full it was."""
+def test_full_fleet_rejects_the_lowest_priority_first() -> None:
+    """Without admission control every request is placed, and a full fleet is overloaded."""
     low = RequestClass(latency_objective_us=300_000, deadline_us=1_200_000, priority_weight=1.0)
     high = RequestClass(latency_objective_us=300_000, deadline_us=1_200_000, priority_weight=5.0)
     balancer = make_balancer(4, classes=(low, high), weighs_priority_by_load=True)
@@ -42,23 +42,23 @@
         )
         assert actions_of(RejectRequest, actions) == []
     balancer.handle(START_US + 2, [load_report(i, 0.62) for i in range(4)])
-    rejected = [
+    rejections = [
         actions_of(
             RejectRequest,
             balancer.handle(START_US + 3, [RequestArrived(100 + n, n, 1_200_000, load=0.001)]),
         )
         for n in (0, 1)
     ]
-    assert [len(r) for r in rejected] == [1, 0]
+    assert [len(each) for each in rejections] == [1, 0]
 
 
-def test_cost_of_crossing_zones_makes_no_server_look_full() -> None:
-    """Guards admission where crossing is expensive: idle servers elsewhere once seemed full."""
+def test_cross_zone_cost_does_not_count_as_load() -> None:
+    """If admission counts a high cross-zone cost as load, idle servers in other zones look full."""
     balancer = make_balancer(0, zone_count=2, costs=OperationCosts(cross_zone=0.8))
     servers = [Endpoint(f"s{i}", zone=int(i > 0)) for i in range(5)]
     balancer.handle(START_US, [EndpointListUpdate(EndpointListKind.COMPLETE, 2, tuple(servers))])
     balancer.handle(START_US, [load_report(0, 0.7), *(load_report(i, 0.1) for i in range(1, 5))])
-    for i in range(40):  # priorities are ranked among those before
+    for i in range(40):  # earlier arrivals, against which priorities are ranked
         balancer.handle(
             START_US, [RequestArrived(i, 0, 1_200_000, load=0.001), ClientDisconnected(i)]
         )
@@ -73,7 +73,11 @@
 
 
 def test_rejections_end_when_the_overload_is_over() -> None:
-    """Guards against rejections that feed themselves: they led to no checks, old reports stood."""
+    """Rejections must not sustain themselves.
+
+    If rejected requests trigger no health checks, the old reports of an overload stay in force and
+    every later request is rejected as well.
+    """
     balancer = make_balancer(3, can_check_health=True)
     balancer.handle(START_US, [load_report(i, 0.95) for i in range(3)])
     checked: set[str] = set()
@@ -99,8 +103,8 @@
     )
 
 
-def test_fleet_is_as_full_as_its_capacity_not_as_its_servers() -> None:
-    """Guards against rejections because small servers are full: all once counted alike."""
+def test_admission_weighs_servers_by_capacity() -> None:
+    """If all servers count alike, full small ones cause rejections while a large one has room."""
     balancer = make_balancer(0)
     small = [Endpoint(f"s{i}", weight=0.5) for i in range(3)]
     balancer.handle(
@@ -114,30 +118,33 @@
     assert actions_of(RejectRequest, balancer.handle(START_US + 1, [request_arrived(1)])) == []
 
 
-def test_one_overloaded_server_causes_no_rejection_of_what_the_others_can_take() -> None:
-    """Guards against rejections by the mean: one overload once had half of all rejected."""
+def test_one_overloaded_server_does_not_cause_rejections() -> None:
+    """Admission must not go by the mean load.
+
+    With the mean, a single overloaded server caused half of all requests to be rejected.
+    """
     balancer = make_balancer(5)
     balancer.handle(START_US, [load_report(0, 2.0), *(load_report(i, 0.45) for i in range(1, 5))])
     balancer.handle(START_US, [RequestArrived(i, 0, 1_200_000, load=0.001) for i in range(40)])
-    # The least priority for its load.
+    # Twice the load at the same priority weight: the lowest priority density.
     heavy = balancer.handle(START_US + 1, [request_arrived(99, load=0.002)])
-    assert [send.request_id for send in actions_of(StartAttempt, heavy)] == [99]
+    assert [attempt.request_id for attempt in actions_of(StartAttempt, heavy)] == [99]
     balancer.handle(START_US + 2, [load_report(i, 0.9) for i in range(5)])
     assert actions_of(
         RejectRequest, balancer.handle(START_US + 3, [request_arrived(100, load=0.002)])
     )
 
 
-def test_servers_that_take_nothing_new_do_not_make_the_fleet_look_empty() -> None:
-    """Guards admission where connections run out before load does.
+def test_servers_at_their_connection_limit_do_not_count_as_spare_capacity() -> None:
+    """Servers may run out of connections before they are fully loaded.
 
-    Ten of fifteen servers were at their cap of connections with ratios of 0.5 to 0.7; by the
-    reports of all the fleet had capacity, and 85% of the attempts were rejected or overloaded the
-    other five.
+    Ten of fifteen servers were at their connection limit with load ratios of 0.5 to 0.7. Their
+    reports made the fleet look as if it had capacity, and 85% of the attempts were rejected or
+    overloaded the other five servers.
     """
     balancer = make_balancer(6)
     balancer.handle(START_US, [load_report(i, 0.3 if i < 4 else 0.8) for i in range(6)])
-    for i in range(40):  # priorities are ranked among those before
+    for i in range(40):  # earlier arrivals, against which priorities are ranked
         balancer.handle(
             START_US, [RequestArrived(i, 0, 1_200_000, load=0.001), ClientDisconnected(i)]
         )
@@ -150,14 +157,17 @@
     )
 
 
-def test_messages_that_are_slow_everywhere_cause_no_rejection() -> None:
-    """Guards sites whose messages take long at any load: a penalty on all makes no full fleet."""
+def test_uniformly_slow_messages_cause_no_rejection() -> None:
+    """At some sites messages are slow at any load.
+
+    The penalty for slow messages, applied to every server, must not make the fleet look full.
+    """
     balancer = make_balancer(3)
     balancer.handle(START_US, [load_report(i, 0.2) for i in range(3)])
     balancer.handle(START_US, [MessageDelayObserved(99, 0, f"s{i}", 90_000.0) for i in range(3)])
-    sent = balancer.handle(START_US + 1, [request_arrived(n, load=0.001) for n in range(20)])
-    assert len(actions_of(StartAttempt, sent)) == 20
-    balancer = make_balancer(3)  # without a report nothing else shows an overload
+    actions = balancer.handle(START_US + 1, [request_arrived(n, load=0.001) for n in range(20)])
+    assert len(actions_of(StartAttempt, actions)) == 20
+    balancer = make_balancer(3)  # without load reports, slow messages alone show an overload
     balancer.handle(START_US, [MessageDelayObserved(99, 0, f"s{i}", 90_000.0) for i in range(3)])
     assert (
         len(
@@ -170,8 +180,11 @@
     )
 
 
-def test_cold_server_that_is_empty_is_used_while_the_others_are_full() -> None:
-    """Guards a release: by the median all arrivals were rejected beside an empty server."""
+def test_empty_cold_server_is_used_while_the_others_are_full() -> None:
+    """During a release the newly started server is empty while the others are full.
+
+    Admission by the median load alone rejected every arrival.
+    """
     balancer = make_balancer(4)
     balancer.handle(START_US, [load_report(i, 0.82) for i in range(3)])
     for i in range(40):
@@ -189,7 +202,7 @@
 
 @pytest.mark.parametrize("proxy_count", [1, 2])
 def test_traffic_over_a_tenants_quota_is_shed_first(proxy_count: int) -> None:
-    """Guards a tenant within its quota, who must not pay for the surplus of another."""
+    """A tenant within its quota must not be rejected because another exceeds its own."""
     tenants = tuple(
         Tenant(capacity_fraction=0.5, connection_quota=20.0 * proxy_count) for _ in range(2)
     )
@@ -197,24 +210,23 @@
         4, tenants=tenants, over_quota_priority_factor=0.2, proxy_count=proxy_count
     )
     balancer.handle(START_US, [load_report(i, 0.2) for i in range(4)])
-    for request in range(
-        40
-    ):  # the first member fills its quota with this proxy's part, the second half
+    # Tenant 0 uses up this proxy's part of its quota, tenant 1 about two thirds of its own.
+    for request in range(40):
         tenant = int(request % 3 == 2)
-        given = RequestArrived(request, 0, 1_200_000, tenant_index=tenant, load=0.0001)
-        for sent in actions_of(StartAttempt, balancer.handle(START_US, [given])):
+        arrival = RequestArrived(request, 0, 1_200_000, tenant_index=tenant, load=0.0001)
+        for attempt in actions_of(StartAttempt, balancer.handle(START_US, [arrival])):
             balancer.handle(
-                START_US, [ConnectionEstablished(sent.request_id, 0, sent.server_id, 500)]
+                START_US, [ConnectionEstablished(attempt.request_id, 0, attempt.server_id, 500)]
             )
     assert balancer.connections.count_by_tenant[1] < 20 <= balancer.connections.count_by_tenant[0]
     balancer.handle(START_US, [load_report(i, 0.62) for i in range(4)])
-    late = [
+    arrivals = [
         RequestArrived(100 + tenant, 0, 1_200_000, tenant_index=tenant, load=0.0001)
         for tenant in (0, 1)
     ]
-    assert rejected_requests(balancer.handle(START_US + 1, late)) == [100]
-    stranger = RequestArrived(102, 0, 1_200_000, tenant_index=2, load=0.0001)
-    assert rejected_requests(balancer.handle(START_US + 1, [stranger])) == [102]
+    assert rejected_requests(balancer.handle(START_US + 1, arrivals)) == [100]
+    without_tenant = RequestArrived(102, 0, 1_200_000, tenant_index=2, load=0.0001)
+    assert rejected_requests(balancer.handle(START_US + 1, [without_tenant])) == [102]
     balancer.handle(
         START_US + 2,
         [attempt_ended(i, 0, "s0", AttemptResult.OK, finished=True) for i in range(40)],
--- a/tests/routing/test_affinity.py
+++ b/tests/routing/test_affinity.py
@@ -1,4 +1,4 @@
-"""Mid-flow connections find their server, also through another proxy."""
+"""Connection affinity: mid-flow connections find their server, also through another proxy."""
 
 from __future__ import annotations
 
@@ -47,8 +47,8 @@
 
 
 def make_pair() -> tuple[Balancer, Balancer]:
-    """Make the two proxies of a site where packets pass through, with the same three servers."""
-    made = [
+    """Return the two proxies of a pass-through site with the same three servers."""
+    pair = [
         Balancer(
             replace(
                 BASIC_SETTINGS, pass_through=True, can_gossip=True, proxy_count=2, proxy_index=i
@@ -57,25 +57,28 @@
         )
         for i in (0, 1)
     ]
-    for balancer in made:
+    for balancer in pair:
         actions = balancer.handle(START_US, [endpoint_list(3)])
         assert actions_of(SendGossip, actions)[0].message == ProxyStarted()
-    return made[0], made[1]
+    return pair[0], pair[1]
 
 
 def establish_flow(balancer: Balancer, request: int) -> tuple[str, Sequence[Action]]:
-    """Establish the connection of ``MID_FLOW``; return its server and what peers are sent of it."""
-    sent = actions_of(
+    """Establish the connection of ``MID_FLOW``; return its server and the actions that follow."""
+    attempt = actions_of(
         StartAttempt,
         balancer.handle(START_US + 1, [replace(MID_FLOW, request_id=request, is_mid_flow=False)]),
     )[0]
-    return sent.server_id, balancer.handle(
-        START_US + 2, [ConnectionEstablished(request, 0, sent.server_id, 500)]
+    return attempt.server_id, balancer.handle(
+        START_US + 2, [ConnectionEstablished(request, 0, attempt.server_id, 500)]
     )
 
 
-def test_mid_flow_connection_returns_to_its_server_while_that_is_known() -> None:
-    """Guards a connection whose packets leave and come back: placed anew, it would be reset."""
+def test_mid_flow_connection_returns_to_its_server_while_that_is_usable() -> None:
+    """Packets of a connection may take another path for a while and then come back to this proxy.
+
+    If the proxy places the connection on another server, that server resets it.
+    """
     balancer = make_balancer(3, idle_park_us=5_000_000)
     balancer.handle(START_US, [load_report(i, 0.2 + 0.1 * i) for i in range(3)])
     balancer.handle(START_US + 1, [RequestArrived(1, 0, 1_200_000, affinity_key=42, load=0.01)])
@@ -86,11 +89,11 @@
     )
     back = RequestArrived(2, 0, 1_200_000, affinity_key=42, load=0.01, is_mid_flow=True)
     assert chosen_servers(balancer.handle(START_US + 4, [back])) == ["s0"]
-    drains = EndpointListUpdate(
+    draining = EndpointListUpdate(
         EndpointListKind.CHANGES, 2, (Endpoint("s0", ServerState.DRAINING),)
     )
     balancer.handle(
-        START_US + 5, [drains, attempt_ended(2, 0, "s0", AttemptResult.CANCELLED, True)]
+        START_US + 5, [draining, attempt_ended(2, 0, "s0", AttemptResult.CANCELLED, True)]
     )
     late = START_US + 5 + balancer.settings.drain_grace_us
     again = RequestArrived(3, 0, 1_200_000, affinity_key=42, load=0.01, is_mid_flow=True)
@@ -98,8 +101,11 @@
 
 
 @pytest.mark.parametrize("how", ["notified", "queried", "notified at the start"])
-def test_packets_that_come_through_another_proxy_find_their_server(how: str) -> None:
-    """Guards connections at a restart: they came mid-flow to one that knew none, and were reset."""
+def test_mid_flow_connection_finds_its_server_through_another_proxy(how: str) -> None:
+    """When a proxy restarts, its connections reach another proxy mid-flow.
+
+    They are reset if that proxy has no sticky entries for them.
+    """
     first, second = make_pair()
     server, actions = establish_flow(first, 1)
     assert [sent.peer_index for sent in actions_of(SendGossip, actions)] == [1]
@@ -119,7 +125,7 @@
     assert chosen_servers(actions) == [server]
 
 
-def test_mid_flow_connection_that_no_proxy_knows_waits_briefly_and_is_placed_as_new() -> None:
+def test_unknown_mid_flow_connection_waits_briefly_and_is_placed_as_new() -> None:
     _, second = make_pair()
     actions = second.handle(START_US + 4, [MID_FLOW])
     wait = actions_of(StartTimer, actions)[-1]
@@ -139,7 +145,7 @@
     second.handle(START_US + 4, [MID_FLOW])
 
 
-def test_established_connections_are_sent_in_messages_that_a_datagram_holds() -> None:
+def test_sticky_entries_are_split_into_messages_that_fit_a_datagram() -> None:
     first, second = make_pair()
     for request in range(100):
         first.handle(
@@ -158,7 +164,7 @@
     assert len(second.sticky_table) == 99
 
 
-def test_restored_connection_is_known_and_migrated_like_any_other() -> None:
+def test_restored_connection_is_replicated_and_migrated_like_any_other() -> None:
     balancer = make_balancer(2, proxy_count=2, can_gossip=True, pass_through=True)
     balancer.handle(START_US, [])
     restored = ConnectionRestored(replace(request_arrived(1), affinity_key=77), "s1")
--- a/tests/routing/test_affinity_groups.py
+++ b/tests/routing/test_affinity_groups.py
@@ -1,4 +1,4 @@
-"""The near ties of affinity groups: a group stays together while that fills no server."""
+"""Placement of affinity groups: a group shares a server unless that overloads the server."""
 
 from __future__ import annotations
 
@@ -29,34 +29,35 @@
 
 @pytest.mark.parametrize("proxy_count", [1, 3])
 def test_group_stays_together_while_its_server_is_near_the_lowest(proxy_count: int) -> None:
-    """Guards the work that a group shares: scattered, 29 groups made a third of all work.
+    """Connections of a group share work, which every further server has to repeat.
 
-    Below eight proxies the ties were once broken at random, for a group too.
+    Spread over the servers, 29 groups caused a third of all work. This happened when sites of fewer
+    than eight proxies broke near ties at random, also for groups.
     """
     proxies = [
         make_balancer(12, seed=7 + i, proxy_count=proxy_count, proxy_index=i)
         for i in range(proxy_count)
     ]
-    drawn = Counter[str]()
+    groups_by_server = Counter[str]()
     for group in range(24):
         servers = set()
         for balancer in proxies:
-            for step, ratio in enumerate((0.3, 0.5)):  # near enough, whatever it is
+            for step, ratio in enumerate((0.3, 0.5)):  # both ratios are within the near ties
                 balancer.handle(
                     START_US + step, [load_report(i, 0.3 if i % 2 else ratio) for i in range(12)]
                 )
-                sent = actions_of(
+                attempts = actions_of(
                     StartAttempt,
                     balancer.handle(START_US + step, [group_request(group, 100 * group + step)]),
                 )
-                servers.add(sent[0].server_id)
+                servers.add(attempts[0].server_id)
         assert len(servers) == 1
-        drawn.update(servers)
-    assert len(drawn) >= 8
+        groups_by_server.update(servers)
+    assert len(groups_by_server) >= 8
 
 
 def test_group_leaves_a_server_that_is_far_above_the_lowest() -> None:
-    """Guards least ratio routing: what a group saves must not fill its server before the others."""
+    """Keeping a group together must not fill its server while others have room."""
     balancer = make_balancer(4)
     balancer.handle(START_US, [load_report(i, 0.1) for i in range(4)])
     home = chosen_servers(balancer.handle(START_US, [group_request(5)]))[0]
@@ -67,11 +68,14 @@
     assert chosen_servers(balancer.handle(START_US + 5_000_001, [group_request(5, 3)]))[0] == home
 
 
-def test_group_goes_on_to_its_next_server_while_checks_show_that_one_is_far_above() -> None:
-    """Guards groups where few reports are known: after one check the next server went unseen."""
+def test_group_tries_its_next_server_while_health_checks_show_high_load() -> None:
+    """With few reports known, each candidate of a group must be checked.
+
+    If only the first is checked and found loaded, the request goes to a server of unknown load.
+    """
     balancer = make_balancer(12, can_check_health=True)
     balancer.handle(START_US, [load_report(i, 0.1) for i in range(12)])
-    for i in range(1, 9):  # what health checks may cost is saved up
+    for i in range(1, 9):  # arrivals earn credit for health checks
         balancer.handle(
             START_US,
             [
@@ -91,24 +95,32 @@
         checked = checked_servers(actions)
     assert len(set(order)) == len(order) == 3
     assert chosen_servers(actions) == order[-1:]
-    # The next of the group begins where the first ended up, and stays there.
-    begun = balancer.handle(now + 1, [group_request(5, 21)])
-    assert checked_servers(begun)[:1] == order[-1:]
-    done = balancer.handle(
+    # The group's next request checks the server of the first one, and is placed there.
+    check_actions = balancer.handle(now + 1, [group_request(5, 21)])
+    assert checked_servers(check_actions)[:1] == order[-1:]
+    placement_actions = balancer.handle(
         now + 2,
         [HealthCheckCompleted(order[-1], AttemptResult.OK, 500, LoadReport(load_ratio=0.3))],
     )
-    assert chosen_servers(done) == order[-1:]
+    assert chosen_servers(placement_actions) == order[-1:]
 
 
 def place_after_checks(
-    ratios: Sequence[float], *known: Event
+    ratios: Sequence[float], *events: Event
 ) -> tuple[list[str], list[StartAttempt]]:
-    """Place a group's request among unknown servers; return those checked, and its attempts."""
+    """Place a request of a group among servers of unknown load.
+
+    Args:
+        ratios: The load ratios that the health checks report, in order.
+        events: Events that precede the request in its batch.
+
+    Returns:
+        The checked servers and the attempts of the request.
+    """
     balancer = make_balancer(12, can_check_health=True)
-    # The lowest; the mean stands for the others.
+    # These servers have the lowest ratio. The others have no report and count as the mean.
     balancer.handle(START_US, [load_report(i, 0.1) for i in range(2, 4)])
-    for i in range(1, 9):  # what health checks may cost is saved up
+    for i in range(1, 9):  # arrivals earn credit for health checks
         balancer.handle(
             START_US,
             [
@@ -116,7 +128,7 @@
                 ClientDisconnected(i),
             ],
         )
-    order, actions = list[str](), balancer.handle(START_US + 100, [*known, group_request(9, 20)])
+    order, actions = list[str](), balancer.handle(START_US + 100, [*events, group_request(9, 20)])
     for step, ratio in enumerate(ratios):
         order += checked_servers(actions)[:1]
         completed = HealthCheckCompleted(
@@ -127,24 +139,30 @@
 
 
 def test_group_is_placed_on_the_lowest_checked_server_not_on_an_unknown_one() -> None:
-    """Guards servers that few know: 50 connections met on one in three seconds; it shed them."""
-    order, sent = place_after_checks([0.8, 0.7, 0.75])
+    """Proxies that lack a server's report can overload it together.
+
+    One such server got 50 connections within three seconds, and shed them.
+    """
+    order, attempts = place_after_checks([0.8, 0.7, 0.75])
     assert len(set(order)) == 3
-    assert [s.server_id for s in sent] == [order[1]]
+    assert [each.server_id for each in attempts] == [order[1]]
 
 
-def test_group_takes_its_next_server_unchecked_where_that_has_a_report() -> None:
-    """Guards small fleets, where all is known: a full server that was checked came before."""
-    order, sent = place_after_checks([0.8, 0.4])
-    assert [s.server_id for s in sent] == order[1:]
-    known = HealthCheckCompleted(order[1], AttemptResult.OK, 500, LoadReport(load_ratio=0.4))
-    assert [s.server_id for s in place_after_checks([0.8], known)[1]] == order[1:]
+def test_group_uses_its_next_server_without_a_check_if_that_has_a_report() -> None:
+    """In small fleets all loads are known.
+
+    A checked server that is full must not be preferred to the next one, whose report is lower.
+    """
+    order, attempts = place_after_checks([0.8, 0.4])
+    assert [each.server_id for each in attempts] == order[1:]
+    report = HealthCheckCompleted(order[1], AttemptResult.OK, 500, LoadReport(load_ratio=0.4))
+    assert [each.server_id for each in place_after_checks([0.8], report)[1]] == order[1:]
 
 
-def test_near_ties_of_a_group_end_where_a_server_is_full() -> None:
-    """Guards against rejections while others have room: one over 0.85 was in the band."""
+def test_full_servers_are_not_near_ties_of_a_group() -> None:
+    """A group must not be sent to a server above 0.85, which rejects it while others have room."""
     for group in range(24):
         balancer = make_balancer(6)
         balancer.handle(START_US, [load_report(i, 0.5 if i % 2 else 0.88) for i in range(6)])
-        sent = actions_of(StartAttempt, balancer.handle(START_US + 1, [group_request(group)]))
-        assert [int(s.server_id[1:]) % 2 for s in sent] == [1]
+        attempts = actions_of(StartAttempt, balancer.handle(START_US + 1, [group_request(group)]))
+        assert [int(each.server_id[1:]) % 2 for each in attempts] == [1]
--- a/tests/routing/test_arrival_statistics.py
+++ b/tests/routing/test_arrival_statistics.py
@@ -1,4 +1,4 @@
-"""What arrivals show of the load of a connection."""
+"""Estimates of the load of a connection from arrivals."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def test_few_observed_loads_outweigh_the_initial_load() -> None:
-    """Guards slow start: cold servers were filled by the initial load while they warmed up."""
+    """If slow start trusts the initial load for long, it overfills cold servers during warm-up."""
     arrivals = ArrivalStatistics(2, Scheduler(timer_resolution_us=1))
     load = 3 * INITIAL_LOAD_CORES
     for _ in range(5):
--- a/tests/routing/test_attempts.py
+++ b/tests/routing/test_attempts.py
@@ -1,4 +1,4 @@
-"""How attempts end, and events that nobody waits for."""
+"""The end of attempts, and events that refer to unknown requests, servers or timers."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
     assert attempts[0].server_id != server
 
 
-def test_unexpected_but_legal_events_are_harmless() -> None:
+def test_unexpected_but_valid_events_are_harmless() -> None:
     balancer = make_balancer(2)
     events: list[Event] = [
         ClientDisconnected(99),
--- a/tests/routing/test_circuit_breaker.py
+++ b/tests/routing/test_circuit_breaker.py
@@ -1,4 +1,4 @@
-"""Consecutive failed set-ups pace further attempts."""
+"""Circuit breaker: consecutive failed set-ups pace further attempts."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def test_consecutive_failures_pace_further_attempts() -> None:
-    """Guards against a retry storm on a slow shared store: each failure once led to an attempt."""
+    """Without pacing, each failure on a slow shared store causes another attempt: a retry storm."""
     balancer = make_balancer(6)
     arrivals = [request_arrived(request) for request in (1, 2, 3)]
     attempts = len(actions_of(StartAttempt, balancer.handle(START_US, arrivals)))
@@ -24,4 +24,4 @@
         server = f"s{request}"
         failed = attempt_ended(request, 0, server, AttemptResult.ERROR)
         attempts += len(actions_of(StartAttempt, balancer.handle(now, [failed])))
-    assert attempts == 4  # three first ones, one retry; the others wait
+    assert attempts == 4  # three first attempts and one retry; the other retries wait
--- a/tests/routing/test_invariants.py
+++ b/tests/routing/test_invariants.py
@@ -1,4 +1,4 @@
-"""Invariants of answers, retries and drains, over random events."""
+"""Invariants of answers, retries and drains under random events."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 
 class Outcome(Enum):
-    """What the outside world knows of an attempt."""
+    """Whether an attempt was executed, as seen from outside the proxy."""
 
     IN_FLIGHT = auto()
     NOT_EXECUTED = auto()
@@ -64,29 +64,29 @@
 
 
 @dataclass(frozen=True)
-class OwedAnswer:
-    """A request that has no final answer yet, and is not established for good."""
+class PendingRequest:
+    """A request without a final answer; it may be established, but its connection has not ended."""
 
     request_class: RequestClass
     deadline_us: int
 
 
 class InvariantChecker:
-    """Plays the outside world at random and checks every action against the invariants."""
+    """Feeds random events to a balancer and checks every action against the invariants."""
 
     def __init__(self, seed: int, **changes: object) -> None:
         self.rng = random.Random(seed)
-        made = replace(
+        routing_settings = replace(
             BASIC_SETTINGS,
             classes=CLASSES,
             can_check_health=True,
             subscribes_to_endpoints=True,
             **changes,  # type: ignore[arg-type]
         )
-        self.balancer = Balancer(made, seed)
+        self.balancer = Balancer(routing_settings, seed)
         self.now_us = START_US
-        self.timers: list[tuple[int, int]] = []  # time and id of each
-        self.owed: dict[int, OwedAnswer] = {}  # by request
+        self.timers: list[tuple[int, int]] = []  # expiry time and id of each
+        self.pending: dict[int, PendingRequest] = {}  # by request
         self.attempts: dict[int, list[Attempt]] = {}  # by request
         self.closed: set[int] = set()
         self.established: set[int] = set()
@@ -95,49 +95,51 @@
         self.last_request = 0
 
     def step(self) -> None:
-        """Let some time pass, and let what is due and some more happen, one event at a time."""
+        """Advance the time, fire the due timers and add random events, one event at a time."""
         self.now_us += self.rng.choice((1_000, 5_000, 40_000, 200_000))
         due = [timer_id for at_us, timer_id in self.timers if at_us <= self.now_us]
         self.timers = [timer for timer in self.timers if timer[0] > self.now_us]
         for timer_id in due:
-            self._feed(TimerFired(timer_id))
+            self._handle_event(TimerFired(timer_id))
         for request in list(self.attempts):
             if self._is_in_flight(request) and self.rng.random() < 0.5:
-                self._feed(self._end_attempt(request))
+                self._handle_event(self._end_attempt(request))
         self._time_out_attempts()
         if self.rng.random() < 0.5:
-            self._arrive()
-        if self.rng.random() < 0.1 and self.owed:
-            request = self.rng.choice(list(self.owed))
+            self._add_request()
+        if self.rng.random() < 0.1 and self.pending:
+            request = self.rng.choice(list(self.pending))
             if request not in self.established:
                 self._close(request)
-                self._feed(ClientDisconnected(request))
+                self._handle_event(ClientDisconnected(request))
         if self.rng.random() < 0.2:
-            self._feed(self._change_endpoints())
-        late = [r for r, owed in self.owed.items() if self.now_us > owed.deadline_us + 210_000]
+            self._handle_event(self._change_endpoints())
+        late = [r for r, each in self.pending.items() if self.now_us > each.deadline_us + 210_000]
         assert not [r for r in late if r not in self.established], (
-            "a request was left without an answer"
+            "a request got no final answer within 210 ms after its deadline"
         )
 
-    def _arrive(self) -> None:
+    def _add_request(self) -> None:
         self.last_request += 1
         class_index = self.rng.randrange(len(CLASSES))
-        self.owed[self.last_request] = OwedAnswer(CLASSES[class_index], self.now_us + 1_200_000)
-        self._feed(RequestArrived(self.last_request, class_index, 1_200_000, load=0.05))
+        self.pending[self.last_request] = PendingRequest(
+            CLASSES[class_index], self.now_us + 1_200_000
+        )
+        self._handle_event(RequestArrived(self.last_request, class_index, 1_200_000, load=0.05))
 
     def _time_out_attempts(self) -> None:
-        for request, owed in list(self.owed.items()):
+        for request, pending in list(self.pending.items()):
             is_connecting = self._is_in_flight(request) and request not in self.established
-            if self.now_us >= owed.deadline_us and is_connecting:
-                self._feed(self._end_attempt(request, AttemptResult.TIMEOUT))
+            if self.now_us >= pending.deadline_us and is_connecting:
+                self._handle_event(self._end_attempt(request, AttemptResult.TIMEOUT))
 
     def _is_in_flight(self, request: int) -> bool:
         attempts = self.attempts.get(request, [])
         return bool(attempts) and attempts[-1].outcome is Outcome.IN_FLIGHT
 
-    def _feed(self, event: Event) -> None:
+    def _handle_event(self, event: Event) -> None:
         for action in self.balancer.handle(self.now_us, [event]):
-            self._check(action)
+            self._check_action(action)
 
     def _change_endpoints(self) -> EndpointListUpdate:
         listed = []
@@ -156,7 +158,7 @@
         attempt = self.attempts[request][-1]
         number = len(self.attempts[request]) - 1
         if result is None:
-            may_establish = request not in self.established and request in self.owed
+            may_establish = request not in self.established and request in self.pending
             if may_establish and self.rng.random() < 0.3:
                 self.established.add(request)
                 return ConnectionEstablished(request, number, attempt.server_id, 100)
@@ -172,10 +174,10 @@
         return AttemptEnded(request, number, attempt.server_id, result, latency_us, is_final)
 
     def _close(self, request: int) -> None:
-        self.owed.pop(request, None)
+        self.pending.pop(request, None)
         self.closed.add(request)
 
-    def _check(self, action: Action) -> None:
+    def _check_action(self, action: Action) -> None:
         if isinstance(action, StartTimer):
             self.timers.append((self.now_us + action.delay_us, action.timer_id))
         elif isinstance(action, StartAttempt):
@@ -185,47 +187,49 @@
 
     def _check_answer(self, answer: RejectRequest | FailRequest) -> None:
         request = answer.request_id
-        assert request in self.owed, "a second answer"
-        request_class = self.owed[request].request_class
-        before = self.attempts.get(request, [])
-        assert not self._is_in_flight(request), "answered while an attempt is in flight"
-        may_have_run = any(each.outcome is Outcome.MAYBE_EXECUTED for each in before)
+        assert request in self.pending, "request got a second final answer"
+        request_class = self.pending[request].request_class
+        attempts = self.attempts.get(request, [])
+        assert not self._is_in_flight(request), "final answer while an attempt is in flight"
+        may_have_run = any(each.outcome is Outcome.MAYBE_EXECUTED for each in attempts)
         if isinstance(answer, RejectRequest) and may_have_run:
-            keyed_all = (
+            is_deduplicated_everywhere = (
                 request_class.idempotency is Idempotency.WITH_KEY
                 and request_class.deduplication_scope is DeduplicationScope.ALL
             )
-            assert request_class.idempotency is Idempotency.ALWAYS or keyed_all, (
-                "a rejection promised too much"
+            assert request_class.idempotency is Idempotency.ALWAYS or is_deduplicated_everywhere, (
+                "a rejection invites a retry that may execute the request twice"
             )
         self._close(request)
 
     def _check_attempt(self, start: StartAttempt) -> None:
-        assert start.request_id in self.owed, "sent after the final answer"
+        assert start.request_id in self.pending, "attempt started after the final answer"
         unready_us = self.unready_since_us.get(start.server_id)
         assert unready_us is None or self.now_us <= unready_us + BASIC_SETTINGS.drain_grace_us, (
-            "sent to a draining or removed server"
+            "attempt at a server that was removed or has drained past its grace"
         )
-        owed = self.owed[start.request_id]
-        assert self.now_us < owed.deadline_us
-        assert 0 < start.timeout_us <= owed.deadline_us - self.now_us
-        before = self.attempts.setdefault(start.request_id, [])
+        pending = self.pending[start.request_id]
+        assert self.now_us < pending.deadline_us
+        assert 0 < start.timeout_us <= pending.deadline_us - self.now_us
+        attempts = self.attempts.setdefault(start.request_id, [])
         assert not self._is_in_flight(start.request_id), "two attempts in flight"
-        assert len(before) < BASIC_SETTINGS.max_attempts
-        executed = [each for each in before if each.outcome is Outcome.MAYBE_EXECUTED]
-        if executed and owed.request_class.idempotency is not Idempotency.ALWAYS:
-            self._check_retry(owed.request_class, start, executed[0])
-        before.append(Attempt(start.server_id, self.now_us))
+        assert len(attempts) < BASIC_SETTINGS.max_attempts
+        executed = [each for each in attempts if each.outcome is Outcome.MAYBE_EXECUTED]
+        if executed and pending.request_class.idempotency is not Idempotency.ALWAYS:
+            self._check_retry(pending.request_class, start, executed[0])
+        attempts.append(Attempt(start.server_id, self.now_us))
 
     def _check_retry(
         self, request_class: RequestClass, start: StartAttempt, first: Attempt
     ) -> None:
-        assert request_class.idempotency is Idempotency.WITH_KEY, "an unsafe request was repeated"
+        assert request_class.idempotency is Idempotency.WITH_KEY, (
+            "request without idempotency was retried"
+        )
         window_end_us = first.started_at_us + request_class.deduplication_window_us
-        assert self.now_us <= window_end_us, "repeated after the window"
+        assert self.now_us <= window_end_us, "retried after the deduplication window"
         if request_class.deduplication_scope is DeduplicationScope.CELL:
             assert self.cells[start.server_id] == self.cells[first.server_id], (
-                "repeated outside the cell"
+                "retried outside the deduplication cell"
             )
 
 
--- a/tests/routing/test_layers.py
+++ b/tests/routing/test_layers.py
@@ -1,4 +1,4 @@
-"""The modules of the decisions import downwards, as the docstring of the package says."""
+"""Modules of the routing package import only from the layers that its docstring allows."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def imported_modules(path: Path) -> Iterator[str]:
-    """Yield the modules of the package that one of them imports."""
+    """Yield the names of the routing modules that a module imports."""
     for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
         if isinstance(node, ast.ImportFrom) and (node.module or "").startswith(PREFIX):
             yield (node.module or "").removeprefix(PREFIX)
@@ -28,7 +28,7 @@
 }
 
 
-def test_modules_import_each_other_without_circles() -> None:
+def test_imports_between_modules_have_no_cycles() -> None:
     assert len(list(TopologicalSorter(IMPORTS).static_order())) == len(IMPORTS)
 
 
