--- a/larchhaven/routing/endpoint_list.py
+++ b/larchhaven/routing/endpoint_list.py
@@ -24,44 +24,45 @@
 from larchhaven.routing.settings import RoutingSettings
 from larchhaven.routing.slow_start import SlowStart
 
-MIN_BACKOFF_FRACTION = 0.1  # of the time within which a list has to be polled
-MAX_JITTER_FRACTION = 0.5  # of that time: the first poll is out by then
-POLL_INTERVAL_PER_PROXY_US = 125_000  # what the endpoint service needs to answer any proxy at all
-BACKOFF_JITTER_FROM = 1 / 3  # of the backoff
-MIN_WEIGHT = 1e-3
+MIN_JITTER_FRACTION = 0.1  # of the maximum backoff; lower bound of the jitter window
+MAX_JITTER_FRACTION = 0.5  # of the maximum backoff; the first poll is sent within this time
+POLL_INTERVAL_PER_PROXY_US = 125_000  # closer polls may all time out at the endpoint service
+MIN_RETRY_DELAY_FRACTION = 1 / 3  # of the backoff; lower bound of the jittered retry delay
+MIN_WEIGHT = 1e-3  # weights are divisors
 
 
 class PollBackoff:
-    """When the list is asked for: at the start, and again after failures, ever later."""
+    """Schedules polls of the endpoint list: one at the start, and retries with backoff."""
 
     def __init__(self, settings: RoutingSettings, scheduler: Scheduler, rng: random.Random) -> None:
         self._scheduler = scheduler
         self._rng = rng
-        # A pushed list counts as known at once, so that drains limit how old it may get.
+        # A proxy is deemed to know a pushed list at once, so that retries have to come
+        # within the drain grace.
         if settings.subscribes_to_endpoints:
             self._max_backoff_us = settings.poll_deadline_us
         else:
             self._max_backoff_us = settings.drain_grace_us // 2
-        min_us = int(MIN_BACKOFF_FRACTION * self._max_backoff_us)
+        min_us = int(MIN_JITTER_FRACTION * self._max_backoff_us)
         max_us = int(MAX_JITTER_FRACTION * self._max_backoff_us)
-        wanted_us = POLL_INTERVAL_PER_PROXY_US * settings.proxy_count
-        self._jitter_window_us = sorted((min_us, max_us, wanted_us))[1]
+        spread_us = POLL_INTERVAL_PER_PROXY_US * settings.proxy_count
+        self._jitter_window_us = sorted((min_us, max_us, spread_us))[1]
         self._backoff_us = 0
 
     def start_first_poll(self) -> None:
-        """Open the watch at a random time in the jitter window."""
+        """Open the watch after a random delay within the jitter window."""
         delay_us = self._rng.random() * self._jitter_window_us
         self._scheduler.start_timer(delay_us, self._open_watch)
 
     def retry_later(self) -> None:
-        """Open the watch again after a backoff that doubles with each failure."""
+        """Reopen the watch after a jittered backoff, which doubles with each failure."""
         self._backoff_us = max(2 * self._backoff_us, self._jitter_window_us)
         self._backoff_us = min(self._backoff_us, self._max_backoff_us)
-        delay_us = self._backoff_us * self._rng.uniform(BACKOFF_JITTER_FROM, 1)
+        delay_us = self._backoff_us * self._rng.uniform(MIN_RETRY_DELAY_FRACTION, 1)
         self._scheduler.start_timer(delay_us, self._open_watch)
 
     def reset(self) -> None:
-        """Note that a list came."""
+        """Reset the backoff after an endpoint list has been received."""
         self._backoff_us = 0
 
     def _open_watch(self) -> None:
@@ -69,10 +70,10 @@
 
 
 class EndpointList:
-    """Keeps the servers as the list, and the operators, want them.
+    """Applies the endpoint list and administrative ejections to the servers.
 
     Attributes:
-        ejected_server_ids: Servers that operators have taken out, whatever the list says.
+        ejected_server_ids: Servers ejected by operators, whatever their state in the list.
     """
 
     def __init__(
@@ -104,7 +105,7 @@
         self._migration = migration
 
     def on_endpoint_list_update(self, event: EndpointListUpdate) -> None:
-        """Apply a watch event, or poll again after one that failed."""
+        """Apply an endpoint list or changes to it, or schedule a retry after a failed watch."""
         if event.kind is EndpointListKind.FAILED:
             self._backoff.retry_later()
             return
@@ -115,16 +116,20 @@
             self._apply_endpoint(endpoint)
 
     def on_administrative_ejection(self, event: AdministrativeEjection) -> None:
-        """Have a server drain whatever the list says, or return as one that starts now."""
+        """Eject a server, or let it return.
+
+        An ejected server drains whatever its state in the list. A returning server counts as one
+        that has just started, without earlier ejections and penalties.
+        """
         server = self._servers.get(event.server_id)
-        returns = not event.is_ejected and event.server_id in self.ejected_server_ids
+        is_returning = not event.is_ejected and event.server_id in self.ejected_server_ids
         if event.is_ejected:
             self.ejected_server_ids.add(event.server_id)
         else:
             self.ejected_server_ids.discard(event.server_id)
         if server is None:
             return
-        if returns:
+        if is_returning:
             self._ejection.reset(server)
             self._ranking.clear_penalties(server)
             server.endpoint = replace(server.endpoint, started_at_us=self._scheduler.now_us)
@@ -132,8 +137,8 @@
         self._apply_endpoint(server.endpoint)
 
     def _remove_all_but(self, listed_ids: set[str]) -> None:
-        gone = [each.endpoint for each in self._servers.values() if each.id not in listed_ids]
-        for endpoint in gone:
+        unlisted = [each.endpoint for each in self._servers.values() if each.id not in listed_ids]
+        for endpoint in unlisted:
             self._apply_endpoint(replace(endpoint, state=ServerState.REMOVED))
 
     def _apply_endpoint(self, endpoint: Endpoint) -> None:
--- a/larchhaven/routing/hashing.py
+++ b/larchhaven/routing/hashing.py
@@ -1,4 +1,4 @@
-"""Short hashes that stand for keys and server ids in the sticky table and in gossip."""
+"""Short hashes of affinity keys and server ids, for the sticky table and gossip."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 def hash_server_id(server_id: str) -> bytes:
-    """Return the short hash of a server's id, the same at all proxies."""
+    """Return the short hash of a server's id, identical at all proxies."""
     return crc32(server_id.encode()).to_bytes(CRC32_BYTES, "big")[:SERVER_HASH_BYTES]
 
 
 def hash_group(affinity_group: int) -> int:
-    """Return the hash of an affinity group, the same at all proxies."""
+    """Return the hash of an affinity group, identical at all proxies."""
     return crc32(str(affinity_group).encode())
--- a/larchhaven/routing/health_checks.py
+++ b/larchhaven/routing/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks: which server next, within what requests may spend on them."""
+"""Health checks: which servers to check, within a budget that requests earn."""
 
 from __future__ import annotations
 
@@ -12,18 +12,19 @@
 from larchhaven.routing.server import Server
 from larchhaven.routing.settings import RoutingSettings
 
-BUDGET_PER_REQUEST = 0.006  # what a request may spend on checks, of its value
+BUDGET_PER_REQUEST = 0.006  # fraction of a request's value that may be spent on health checks
 MIN_CHECKS_PER_REQUEST = 1
 MAX_CHECKS_PER_REQUEST = 8
-MAX_WAIT_OBJECTIVES = 0.2  # how long a request waits for its checks, in latency objectives
-MIN_TIME_LEFT_WAITS = 4  # with less time left, in such waits, a request is placed without checks
-MAX_GROUP_CHECKS = 3  # servers checked in turn for a request of an affinity group
+MAX_WAIT_OBJECTIVES = 0.2  # longest wait of a request for its checks, in latency objectives
+MIN_TIME_LEFT_WAITS = 4  # a request with less time left, in such waits, gets no checks
+MAX_GROUP_CHECKS = 3  # servers checked one by one for a request of an affinity group
 
 
 class HealthChecks:
-    """Spends a credit that arrivals earn: just before a placement, and on the oldest report.
+    """Starts health checks within a credit that each arriving request adds to.
 
-    A steady sweep would be stale or expensive.
+    Checks precede placements, and refresh the oldest report. A periodic sweep of all servers would
+    be expensive, or leave reports stale.
     """
 
     def __init__(
@@ -39,7 +40,7 @@
         self._is_allowed = settings.can_check_health
         self._credit = 0.0
         self._credit_per_request = self._affordable_checks(settings)
-        # The servers with a check in flight, and the requests that wait for it.
+        # The requests that wait for each check in flight, by server id.
         self._waiting: dict[str, list[Request]] = {}
 
     @staticmethod
@@ -51,25 +52,25 @@
         return min(max(affordable, MIN_CHECKS_PER_REQUEST), MAX_CHECKS_PER_REQUEST)
 
     def record_arrival(self) -> None:
-        """Add what a request may spend to the credit."""
+        """Add the credit that one request earns."""
         self._credit += self._credit_per_request
 
     def check_candidates(self, request: Request) -> int | None:
-        """Check the apparently lowest servers just before a request is placed.
+        """Check the servers that a request is likely to be placed on, just before its placement.
 
         Args:
-            request: The request that is to wait for them.
+            request: The request, which waits for the checks.
 
         Returns:
-            How long it waits for them at most, in microseconds; None if it waits for none.
+            The longest wait for the checks in microseconds, or None if none is pending.
         """
         max_wait_us = int(MAX_WAIT_OBJECTIVES * request.request_class.latency_objective_us)
         servers, shares = self._ranking.near_ties(request, for_health_check=True)
         count = 0
         if self._may_wait(request, max_wait_us):
-            # The credit is below zero after checks that were begun whatever it was.
+            # The credit may be negative, as spend_check() does not require any.
             count = max(min(int(self._credit), len(servers)), 0)
-        # Twice as many draws as checks, less those drawn twice.
+        # Twice as many draws as checks, since some draws are duplicates.
         drawn = self._rng.choices(servers, shares, k=2 * count) if count else []
         now_us = self._scheduler.now_us
         for server in list(dict.fromkeys(drawn))[:count]:
@@ -84,31 +85,31 @@
     def refresh_oldest_report(self) -> None:
         """Check the server with the oldest report if credit is left: its load may have changed."""
         now_us = self._scheduler.now_us
-        idle = [
+        candidates = [
             server
             for _, _, server in self._ranking.entries
             if server.id not in self._waiting and server.ejected_until_us <= now_us
         ]
         reserve = max(min(self._credit_per_request, MAX_GROUP_CHECKS), 1)
-        if idle and self._credit >= reserve:
-            self.spend_check(min(idle, key=lambda server: server.reported_at_us))
+        if candidates and self._credit >= reserve:
+            self.spend_check(min(candidates, key=lambda server: server.reported_at_us))
 
     def spend_check(self, server: Server) -> None:
-        """Check a server at the cost of the credit."""
+        """Charge the credit for a check, and start it unless one is in flight for the server."""
         self._credit -= 1
         if server.id not in self._waiting:
             self._start_check(server)
 
     def check_returning_server(self, server: Server) -> None:
-        """Check a server that operators let serve again, at the cost of the credit."""
+        """Check a server whose administrative ejection has ended, charging the credit."""
         if self._is_allowed:
             self.spend_check(server)
 
     def check_for_free(self, server: Server) -> bool:
-        """Check a server outside the credit.
+        """Check a server without charging the credit.
 
         Returns:
-            Whether a check was begun: not where checks are not allowed, nor while one is in flight.
+            Whether a check was started; not if checks are disabled or one is already in flight.
         """
         if not self._is_allowed or server.id in self._waiting:
             return False
@@ -116,7 +117,7 @@
         return True
 
     def finish_check(self, server_id: str) -> Sequence[Request]:
-        """Note that a check has ended; return the requests that wait for no other."""
+        """Record the end of a check; return the requests that wait for no other check."""
         requests = self._waiting.pop(server_id, None)
         if not requests:
             return ()
@@ -130,7 +131,7 @@
 
     def _may_wait(self, request: Request, max_wait_us: int) -> bool:
         max_checks = 1 if request.group_hash is None else MAX_GROUP_CHECKS
-        # Each wait counts twice: as it begins and as it ends.
+        # wait_count grows by two per wait: at its start and at its end.
         may_check_again = request.wait_count < 2 * max_checks
         time_left_us = request.deadline_us - self._scheduler.now_us
         return may_check_again and time_left_us > MIN_TIME_LEFT_WAITS * max_wait_us
--- a/larchhaven/routing/live_peers.py
+++ b/larchhaven/routing/live_peers.py
@@ -1,4 +1,4 @@
-"""Which proxies are live, as far as this one knows."""
+"""The live proxies, as reported by the membership protocol."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class LivePeers:
-    """The proxies, this one among them, that are not known to be gone.
+    """The proxies not known to have failed or left, including this one.
 
     Attributes:
-        indices: Their indices.
-        count: How many they are.
+        indices: Indices of the live proxies.
+        count: Number of live proxies.
     """
 
     def __init__(self, proxy_count: int) -> None:
@@ -18,6 +18,6 @@
         self.count = proxy_count
 
     def on_live_peers_changed(self, event: LivePeersChanged) -> None:
-        """Take over what the membership protocol has found."""
+        """Replace the live proxies by those that the membership protocol reports."""
         self.indices = event.proxies
         self.count = len(event.proxies)
--- a/larchhaven/routing/load_estimate.py
+++ b/larchhaven/routing/load_estimate.py
@@ -1,4 +1,4 @@
-"""The load of a server: its last report, aged, and own placements since."""
+"""Estimated load of a server: its last report, decayed with age, and own placements since."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 from larchhaven.routing.scheduler import Scheduler
 from larchhaven.routing.server import MAX_UNREPORTED_CHANGES, Server
 
-REPORT_LAG_US = 800_000  # a report shows a server as it was this long before: a refresh, transport
+REPORT_LAG_US = 800_000  # age of the load in a report on arrival: refresh interval, transport
 REPORT_HALF_LIFE_US = 10_000_000
-SATURATED_RATIO = 2.0  # reports above show an overload and count as this: they run beyond the load
-FULL_PENALTY_RATIO = 1.0  # added to the ratio of a server that is full or slow
-FULL_LOAD_RATIO = 0.85  # a server above this gets nothing new
-MIN_TOTAL_WEIGHT = 1e-6  # below, no server reports
-MAX_UNSEEN_PROXIES = 4  # own placements stand for those of so many proxies at most
+SATURATED_RATIO = 2.0  # cap on reported ratios, which overstate the load under overload
+FULL_PENALTY_RATIO = 1.0  # added to the load ratio of a full or slow server
+FULL_LOAD_RATIO = 0.85  # a server above this gets no new connections
+MIN_TOTAL_WEIGHT = 1e-6  # with less, no server counts as reporting
+MAX_EXTRAPOLATED_PROXIES = 4  # own placements are scaled up for at most this many proxies
 
 
 class LoadEstimate:
-    """Estimated load over capacity of each server, and the mean of the fleet."""
+    """Estimated load over capacity of each server, and the fleet mean."""
 
     def __init__(self, scheduler: Scheduler, live_peers: LivePeers) -> None:
         self._scheduler = scheduler
@@ -32,28 +32,30 @@
         return self._weight_sum > MIN_TOTAL_WEIGHT
 
     def mean_ratio(self) -> float:
-        """Return the mean of the reported ratios, by weight."""
+        """Return the mean of the reported load ratios, weighted by capacity; 0 without reports."""
         return self._ratio_sum / self._weight_sum if self._weight_sum > MIN_TOTAL_WEIGHT else 0.0
 
     def load_ratio(self, server: Server) -> float:
         """Return the estimated load over capacity of a server."""
         reported = self._weight_sum > MIN_TOTAL_WEIGHT
         mean = self._ratio_sum / self._weight_sum if reported else 0.0
-        # Where nobody reports, the placements of the other proxies are guessed from the own ones.
-        proxies = 1 if reported else min(self._live_peers.count, MAX_UNSEEN_PROXIES)
+        # Without reports, assume that the other proxies place as much load as this one.
+        proxies = 1 if reported else min(self._live_peers.count, MAX_EXTRAPOLATED_PROXIES)
         own_ratio = proxies * server.unreported_load / server.weight
         now_us = self._scheduler.now_us
         if server.reported_ratio is None:
-            # A server without a report is like the mean, not idle; one seen to start is empty.
+            # Without a report, assume the mean load; a server that is warming up is empty.
             return own_ratio + (mean if server.warm_at_us <= now_us else 0.0)
-        # Others fill what was low and connections leave what was high: a report ages to the mean.
+        # A report decays towards the mean: proxies fill lightly loaded servers, and connections
+        # leave heavily loaded ones.
         age = 1 + (now_us - server.reported_at_us) / REPORT_HALF_LIFE_US
         return own_ratio + (mean + (server.reported_ratio - mean) / age)
 
     def occupancy_ratio(self, server: Server) -> float:
-        """Return the load of a server as admission sees it: more while it rejects requests.
+        """Return the load ratio of a server for admission: raised while it rejects requests.
 
-        Slow messages, which some servers show at any load, count only without a report.
+        Slow messages raise it only for a server without a report, as some servers are slow at any
+        load.
         """
         now_us = self._scheduler.now_us
         is_slow = server.reported_ratio is None and server.slow_until_us > now_us
@@ -61,19 +63,19 @@
         return self.load_ratio(server) + FULL_PENALTY_RATIO * is_full
 
     def has_capacity(self, server: Server) -> bool:
-        """Return whether a server can take another connection without an overload."""
+        """Return whether a server can take another connection without being overloaded."""
         return self.occupancy_ratio(server) <= FULL_LOAD_RATIO
 
     def record_report(self, server: Server, report: LoadReport | None, latency_us: int) -> bool:
-        """Learn from a load report.
+        """Update the estimate from a load report.
 
         Args:
             server: The server that sent it.
-            report: The report, if there was one.
-            latency_us: How long the answer that held it took.
+            report: The report, or None if there was none.
+            latency_us: Duration of the answer that carried it, in microseconds.
 
         Returns:
-            Whether it held the load.
+            Whether the report states a load.
         """
         if report is None:
             return False
@@ -86,15 +88,15 @@
         self._weight_sum += server.weight
         server.reported_ratio = ratio
         server.reported_at_us = self._scheduler.now_us
-        seen_us = self._scheduler.now_us - REPORT_LAG_US - latency_us
-        unseen = [change for change in server.unreported_changes if change[0] > seen_us]
-        server.unreported_changes = deque(unseen, MAX_UNREPORTED_CHANGES)
-        server.unreported_load = sum([load for _, load in unseen])
+        sampled_at_us = self._scheduler.now_us - REPORT_LAG_US - latency_us
+        unreported = [change for change in server.unreported_changes if change[0] > sampled_at_us]
+        server.unreported_changes = deque(unreported, MAX_UNREPORTED_CHANGES)
+        server.unreported_load = sum([load for _, load in unreported])
         return True
 
     def record_change(self, server: Server, load: float) -> None:
-        """Add load that this proxy placed on a server, or took off it if negative, in cores."""
-        if server.state is not ServerState.REMOVED:  # otherwise no report will ever contain it
+        """Record a change of load by this proxy, in cores; negative if load was removed."""
+        if server.state is not ServerState.REMOVED:  # a removed server sends no more reports
             server.unreported_changes.append((self._scheduler.now_us, load))
             server.unreported_load += load
 
@@ -106,7 +108,7 @@
             server.reported_ratio = None
 
     def forget_server(self, server: Server) -> None:
-        """Discard the report and the own placements of a server that starts anew or is gone."""
+        """Discard the report and the own placements of a server that restarted or was removed."""
         self.forget_report(server)
         server.unreported_load = 0.0
         server.unreported_changes.clear()
--- a/larchhaven/routing/migration.py
+++ b/larchhaven/routing/migration.py
@@ -1,4 +1,4 @@
-"""Migration of established connections: drains, the shutdown of the proxy, and rebalancing."""
+"""Migration of established connections: server drains, proxy shutdown, and rebalancing."""
 
 from __future__ import annotations
 
@@ -20,27 +20,27 @@
 
 
 class RebalancingLimits(NamedTuple):
-    """When connections are moved off an overloaded server, and how many.
+    """Limits on moving connections off an overloaded server.
 
     Attributes:
-        from_ratio: Load over capacity above which a server is rebalanced.
-        target_ratio: It is brought down to this, or to the mean of the fleet if that is higher.
-        budget_per_request: What a request may spend on migrations, of its value.
-        cool_down_lags: Pause between two rebalancings of a server, in lags of reports.
+        from_ratio: Load ratio above which a server is rebalanced.
+        target_ratio: Load ratio to rebalance down to, or the fleet mean if that is higher.
+        budget_per_request: Fraction of a request's value that may be spent on migrations.
+        cool_down_lags: Pause between two rebalancings of a server, in report lags.
     """
 
     from_ratio: float = 0.9
     target_ratio: float = 0.75
     budget_per_request: float = 0.01
-    cool_down_lags: int = 3  # migrated clients reconnect only after a while
+    cool_down_lags: int = 3  # migrated clients take a while to reconnect
 
 
 class DrainPace(NamedTuple):
-    """How fast the connections of a draining server are moved.
+    """Pace at which the connections of a draining server are migrated.
 
     Attributes:
-        max_arrival_multiple: At most so many times as fast as new connections come.
-        max_grace_multiple: But within so many times the drain grace.
+        max_arrival_multiple: Maximum rate, as a multiple of the arrival rate of new connections.
+        max_grace_multiple: Maximum duration, in drain graces; takes precedence over the rate.
     """
 
     max_arrival_multiple: float = 4.0
@@ -49,14 +49,14 @@
 
 REBALANCING = RebalancingLimits()
 DRAIN_PACE = DrainPace()
-SHUTDOWN_FRACTION = 0.8  # of the time left to a proxy, within which its connections are moved
+SHUTDOWN_FRACTION = 0.8  # of the time left to a draining proxy, spent on migrations
 
 
 class Migration:
-    """Ends established connections politely, so that their clients reconnect elsewhere.
+    """Closes established connections gracefully, so that their clients reconnect elsewhere.
 
     Attributes:
-        credit: Migrations that rebalancing may still spend; arrivals earn it.
+        credit: Migrations that rebalancing may still make; each arriving request adds to it.
     """
 
     def __init__(
@@ -82,20 +82,20 @@
         self._health_checks = health_checks
         self._connections = connections
         self._requests = requests
-        self._shutdown_by_us = 0  # all is to be migrated by then; 0 unless the proxy drains
+        self._shutdown_by_us = 0  # deadline of all migrations; 0 unless the proxy drains
 
     def record_arrival(self) -> None:
-        """Add what a request may spend to the credit."""
+        """Add the credit that one request earns."""
         self.credit += self._credit_per_request
 
     def migrate(self, request: Request) -> None:
-        """Migrate a connection that is established and not closing yet."""
+        """Migrate a connection if it is established and not closing yet."""
         if request.state is RequestState.ESTABLISHED:
             self._scheduler.emit(MigrateConnection(request.id))
             request.close()
 
     def on_connection_established(self, request: Request) -> None:
-        """Migrate a new connection too if its server or this proxy drains."""
+        """Migrate a new connection if its server or this proxy is draining."""
         server = request.server
         if server is not None and server.state is ServerState.DRAINING:
             self.drain_connections(server, [request])
@@ -103,7 +103,10 @@
             self._migrate_before_shutdown(request)
 
     def on_proxy_draining(self, event: ProxyDraining) -> None:
-        """Migrate every connection in time, spread evenly so that servers are not flooded."""
+        """Migrate all connections in the time left, evenly spread to avoid flooding the servers.
+
+        A drain time of 0 cancels the drain.
+        """
         self._shutdown_by_us = 0
         if event.within_us:
             within_us = int(SHUTDOWN_FRACTION * event.within_us)
@@ -112,13 +115,13 @@
                 self._migrate_before_shutdown(request)
 
     def drain_server(self, server: Server) -> None:
-        """Migrate all connections of a server that begins to drain."""
+        """Migrate all connections of a server that starts draining."""
         self.drain_connections(server, list(self._connections.on_server(server).values()))
 
     def drain_connections(self, server: Server, requests: Iterable[Request]) -> None:
-        """Migrate connections before a draining server cuts them, each at a time of its own.
+        """Migrate connections before a draining server cuts them, each after a random delay.
 
-        They take the grace of the drain, or longer if the servers left would be flooded.
+        The delays span the drain grace, or more if the other servers would be flooded.
         """
         grace_us = self._drain_grace_us
         max_rate = DRAIN_PACE.max_arrival_multiple * self._arrivals.arrivals_per_us()
@@ -129,7 +132,7 @@
             self._scheduler.start_timer(delay_us, partial(self._migrate_if_draining, request))
 
     def rebalance_server(self, server: Server) -> None:
-        """Migrate this proxy's part of an overloaded server's excess, the heaviest first."""
+        """Migrate this proxy's share of a server's excess load, heaviest connections first."""
         ratio = server.reported_ratio
         if ratio is None or ratio <= REBALANCING.from_ratio:
             return
@@ -141,7 +144,7 @@
             return
         self._begin_cool_down(server)
         cool_down_us = server.next_rebalance_at_us - self._scheduler.now_us
-        self._scheduler.start_timer(cool_down_us, partial(self._check_result, server))
+        self._scheduler.start_timer(cool_down_us, partial(self._recheck_server, server))
         server.migrated_until_us = server.next_rebalance_at_us
         excess = (1 - target / ratio) * sum(request.load for request in connections.values())
         for request in sorted(connections.values(), key=lambda each: -each.load):
@@ -153,7 +156,7 @@
             excess -= request.load
 
     def check_overload(self, server: Server) -> None:
-        """Check a server whose messages are very slow: its report says how much has to move."""
+        """Check a server with very slow messages; its report shows how much load to migrate."""
         is_due = server.next_rebalance_at_us <= self._scheduler.now_us
         if is_due and self._health_checks.check_for_free(server):
             self._begin_cool_down(server)
@@ -163,8 +166,8 @@
         cool_down_us = int(REBALANCING.cool_down_lags * REPORT_LAG_US * jitter)
         server.next_rebalance_at_us = self._scheduler.now_us + cool_down_us
 
-    def _check_result(self, server: Server) -> None:
-        """See whether the migrations were enough, unless a report or messages have shown it."""
+    def _recheck_server(self, server: Server) -> None:
+        """Check a rebalanced server, unless a recent report or slow messages show its load."""
         now_us = self._scheduler.now_us
         if now_us - server.reported_at_us > REPORT_LAG_US and server.slow_until_us <= now_us:
             self._health_checks.spend_check(server)
--- a/larchhaven/routing/outlier_ejection.py
+++ b/larchhaven/routing/outlier_ejection.py
@@ -1,4 +1,4 @@
-"""Outlier ejection: a server that fails gets nothing new for a while, longer each time."""
+"""Outlier ejection: a failing server gets no new requests for a while, longer each time."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 BASE_EJECTION_US = 2_000_000
 MAX_EJECTION_US = 30_000_000
-MAX_EJECTED_FRACTION = 0.5  # with more the cause is shared, and ejections are not enforced
+MAX_EJECTED_FRACTION = 0.5  # with more, a shared cause is assumed and ejections are not enforced
 
 OUTLIER_RESULTS = (
     AttemptResult.ERROR,
@@ -19,12 +19,12 @@
     AttemptResult.RESET,
     AttemptResult.UNREACHABLE,
 )
-# If they come fast, the request may be at fault: the server is only suspected.
+# If such a failure is fast, the request may be at fault, and the server is only suspected.
 SUSPECT_RESULTS = (AttemptResult.ERROR, AttemptResult.RESET)
 
 
 class OutlierEjection:
-    """Ejects servers, with jitter so that not all proxies come back to one at once."""
+    """Ejects servers for a jittered time, so that proxies do not all return to one at once."""
 
     def __init__(self, scheduler: Scheduler, rng: random.Random) -> None:
         self._scheduler = scheduler
@@ -43,11 +43,11 @@
         server.ejected_until_us = now_us + int(server.ejection_us * jitter)
 
     def reset(self, server: Server) -> None:
-        """Have a server count as one that was never ejected."""
+        """End the ejection of a server, and discard its ejection history."""
         server.ejected_until_us = self._scheduler.now_us - EJECTION_RESET_US
 
     def is_enforced(self, ranking: Sequence[RankingEntry]) -> bool:
-        """Return whether few enough of the ready servers are ejected; else the cause is shared."""
+        """Return whether ejections apply; not if too many of the ready servers are ejected."""
         now_us = self._scheduler.now_us
         ejected = sum([server.ejected_until_us > now_us for _, _, server in ranking])
         return ejected <= MAX_EJECTED_FRACTION * len(ranking)
--- a/larchhaven/routing/peer_gossip.py
+++ b/larchhaven/routing/peer_gossip.py
@@ -21,7 +21,7 @@
 
 
 class PeerGossip:
-    """Learns what other proxies know, and notifies them of what this one knows."""
+    """Exchanges sticky table entries with other proxies, and learned state at a hot restart."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         self._placement = placement
 
     def on_gossip_received(self, event: GossipReceived) -> None:
-        """Learn from a message, or answer it."""
+        """Apply a gossip message, or answer it."""
         message = event.message
         if isinstance(message, StickyEntryQuery):
             self._sticky_table.send_entries(event.sender_index, [message.key_hash])
--- a/larchhaven/routing/placement.py
+++ b/larchhaven/routing/placement.py
@@ -1,4 +1,4 @@
-"""Placement of a request: admitted or rejected, sent to a server now, or held for one."""
+"""Placement of a request: reject it, start an attempt on a server, or hold it."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 from larchhaven.routing.settings import RoutingSettings
 from larchhaven.routing.slow_start import SlowStart
 
-# An attempt leaves another one the latency objective, or this part of the time left if shorter.
+# An attempt leaves the next one the latency objective, or this part of the time left if shorter.
 ATTEMPT_TIME_FRACTION = 0.5
-HOLD_OBJECTIVES = 0.25  # a request without a ready server is placed again after this
-MAX_STICKY_QUERY_US = 100_000  # a mid-flow connection waits so long for an answer of other proxies
+HOLD_OBJECTIVES = 0.25  # retry interval of a request without a ready server, in latency objectives
+MAX_STICKY_QUERY_US = 100_000  # longest wait of a mid-flow connection for other proxies
 
 
 class Placement:
-    """Places the requests, and owns them until their answer is given and no attempt is left."""
+    """Places requests, and owns each until it is answered and no attempt is in flight."""
 
     def __init__(
         self,
@@ -67,7 +67,7 @@
         self._ejected_server_ids = ejected_server_ids
 
     def on_request_arrived(self, event: RequestArrived) -> None:
-        """Reject a request, hold it for health checks or for what peers know, or place it."""
+        """Reject a request, hold it for health checks or a sticky table query, or place it."""
         request = self.add_request(event)
         self._arrivals.record_arrival(request.load)
         self._health_checks.record_arrival()
@@ -88,7 +88,7 @@
             self._health_checks.refresh_oldest_report()
 
     def add_request(self, event: RequestArrived) -> Request:
-        """Take in a request without placing it."""
+        """Register a request without placing it."""
         class_index = min(max(event.class_index, 0), len(self._classes) - 1)
         load = event.load
         if load is None:
@@ -111,7 +111,7 @@
         return request
 
     def place(self, request: Request) -> None:
-        """Send a request to a server, hold it for one, or answer it when no attempt is left."""
+        """Start an attempt, hold the request until a server is usable, or give the final answer."""
         if not self._retry_policy.may_attempt(request):
             self._answer(request)
             return
@@ -129,7 +129,7 @@
             self._answer(request)
 
     def check_or_place(self, request: Request) -> None:
-        """Hold a request for health checks of the servers it may go to, or place it."""
+        """Hold a request for health checks of its candidate servers, or place it."""
         max_wait_us = self._health_checks.check_candidates(request)
         if max_wait_us is None:
             self.place(request)
@@ -137,20 +137,20 @@
             self._hold(request, max_wait_us)
 
     def resume_after_checks(self, request: Request) -> None:
-        """Go on with a request whose health checks have ended."""
+        """Resume a request whose health checks have ended."""
         request.wait_count += 1
         if request.state is RequestState.WAITING:
-            self.check_or_place(request)  # a group may have to go on to its next server
+            self.check_or_place(request)  # a group may need its next server checked
 
     def resume_mid_flow(self) -> None:
-        """Place the mid-flow connections whose server is known now."""
+        """Place the waiting mid-flow connections whose server is in the sticky table now."""
         for request in list(self._requests.values()):
-            waits = request.is_mid_flow and not request.attempt_count
-            if waits and request.key_hash in self._sticky_table:
+            is_waiting = request.is_mid_flow and not request.attempt_count
+            if is_waiting and request.key_hash in self._sticky_table:
                 self._resume(request)
 
     def close(self, request: Request) -> None:
-        """Note that nothing is owed any more; forget the request unless an attempt is left."""
+        """Record that no answer is owed; drop the request unless an attempt is in flight."""
         request.close()
         if request.state is RequestState.CLOSED:
             self._requests.pop(request.id, None)
@@ -164,7 +164,7 @@
         return self._rng.choices(servers, shares)[0] if servers else None
 
     def _has_servers_left(self, request: Request) -> bool:
-        """Return whether a server may yet become usable for a request."""
+        """Return whether any server may still become usable for a request."""
         if not request.tried_servers and not self._ejected_server_ids:
             return True
         tried = request.tried_servers
@@ -179,9 +179,9 @@
         self._scheduler.emit(StartAttempt(request.id, server.id, timeout_us))
 
     def _attempt_timeout_us(self, request: Request) -> int:
-        """Return how long an attempt may take, so that another one can follow."""
+        """Return the timeout of an attempt, which leaves time for another one."""
         time_left_us = request.deadline_us - self._scheduler.now_us
-        # While the breaker is tripped a retry helps nobody: this attempt gets all the time.
+        # While the breaker is tripped, a retry does not help: this attempt gets all the time left.
         if self._breaker.is_tripped or not self._retry_policy.has_attempts_left(request):
             return time_left_us
         objective_us = request.request_class.latency_objective_us
--- a/larchhaven/routing/ranking.py
+++ b/larchhaven/routing/ranking.py
@@ -1,6 +1,6 @@
-"""Least ratio routing: the ready servers by load over capacity, and the near ties at the top.
+"""Least ratio routing: ranks the ready servers by load over capacity, and finds near ties.
 
-The rule is that of Alanyali and Hajek: a connection goes to the lowest ratio, and stays there.
+Follows Alanyali and Hajek: a connection goes to the server of the lowest ratio, and stays there.
 """
 
 from __future__ import annotations
@@ -28,26 +28,26 @@
 from larchhaven.routing.settings import RoutingSettings
 from larchhaven.routing.slow_start import SlowStart
 
-RANKING_INTERVAL_US = 1_000_000  # all servers are ranked anew this often, as reports age
+RANKING_INTERVAL_US = 1_000_000  # all servers are ranked again at this interval, as reports age
 SLOW_OR_FULL_US = 2_000_000  # a server counts as slow or full for this long
-HEAVY_MULTIPLE = 2.0  # of the mean load; from there a connection's own load counts in the ratios
-GROUP_BAND_RATIO = 0.4  # a group's near ties lie so far above the lowest at most
-MIN_SHARE = 1e-9
-_RENDEZVOUS_MULTIPLIER = 0x9E3779B97F4A7C15
+HEAVY_MULTIPLE = 2.0  # of the mean load; a heavier connection adds its own load to the ratios
+GROUP_BAND_RATIO = 0.4  # maximum width of a group's near-tie band above the lowest ratio
+MIN_SHARE = 1e-9  # a weighted draw needs a positive total
+_RENDEZVOUS_MULTIPLIER = 0x9E3779B97F4A7C15  # 2**64 over the golden ratio
 
 
 class Candidates(NamedTuple):
-    """Servers in the near-tie band, and the share of requests that each is to get."""
+    """Servers in the near-tie band, and the share of requests for each."""
 
     servers: list[Server]
     shares: list[float]
 
 
 class Ranking:
-    """The ready servers, lowest ratio first.
+    """The ready servers, ordered by load ratio, lowest first.
 
     Attributes:
-        entries: Ratio, tie-break and server of each, in order.
+        entries: Load ratio, tie-break and server of each ready server, in order.
     """
 
     def __init__(
@@ -71,14 +71,14 @@
         self._live_peers = live_peers
         self._arrivals = arrivals
         self._load_estimate = load_estimate
-        self._load_ratio = load_estimate.load_ratio  # called for every change of load
+        self._load_ratio = load_estimate.load_ratio  # bound once: called on every load change
         self._slow_start = slow_start
         self._ejection = ejection
         self._retry_policy = retry_policy
         self._ranked_at_us = 0
 
     def reorder_server(self, server: Server) -> None:
-        """Give one server its new place, or none if it is not ready."""
+        """Move a server to its new place, or remove it from the ranking if it is not ready."""
         if server.ranking_entry is not None:
             del self.entries[bisect_left(self.entries, server.ranking_entry)]
             server.ranking_entry = None
@@ -87,40 +87,40 @@
             insort(self.entries, server.ranking_entry)
 
     def apply_report(self, server: Server, report: LoadReport | None, latency_us: int) -> None:
-        """Rank a server by a load report, if there is one that tells its load."""
+        """Update the rank of a server from a report, if there is one that states its load."""
         if self._load_estimate.record_report(server, report, latency_us):
             self.reorder_server(server)
 
     def apply_load_change(self, server: Server, load: float) -> None:
-        """Rank a server by a change of load that is not reported yet, in cores."""
+        """Update the rank of a server after an unreported change of its load, in cores."""
         self._load_estimate.record_change(server, load)
         if server.state is ServerState.READY:
             self.reorder_server(server)
 
     def mark_full(self, server: Server) -> None:
-        """Rank a server lower for a while, as it rejected a request."""
+        """Rank a server lower for a while after it rejected a request."""
         server.full_until_us = self._scheduler.now_us + SLOW_OR_FULL_US
         self.reorder_server(server)
 
     def mark_slow(self, server: Server, is_slow: bool) -> None:
-        """Rank a server lower for a while if its messages are slow.
+        """Rank a server lower for a while if its messages are slow, else lift that penalty.
 
-        These cost nothing, and show sooner than a report that a server is full.
+        Message delays cost nothing to observe, and reveal a full server sooner than a report.
         """
         server.slow_until_us = self._scheduler.now_us + SLOW_OR_FULL_US if is_slow else 0
         self.reorder_server(server)
 
     def clear_penalties(self, server: Server) -> None:
-        """Have a server count as neither slow nor full; its place stays until it is reordered."""
+        """Clear the slow and full marks of a server, without reordering it."""
         server.slow_until_us = 0
         server.full_until_us = 0
 
     def near_ties(self, request: Request, *, for_health_check: bool = False) -> Candidates:
-        """Return the servers that a request may be placed on, and the share of each.
+        """Return the servers that a request may be placed on, with their shares.
 
         Args:
             request: The request to be placed.
-            for_health_check: Whether they are to be checked first.
+            for_health_check: Whether the servers are to be checked before the placement.
         """
         if self._scheduler.now_us - self._ranked_at_us > RANKING_INTERVAL_US:
             self._rank_all()
@@ -130,7 +130,7 @@
         return self._near_ties_by_water_filling(request)
 
     def usable_servers(self, request: Request) -> Iterator[tuple[float, Server]]:
-        """Yield the servers that a request may go to now, lowest first, each behind its ratio."""
+        """Yield ratio and server for each server that a request may go to now, lowest first."""
         now_us = self._scheduler.now_us
         ejections_enforced = self._ejection.is_enforced(self.entries)
         entries = self.entries
@@ -150,7 +150,7 @@
                 yield ratio, server
 
     def count_unavailable_servers(self) -> int:
-        """Count the listed servers that get nothing new: draining, or with an enforced ejection."""
+        """Count the listed servers without new requests: draining, or with an enforced ejection."""
         until_us = math.inf
         if self._ejection.is_enforced(self.entries):
             until_us = self._scheduler.now_us
@@ -161,7 +161,7 @@
         )
 
     def _ranked_ratio(self, server: Server) -> float:
-        """Return its load, the cost of crossing zones, and a penalty while it is slow or full."""
+        """Return the load ratio, plus the cross-zone cost and the slow-or-full penalty."""
         cross_zone = self._cross_zone_cost if server.zone != self._zone else 0.0
         penalized = max(server.slow_until_us, server.full_until_us) > self._scheduler.now_us
         return self._load_ratio(server) + cross_zone + FULL_PENALTY_RATIO * penalized
@@ -180,10 +180,10 @@
         self.entries = entries
 
     def _near_ties_by_water_filling(self, request: Request) -> Candidates:
-        """Return the servers that the load expected meanwhile would raise to a common level.
+        """Return the lowest servers that the expected load would raise to a common level.
 
-        All proxies read the same late reports, and would overload the lowest server together. So
-        the load that they place within the lag of reports is spread over the lowest ratios.
+        All proxies read the same delayed reports, and together would overload the lowest server.
+        So the load that they place within the report lag is spread over the lowest ratios.
         """
         peer_load = self._arrivals.expected_load(REPORT_LAG_US)
         expected = request.load + (self._live_peers.count - 1) * peer_load
@@ -204,11 +204,14 @@
     def _draw_for_group(
         self, request: Request, group_hash: int, for_health_check: bool
     ) -> Server | None:
-        """Return the one near tie that all proxies draw for a group: each that holds any costs."""
+        """Return the near tie that all proxies draw for a group.
+
+        Each server that holds a client of a group bears the cost of the whole group.
+        """
         usable = list(self.usable_servers(request))
 
         def score(server: Server) -> float:
-            # Weighted rendezvous hashing; CRCs alone would favour a few servers over all groups.
+            # Weighted rendezvous hashing; CRCs alone would map most groups to a few servers.
             mixed = (crc32(server.hash, group_hash) * _RENDEZVOUS_MULTIPLIER >> 32) % 2**32
             return math.log((mixed + 0.5) / 2**32) / server.weight
 
@@ -220,7 +223,7 @@
         drawn = max(near, key=score, default=None)
         if for_health_check or drawn is None or drawn.reported_ratio is not None:
             return drawn
-        # No more checks: the lowest that was checked is better than one whose load is unknown.
+        # Without further checks, the lowest checked server is better than one of unknown load.
         for _, server in usable:
             if server in request.checked_servers and self._load_estimate.has_capacity(server):
                 return server
--- a/larchhaven/routing/request.py
+++ b/larchhaven/routing/request.py
@@ -1,4 +1,4 @@
-"""A request, from its arrival to its final answer or to the end of the connection it became."""
+"""A request, from its arrival to its final answer or the end of its connection."""
 
 from __future__ import annotations
 
@@ -10,27 +10,27 @@
 
 
 class RequestState(IntEnum):
-    """How far a request has come; an integer, as it is a key at each transition."""
+    """State of a request; an integer for fast lookups in the transition tables."""
 
-    WAITING = auto()  # no attempt is in flight; it waits for a server, or is being placed
-    ATTEMPTING = auto()  # an attempt is in flight, the answer is still owed
-    ESTABLISHED = auto()  # answered: its connection is established
-    ABANDONED = auto()  # nothing is owed any more, but an attempt is still in flight
-    CLOSING = auto()  # its connection is to end: migrated, or the client left
+    WAITING = auto()  # no attempt is in flight; waits for a server, or is being placed
+    ATTEMPTING = auto()  # an attempt is in flight, and the answer is still owed
+    ESTABLISHED = auto()  # answered, and its connection is established
+    ABANDONED = auto()  # no answer is owed any more, but an attempt is still in flight
+    CLOSING = auto()  # its connection is ending: migrated, or the client left
     CLOSED = auto()
 
 
-_WHEN_ESTABLISHED = {
+_ESTABLISH_TRANSITIONS = {
     RequestState.ATTEMPTING: RequestState.ESTABLISHED,
     RequestState.ABANDONED: RequestState.CLOSING,
 }
-_WHEN_ATTEMPT_ENDED = {
+_END_ATTEMPT_TRANSITIONS = {
     RequestState.ATTEMPTING: RequestState.WAITING,
     RequestState.ESTABLISHED: RequestState.WAITING,
     RequestState.ABANDONED: RequestState.CLOSED,
     RequestState.CLOSING: RequestState.CLOSED,
 }
-_WHEN_CLOSED = {
+_CLOSE_TRANSITIONS = {
     RequestState.WAITING: RequestState.CLOSED,
     RequestState.ATTEMPTING: RequestState.ABANDONED,
     RequestState.ESTABLISHED: RequestState.CLOSING,
@@ -41,32 +41,32 @@
 class Request:
     """A request, and the connection it becomes.
 
-    The methods are its transitions; an event that means nothing in a state leaves it as it is.
-    The module named behind an attribute is the only other one that changes it.
+    The methods are the state transitions; one that does not apply in a state leaves it unchanged.
+    A module in parentheses is the only other one that changes the attribute.
 
     Attributes:
-        id: Its number.
-        class_index: Its class, by index into the settings.
-        request_class: What is promised for that class.
-        deadline_us: When its final answer is due.
-        load: Load of its connection, in cores; an estimate until reported (``attempts``).
+        id: Number of the request.
+        class_index: Index of its class in the settings.
+        request_class: Settings of that class.
+        deadline_us: Time at which its final answer is due.
+        load: Load of its connection in cores, estimated until reported (``attempts``).
         key_hash: Short hash of its affinity key; empty if it has none.
         is_mid_flow: Whether its connection was established through another proxy.
         group_hash: Hash of its affinity group, if it has one.
-        pinned_server_id: The only server that will do, if there is one.
-        tenant_index: Its tenant, by index into the settings.
-        state: How far it has come.
-        attempt_count: Attempts begun so far.
-        attempt_in_flight: The number of the attempt in flight, if there is one.
-        server: Where the last attempt went.
-        first_executed_on: Where an attempt may have been executed first, if one may (``retries``).
-        first_executed_at_us: When that was (``retries``).
-        tried_servers: Servers at which an attempt failed (``retries``).
+        pinned_server_id: The only server that it may go to, if it is pinned to one.
+        tenant_index: Index of its tenant in the settings.
+        state: Current state.
+        attempt_count: Attempts started so far.
+        attempt_in_flight: Number of the attempt in flight, or of that which became the connection.
+        server: Server of the last attempt.
+        first_executed_on: Server that may have executed it first, if any (``retries``).
+        first_executed_at_us: Start of that attempt (``retries``).
+        tried_servers: Servers on which an attempt failed (``retries``).
         suspected_outliers: Servers that failed fast; the request may be at fault instead
             (``attempts``).
-        pending_checks: Health checks that it waits for (``health_checks``).
-        checked_servers: Servers that were checked for it (``health_checks``).
-        wait_count: Waits begun or ended, so that a stale timer does not end a later one
+        pending_checks: Number of health checks that it waits for (``health_checks``).
+        checked_servers: Servers that were health-checked for it (``health_checks``).
+        wait_count: Starts and ends of waits, so that a stale timer does not end a later wait
             (``placement``).
     """
 
@@ -98,21 +98,21 @@
         return self.state is RequestState.ESTABLISHED or self.state is RequestState.CLOSING
 
     def begin_attempt(self, server: Server | None) -> None:
-        """Enter ``ATTEMPTING`` at a server."""
+        """Start an attempt on a server."""
         self.state = RequestState.ATTEMPTING
         self.attempt_in_flight = self.attempt_count
         self.attempt_count += 1
         self.server = server
 
     def establish(self) -> None:
-        """Note that the attempt in flight became a connection."""
-        self.state = _WHEN_ESTABLISHED.get(self.state, self.state)
+        """Record that the attempt in flight became a connection."""
+        self.state = _ESTABLISH_TRANSITIONS.get(self.state, self.state)
 
     def end_attempt(self) -> None:
-        """Note that the attempt in flight has ended, or the connection it became."""
-        self.state = _WHEN_ATTEMPT_ENDED.get(self.state, self.state)
+        """Record the end of the attempt in flight, or of the connection it became."""
+        self.state = _END_ATTEMPT_TRANSITIONS.get(self.state, self.state)
         self.attempt_in_flight = None
 
     def close(self) -> None:
-        """Note that nothing is owed any more; an attempt in flight has still to end."""
-        self.state = _WHEN_CLOSED.get(self.state, self.state)
+        """Record that no answer is owed any more; an attempt in flight still has to end."""
+        self.state = _CLOSE_TRANSITIONS.get(self.state, self.state)
--- a/larchhaven/routing/retries.py
+++ b/larchhaven/routing/retries.py
@@ -1,4 +1,4 @@
-"""Retries: whether, when and where another attempt can do no harm, and the final answer."""
+"""Retry policy: whether, when and where a retry is safe, and the final answer."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from larchhaven.routing.server import Server
 from larchhaven.routing.settings import DeduplicationScope, Idempotency, RoutingSettings
 
-# After these a server may have executed the request.
+# Results after which the server may have executed the request.
 MAYBE_EXECUTED_RESULTS = (
     AttemptResult.ERROR,
     AttemptResult.TIMEOUT,
@@ -19,7 +19,7 @@
 
 
 class RetryPolicy:
-    """The rules of idempotency, deduplication scopes and windows."""
+    """Applies idempotency, deduplication scopes and deduplication windows to retries."""
 
     def __init__(self, settings: RoutingSettings, scheduler: Scheduler) -> None:
         self._scheduler = scheduler
@@ -28,7 +28,7 @@
         self._retry_after_us = settings.max_retry_after_us
 
     def may_attempt(self, request: Request) -> bool:
-        """Return whether a request may have another attempt: time, attempts and its effect."""
+        """Return whether another attempt is safe, with time and attempts left for it."""
         return (
             request.deadline_us - self._scheduler.now_us > self._min_time_us
             and request.attempt_count < self._max_attempts
@@ -51,7 +51,7 @@
         )
 
     def is_in_scope(self, request: Request, server: Server | None) -> bool:
-        """Return whether a server discards a duplicate of a request that may have executed."""
+        """Return whether the deduplication scope of a request allows an attempt on a server."""
         request_class = request.request_class
         first = request.first_executed_on
         if first is None or server is None:
@@ -65,7 +65,7 @@
         return server.cell == first.cell
 
     def final_answer(self, request: Request) -> RejectRequest | FailRequest:
-        """Return the answer to a request without further attempts: a rejection invites retries."""
+        """Return the final answer: a rejection if the client may retry safely, else a failure."""
         request_class = request.request_class
         client_may_retry = request_class.idempotency is Idempotency.ALWAYS or (
             request_class.idempotency is Idempotency.WITH_KEY
@@ -78,7 +78,7 @@
     def record_end(
         self, request: Request, server: Server, result: AttemptResult, latency_us: int
     ) -> None:
-        """Note the end of an attempt: whether it may have executed, and that it failed there."""
+        """Record that an attempt failed on a server, and whether it may have been executed."""
         if result in MAYBE_EXECUTED_RESULTS and request.first_executed_on is None:
             request.first_executed_on = server
             request.first_executed_at_us = self._scheduler.now_us - latency_us
--- a/larchhaven/routing/scheduler.py
+++ b/larchhaven/routing/scheduler.py
@@ -1,4 +1,4 @@
-"""The batch in hand: its time, the actions that it calls for, and the timers that it starts."""
+"""The current batch of events: its time, its actions, and the timers that it starts."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 
 def _do_nothing() -> None:
-    """Stand in for a timer that is not known."""
+    """Stand in for the callback of an unknown timer."""
 
 
 class Scheduler:
-    """The clock, the outgoing actions and the timers that all parts of a balancer share.
+    """The clock, the pending actions and the timers that all components of a balancer share.
 
     Attributes:
-        now_us: The time of the batch in hand, in microseconds.
-        actions: The actions of the batch so far, in order.
+        now_us: Time of the current batch, in microseconds.
+        actions: Actions of the current batch so far, in order.
     """
 
     def __init__(self, timer_resolution_us: int) -> None:
@@ -28,20 +28,20 @@
         self._last_timer_id = 0
 
     def begin_batch(self, now_us: int) -> None:
-        """Set the time, and start with no actions."""
+        """Start a batch: set the time, and discard earlier actions."""
         self.now_us = now_us
         self.actions = []
 
     def emit(self, action: Action) -> None:
-        """Append an action to those of the batch."""
+        """Append an action to the current batch."""
         self.actions.append(action)
 
     def start_timer(self, delay_us: float, callback: Callable[[], None]) -> None:
-        """Have a callback run in a later batch.
+        """Run a callback in a later batch.
 
         Args:
-            delay_us: Time until then; at least the resolution of timers is waited.
-            callback: What is to be done.
+            delay_us: Delay in microseconds, raised to the timer resolution if shorter.
+            callback: Function to call when the timer fires.
         """
         self._last_timer_id += 1
         self._callbacks[self._last_timer_id] = callback
@@ -49,5 +49,5 @@
         self.actions.append(StartTimer(self._last_timer_id, whole_delay_us))
 
     def fire_timer(self, event: TimerFired) -> None:
-        """Run the callback of a timer; one that is not known is ignored."""
+        """Run the callback of a timer; ignore an unknown timer."""
         self._callbacks.pop(event.timer_id, _do_nothing)()
--- a/larchhaven/routing/server.py
+++ b/larchhaven/routing/server.py
@@ -1,4 +1,4 @@
-"""What a proxy knows of one server."""
+"""State that a proxy keeps for each server."""
 
 from __future__ import annotations
 
@@ -7,48 +7,50 @@
 
 from larchhaven.routing.events import Endpoint, ServerState
 
-# Load changes that a report may not contain yet; more do not fit in the lag of a report.
+# Load changes kept until a report contains them; more do not occur within the report lag.
 MAX_UNREPORTED_CHANGES = 512
 
-# An ejection that ended this long ago no longer counts against a server.
+# An ejection that ended this long ago no longer lengthens the next one.
 EJECTION_RESET_US = 10_000_000
 
-# Place in the ranking: ratio, tie-break, server. Plain tuples, as all placement compares them.
+# Load ratio, tie-break and server; a plain tuple, as every placement compares entries.
 RankingEntry = tuple[float, float, "Server"]
 
 
 @dataclass(slots=True, eq=False)
 class Server:
-    """One server: what the endpoint list says of it, and what this proxy has seen.
+    """A server: its entry in the endpoint list, and what this proxy has observed of it.
 
-    The module that owns a group of fields is the only one that changes them.
+    Only the module in parentheses changes an attribute.
 
     Attributes:
-        id: Its name.
-        tie_break: Orders exact ties at random, differently at each proxy.
-        hash: Short for its id, the same at all proxies.
-        endpoint: What the list last said (``endpoint_list``, as all up to ``unready_since_us``).
-        zone: Index of its zone.
-        cell: Index of its cell.
-        weight: Its capacity, relative to the others.
-        state: Whether it may be used.
-        started_at_us: When it started if it is warming up, 0 if not, -1 before it is listed.
-        unready_since_us: When the list first said that it drains or is gone.
-        ranking_entry: Its place among the ready servers, if it is one (``ranking``).
-        slow_until_us: Its messages count as slow until then (``ranking``).
-        full_until_us: It counts as full until then, as it rejected a request (``ranking``).
-        reported_ratio: Load over capacity as last reported (``load_estimate``).
-        reported_at_us: When that report came (``load_estimate``).
-        unreported_load: Own changes that no report can contain yet (``load_estimate``).
-        unreported_changes: The time and size of each of these (``load_estimate``).
-        next_rebalance_at_us: No health check because of an overload before (``migration``).
-        migrated_until_us: Migrations do not show in reports before (``migration``).
+        id: Server id in the endpoint list.
+        tie_break: Random number that orders exact ties, different at each proxy.
+        hash: Short hash of its id, identical at all proxies.
+        endpoint: Its last entry in the endpoint list (``endpoint_list``).
+        zone: Index of its zone (``endpoint_list``).
+        cell: Index of its cell (``endpoint_list``).
+        weight: Capacity relative to the other servers (``endpoint_list``).
+        state: State in the list, but draining while ejected by operators (``endpoint_list``).
+        started_at_us: Start time if it is warming up, 0 if not, -1 before it is listed
+            (``endpoint_list``).
+        unready_since_us: When it last ceased to be ready (``endpoint_list``).
+        ranking_entry: Its entry in the ranking if it is ready (``ranking``).
+        slow_until_us: Until when its messages count as slow (``ranking``).
+        full_until_us: Until when it counts as full after rejecting a request (``ranking``).
+        reported_ratio: Load over capacity in its last report (``load_estimate``).
+        reported_at_us: When that report was received (``load_estimate``).
+        unreported_load: Load changes by this proxy that no report can contain yet, in cores
+            (``load_estimate``).
+        unreported_changes: Time and size of each of these changes (``load_estimate``).
+        next_rebalance_at_us: Earliest time of the next check for an overload (``migration``).
+        migrated_until_us: Until when reports may not show the last migrations (``migration``).
         ejection_us: Length of the last ejection, before jitter (``outlier_ejection``).
-        ejected_until_us: When the last ejection ends (``outlier_ejection``).
-        warm_at_us: When its slow start ends (``slow_start``).
-        token_until_us: Warm time until which this proxy's token is valid (``slow_start``).
-        token_interval_us: Warm time between that one and the next (``slow_start``).
-        next_token_at_us: Warm time at which the next one comes (``slow_start``).
+        ejected_until_us: End of the last ejection (``outlier_ejection``).
+        warm_at_us: End of its slow start (``slow_start``).
+        token_until_us: Warm time at which this proxy's token expires (``slow_start``).
+        token_interval_us: Warm time between that token and the next (``slow_start``).
+        next_token_at_us: Warm time at which the next token is issued (``slow_start``).
     """
 
     id: str
--- a/larchhaven/routing/server_signals.py
+++ b/larchhaven/routing/server_signals.py
@@ -1,4 +1,4 @@
-"""What servers show besides the end of attempts: delays, silence, results of health checks."""
+"""Server signals other than attempt results: message delays, silence, and health checks."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 from larchhaven.routing.server import Server
 from larchhaven.routing.settings import RoutingSettings
 
-SLOW_MESSAGE_DIVISOR = 3  # a message is slow from the latency objective divided by this
+SLOW_MESSAGE_DIVISOR = 3  # a message is slow above the latency objective divided by this
 
 
 class ServerSignals:
-    """Ranks, ejects and rebalances servers by what they show."""
+    """Ranks, ejects and rebalances servers according to their signals."""
 
     def __init__(
         self,
@@ -50,7 +50,7 @@
         self._placement = placement
 
     def on_message_delay_observed(self, event: MessageDelayObserved) -> None:
-        """Rank a server by the delay of its messages; a very long one may show an overload."""
+        """Rank a server by its message delay; a very long delay may indicate an overload."""
         server = self._servers.get(event.server_id)
         if server is None:
             return
@@ -61,7 +61,7 @@
             self._migration.check_overload(server)
 
     def on_server_unresponsive(self, event: ServerUnresponsive) -> None:
-        """Migrate a connection whose server is silent: its client reconnects elsewhere."""
+        """Eject a silent server, and migrate the connection to make its client reconnect."""
         request = self._requests.get(event.request_id)
         server = self._servers.get(event.server_id)
         if server is not None:
@@ -70,7 +70,7 @@
             self._migration.migrate(request)
 
     def on_health_check_completed(self, event: HealthCheckCompleted) -> None:
-        """Learn from a health check, and go on with the requests that waited for it."""
+        """Apply the result of a health check, and resume the requests that waited for it."""
         server = self._servers.get(event.server_id)
         if server is not None and event.result is AttemptResult.OK:
             self._ranking.apply_report(server, event.report, event.latency_us)
--- a/larchhaven/routing/settings.py
+++ b/larchhaven/routing/settings.py
@@ -1,6 +1,6 @@
-"""The settings that the decisions of a proxy go by, as given at its start.
+"""Routing settings of a proxy, given at its start.
 
-Durations are microseconds, loads are standard cores (seconds of work per second).
+Durations are in microseconds, loads in standard cores (seconds of work per second).
 """
 
 from __future__ import annotations
@@ -14,10 +14,10 @@
 
 
 class SettingsError(LarchhavenError, ValueError):
-    """Settings that no balancer could follow.
+    """The settings are invalid.
 
     Attributes:
-        requirement: What the settings have to meet, in words.
+        requirement: The requirement that they violate, in words.
     """
 
     def __init__(self, requirement: str) -> None:
@@ -26,15 +26,15 @@
 
 
 class Idempotency(Enum):
-    """Whether a request that may have run can be sent again without harm."""
+    """Whether a request that may have been executed can be retried safely."""
 
     ALWAYS = auto()
-    WITH_KEY = auto()  # servers in scope discard duplicates by the idempotency key
+    WITH_KEY = auto()  # servers in scope discard duplicates by idempotency key
     NEVER = auto()
 
 
 class DeduplicationScope(Enum):
-    """Which servers discard each other's duplicates of a request with an idempotency key."""
+    """Servers that discard each other's duplicates of a request with an idempotency key."""
 
     ALL = auto()
     ZONE = auto()
@@ -42,7 +42,7 @@
 
 
 class WeightSource(Enum):
-    """What the weight of a listed server stands for."""
+    """Origin of the weights of listed servers."""
 
     NONE = auto()
     NOMINAL = auto()
@@ -52,18 +52,18 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """What is promised for one class of request.
+    """Service objectives and retry rules of one request class.
 
     Attributes:
-        latency_objective_us: Time to an established connection that is aimed for.
-        deadline_us: Time after which an answer earns nothing.
-        priority_weight: What a request served in time is worth.
-        late_priority_weight: What one served after its objective is worth.
-        idempotency: Whether an attempt that may have run allows another.
-        deduplication_scope: Where another attempt may go if it needs an idempotency key.
+        latency_objective_us: Target time to an established connection.
+        deadline_us: Time after which an answer has no value.
+        priority_weight: Value of a request that is served within its latency objective.
+        late_priority_weight: Value of a request that is served later.
+        idempotency: Whether a request that may have been executed can be retried.
+        deduplication_scope: Servers that may get a retry which needs an idempotency key.
         deduplication_window_us: How long servers remember an idempotency key.
         is_long_lived: Whether a served request becomes an established connection.
-        message_latency_objective_us: The same aim for messages on the connection; 0 if unknown.
+        message_latency_objective_us: Target latency of messages on the connection; 0 if unknown.
     """
 
     latency_objective_us: int
@@ -79,12 +79,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """One tenant's share of the fleet.
+    """Agreed share and limits of one tenant.
 
     Attributes:
-        capacity_fraction: The part of the fleet's capacity that was agreed.
-        rate_limit_per_s: Requests a second that were agreed.
-        connection_quota: Open connections over all proxies together; infinite if none was given.
+        capacity_fraction: Agreed fraction of the fleet's capacity.
+        rate_limit_per_s: Agreed requests per second.
+        connection_quota: Open connections over all proxies together; infinite if not set.
     """
 
     capacity_fraction: float = 0.0
@@ -94,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OperationCosts:
-    """What operations cost, as a fraction of the value of one first attempt for each unit."""
+    """Costs per unit of each operation, as fractions of the value of one first attempt."""
 
     health_check: float = 0.0
     gossip_message: float = 0.0
@@ -107,48 +107,49 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingSettings:
-    """What is given to a proxy at its start; everything else it has to observe.
+    """Settings of a proxy, given at its start; it observes everything else at run time.
 
     Attributes:
-        classes: The classes of request, by index.
-        proxy_count: How many proxies share the fleet.
-        proxy_index: Which of them this one is, from 0.
+        classes: Request classes, by index.
+        proxy_count: Number of proxies that share the fleet.
+        proxy_index: Index of this proxy, from 0.
         drain_grace_us: How long a draining server may still be used.
-        slow_start_us: How long a restarted server warms up.
-        slow_start_initial_fraction: Its capacity at the start, as a part of the whole.
-        collapse_multiple: Overload of a warming-up server at which it collapses.
-        collapse_delay_us: How long the overload has to last.
-        max_attempts: Attempts for one request, the first included.
-        zone: The zone of this proxy.
-        zone_count: How many zones there are.
-        timer_resolution_us: The shortest timer.
-        tenants: The tenants, by index.
-        over_quota_priority_factor: Factor on the priority weight of a tenant past its quota.
-        subscribes_to_endpoints: Whether endpoint lists come only to those who watch.
-        poll_deadline_us: How long a list may go unasked before it counts as known.
+        slow_start_us: How long a server warms up after a start.
+        slow_start_initial_fraction: Fraction of its capacity that a server has at its start.
+        collapse_multiple: Overload multiple at which a warming-up server collapses.
+        collapse_delay_us: How long that overload has to last.
+        max_attempts: Maximum attempts per request, including the first.
+        zone: Index of this proxy's zone.
+        zone_count: Number of zones.
+        timer_resolution_us: Shortest delay of a timer.
+        tenants: Tenants, by index.
+        over_quota_priority_factor: Factor on the priority weight of a tenant over its quota.
+        subscribes_to_endpoints: Whether the proxy has to watch the endpoint list; if not, lists
+            are pushed.
+        poll_deadline_us: Time without a poll after which a proxy is deemed to know the list.
         response_slack_us: Extra time after a deadline in which an answer is still accepted.
         can_cancel: Whether an attempt can be cancelled at the server.
-        can_hedge: Whether a request may have two attempts at once.
+        can_hedge: Whether a request may have two attempts in flight at once.
         can_check_health: Whether servers answer health checks.
         can_gossip: Whether proxies may send messages to each other.
-        sends_retry_after: Whether rejections carry advice when to retry.
-        max_retry_after_us: The longest such advice.
+        sends_retry_after: Whether rejections state when to retry.
+        max_retry_after_us: Longest delay that a rejection may state.
         max_open_connections: Connections that a proxy may hold; 0 if not limited here.
-        connect_timeout_us: How long connecting to a server may take.
-        pass_through: Whether packets pass through, so that connections outlive their proxy.
+        connect_timeout_us: Timeout for connecting to a server.
+        pass_through: Whether packets are passed through, so that connections outlive their proxy.
         idle_park_us: Idle time after which a connection may be parked; 0 for never.
-        has_load_updates: Whether servers report the load of single connections.
-        has_delay_updates: Whether the delay of messages on connections is seen.
-        has_affinity_groups: Whether clients name a group that is cheaper to keep together.
-        has_load_hint: Whether clients give a hint of their load.
+        has_load_updates: Whether servers report the load of individual connections.
+        has_delay_updates: Whether message delays on connections are observed.
+        has_affinity_groups: Whether clients name a group that is cheaper to keep on one server.
+        has_load_hint: Whether clients announce their load.
         weighs_priority_by_load: Whether priority weights are already per unit of load.
-        sticky_table_capacity: Connections whose server is remembered, the latest first.
-        weight_source: What the weights of listed servers stand for.
-        report_fields: The fields that servers report.
-        costs: What operations cost.
+        sticky_table_capacity: Connections kept in the sticky table; the oldest are dropped first.
+        weight_source: Origin of the weights of listed servers.
+        report_fields: Fields of the servers' load reports.
+        costs: Costs of operations.
 
     Raises:
-        SettingsError: No balancer could follow them.
+        SettingsError: The settings are invalid.
     """
 
     classes: tuple[RequestClass, ...]
@@ -189,28 +190,46 @@
     costs: OperationCosts = OperationCosts()
 
     def __post_init__(self) -> None:
-        """Reject settings that no balancer could follow."""
+        """Reject invalid settings."""
         for holds, requirement in self._requirements():
             if not holds:
                 raise SettingsError(requirement)
 
     def _requirements(self) -> Iterator[tuple[bool, str]]:
-        yield bool(self.classes), "settings name no request class"
-        yield self.proxy_count >= 1, "instances must be at least 1"
+        yield bool(self.classes), "services must list at least one request class"
+        yield self.proxy_count >= 1, f"instances must be at least 1, not {self.proxy_count}"
         in_range = 0 <= self.proxy_index < max(self.proxy_count, 1)
-        yield in_range, "index must lie between 0 and instances - 1"
-        yield self.max_attempts >= 1, "max_attempts must be at least 1"
-        yield 0 < self.slow_start_initial_fraction <= 1, "cold_from must lie in (0, 1]"
-        yield self.collapse_multiple > 0, "tip_multiple must be positive"
+        yield in_range, f"index must be from 0 to {self.proxy_count - 1}, not {self.proxy_index}"
+        yield self.max_attempts >= 1, f"most_tries must be at least 1, not {self.max_attempts}"
+        yield (
+            0 < self.slow_start_initial_fraction <= 1,
+            f"cold_from must be above 0 and at most 1, not {self.slow_start_initial_fraction}",
+        )
+        yield self.collapse_multiple > 0, f"tip_multiple must be positive: {self.collapse_multiple}"
         shortest_us = min(self.slow_start_us, self.collapse_delay_us, self.drain_grace_us)
-        yield shortest_us >= 0, "spans must not be negative"
+        yield (
+            shortest_us >= 0,
+            f"cold, tip_after, stop_sending_within must not be negative, but one is {shortest_us}",
+        )
         positive = self.timer_resolution_us > 0 and self.poll_deadline_us > 0
-        yield positive, "tick_us and ask_within_us must be positive"
+        yield (
+            positive,
+            f"tick={self.timer_resolution_us}, ask_within={self.poll_deadline_us} must be positive",
+        )
         yield min(astuple(self.costs)) >= 0, "prices must not be negative"
-        yield self.over_quota_priority_factor >= 0, "over_share_worth must not be negative"
+        yield (
+            self.over_quota_priority_factor >= 0,
+            f"over_share_worth must not be negative, but is {self.over_quota_priority_factor}",
+        )
         for tenant in self.tenants:
-            yield tenant.capacity_fraction >= 0, "a tenant's share must not be negative"
-            yield tenant.connection_quota >= 0, "a tenant's quota must not be negative"
+            yield (
+                tenant.capacity_fraction >= 0,
+                f"a tenant's share must not be negative, but is {tenant.capacity_fraction}",
+            )
+            yield (
+                tenant.connection_quota >= 0,
+                f"a tenant's quota must not be negative, but is {tenant.connection_quota}",
+            )
         for request_class in self.classes:
             positive = request_class.latency_objective_us > 0 and request_class.deadline_us > 0
-            yield positive, "aims must be positive"
+            yield positive, "aim and deadline of each service must be positive"
--- a/larchhaven/routing/settings_codec.py
+++ b/larchhaven/routing/settings_codec.py
@@ -1,7 +1,7 @@
-"""Reads ``RoutingSettings`` under the names that the simulator and the configuration file use.
+"""Decodes ``RoutingSettings`` from the names that the simulator and the configuration file use.
 
-The simulator sends settings flat, as ``path=value`` pairs; the configuration file nests the same
-names. The tables below are the one place where these names meet the program's own.
+The simulator sends flat settings, as ``path=value`` pairs; the configuration file nests the same
+names. Only this module maps these names to those of the program.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 }
 SUBSCRIPTION_WORDS = {"automatic": False, "subscribe": True}
 FLAG_WORDS = {"true": True, "false": False, "1": True, "0": False}
-# Names of load report fields, as the simulator sends them.
+# Load report fields by the names that the simulator uses.
 REPORT_FIELDS = {
     "x0": "load_ratio",
     "utilization": "utilization",
@@ -48,30 +48,30 @@
     "x1": "backlog_s",
 }
 ABSENT_WORDS = ("", "-", "null")
-POLL_DEADLINE_US = 10_000_000  # where the settings give none
-CONNECT_TIMEOUT_US = 250_000  # where the settings give none
+POLL_DEADLINE_US = 10_000_000  # default if the settings have none
+CONNECT_TIMEOUT_US = 250_000  # default if the settings have none
 
 
 def decode_flat(text: str) -> RoutingSettings:
-    """Return the settings of ``path=value`` pairs joined by spaces.
+    """Decode settings from ``path=value`` pairs separated by spaces.
 
     Raises:
-        FormatError: They are not in this form, or no balancer could follow them.
+        FormatError: The text is malformed, or the settings are invalid.
     """
     pairs: dict[str, str] = {}
     for pair in text.split(" "):
         path, equals, value = pair.partition("=")
         if pair and not equals:
-            raise FormatError(f"options as path=value pairs, not {pair!r}")
+            raise FormatError(f"settings as path=value pairs, not {pair!r}")
         pairs[path] = value
     return _decode(_SettingsReader(pairs))
 
 
 def decode_nested(settings: Mapping[str, object]) -> RoutingSettings:
-    """Return the same settings from nested objects and lists.
+    """Decode settings from nested objects and lists.
 
     Raises:
-        FormatError: They are not in this form, or no balancer could follow them.
+        FormatError: The objects are malformed, or the settings are invalid.
     """
     pairs: dict[str, str] = {}
     for name, value in settings.items():
@@ -80,7 +80,7 @@
 
 
 def _flatten(path: str, value: object, pairs: dict[str, str]) -> None:
-    """Add a nested value to the pairs, as the flat form writes it."""
+    """Add a nested value to the pairs in its flat form."""
     if isinstance(value, Mapping):
         for name, inner in value.items():
             _flatten(f"{path}.{name}", inner, pairs)
@@ -109,16 +109,20 @@
         self._pairs = pairs
 
     def text(self, path: str, default: str | None = None) -> str:
-        """Return a value; an absent one is its default, or an error without one."""
+        """Return a value, or the default if it is absent.
+
+        Raises:
+            FormatError: The value is absent, and there is no default.
+        """
         value = self._pairs.get(path, "")
         if value not in ABSENT_WORDS:
             return value
         if default is None:
-            raise FormatError(f"the setting {path}, which is missing")
+            raise FormatError(f"a value for setting {path}, which is missing")
         return default
 
     def whole(self, path: str, default: int | None = None) -> int:
-        """Return a whole number; settings may write one with a fraction."""
+        """Return a whole number; a fraction is rounded."""
         return round(self.number(path, None if default is None else float(default)))
 
     def number(self, path: str, default: float | None = None) -> float:
@@ -126,26 +130,26 @@
         return read_number(self.text(path, None if default is None else repr(default)), path)
 
     def flag(self, path: str) -> bool:
-        """Return a true or false; an absent one is false."""
+        """Return a boolean; False if it is absent."""
         return read_word(FLAG_WORDS, self.text(path, "false"), path)
 
     def word(self, path: str, table: Mapping[str, ValueT], default: str | None = None) -> ValueT:
-        """Return what one of a set of words stands for."""
+        """Return the table entry of a word."""
         return read_word(table, self.text(path, default), path)
 
     def items(self, path: str) -> list[str]:
-        """Return plain values that are joined by commas."""
+        """Return the items of a comma-separated list."""
         return [item for item in self.text(path, " ").strip().split(",") if item]
 
     def number_at(self, path: str, index: int, default: float) -> float:
-        """Return one of a list of numbers; one that is not stated is the default."""
+        """Return one of a list of numbers, or the default if it is absent."""
         items = self.items(path)
         if index >= len(items) or items[index] in ABSENT_WORDS:
             return default
         return read_number(items[index], path)
 
     def count(self, path: str, default: int | None = None) -> int:
-        """Return the length of a list of objects."""
+        """Return the number of objects in a list."""
         return self.whole(f"{path}.count", default)
 
 
@@ -153,7 +157,7 @@
     try:
         return _routing_settings(reader)
     except SettingsError as error:
-        raise FormatError(f"settings that make sense: {error}") from None
+        raise FormatError(f"valid settings: {error}") from None
 
 
 def _routing_settings(reader: _SettingsReader) -> RoutingSettings:
