--- a/tests/routing/__init__.py
+++ b/tests/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the decisions, one file for each module or concern."""
+"""Tests of the routing package, one file for each module or concern."""
--- a/tests/routing/test_cold_fleet.py
+++ b/tests/routing/test_cold_fleet.py
@@ -1,4 +1,4 @@
-"""Many proxies, few servers, most of them gone at once: the cold ones left must not collapse."""
+"""Cold servers must not collapse when many proxies lose their warm servers at once."""
 
 from __future__ import annotations
 
@@ -34,25 +34,25 @@
 
 DEADLINE_US = 2 * SECOND_US
 CONNECTIONS_PER_PROXY = 5
-FEW_REQUESTS = 30  # up to here the rule has three roots of slack, above it two
+FEW_REQUESTS = 30  # up to here the limit has three square roots of slack, above it two
 
 
 def collapse_limit(allowed: float) -> float:
-    """Return how many requests a cold server takes in the time of a collapse, with the slack."""
+    """Return how many requests a cold server takes within its collapse delay, with slack."""
     roots = 3 if allowed < FEW_REQUESTS else 2
     return allowed + roots * math.sqrt(allowed) + roots
 
 
 @dataclass(frozen=True)
 class Outage:
-    """A fleet drawn from a seed.
+    """A random fleet, and the outage of its warm servers.
 
     Attributes:
-        settings: What all proxies know; the index differs.
-        cold: The servers that are left.
-        warm: The servers that vanish; the list does not say so.
-        load: Load of every connection, in cores.
-        loads_are_hinted: Whether requests tell it; else established connections do.
+        settings: Settings of all proxies, apart from their index.
+        cold: Servers that remain.
+        warm: Servers that vanish although the endpoint list keeps them.
+        load: Load of each connection, in cores.
+        loads_are_hinted: Whether requests announce their load; if not, connections report it.
         at_us: When the warm servers vanish.
     """
 
@@ -65,7 +65,7 @@
 
     @classmethod
     def draw(cls, rng: random.Random, *, loads_are_hinted: bool) -> Outage:
-        """Draw one."""
+        """Draw a random fleet and outage."""
         settings = replace(
             BASIC_SETTINGS,
             proxy_count=rng.randint(16, 48),
@@ -84,7 +84,7 @@
         return cls(settings, cold, warm, rng.uniform(0.04, 0.1), loads_are_hinted, at_us)
 
     def allowed_requests(self, server: Endpoint, now_us: int) -> float:
-        """Return how many requests the settings allow a cold server in the time of a collapse."""
+        """Return how many requests the settings allow a cold server within the collapse delay."""
         settings = self.settings
         initial = settings.slow_start_initial_fraction
         age_us = now_us - server.started_at_us
@@ -95,7 +95,7 @@
 
 
 class ColdFleet:
-    """Proxies and servers in simulated time; keeps when each cold server was sent a request."""
+    """Simulates proxies and servers; records when each cold server was sent a request."""
 
     def __init__(self, outage: Outage, rng: random.Random) -> None:
         self.sent_us: dict[str, list[int]] = defaultdict(list)
@@ -112,8 +112,8 @@
             for index in range(outage.settings.proxy_count)
         ]
 
-    def play(self) -> None:
-        """Place some connections on warm servers, have these vanish, and let their clients come."""
+    def run(self) -> None:
+        """Place connections, have the warm servers vanish, and let their clients reconnect."""
         endpoints = (*self._outage.warm, *self._outage.cold)
         listed = EndpointListUpdate(EndpointListKind.COMPLETE, 1, endpoints)
         for proxy in range(len(self._balancers)):
@@ -193,16 +193,16 @@
 
 
 @pytest.mark.parametrize("loads_are_hinted", [True, False])
-# In 98 and 186 a load that is learned too slowly is enough.
+# Seeds 98 and 186 fail if the load of connections is learned too slowly.
 @pytest.mark.parametrize("seed", [*range(12), 98, 186])
 def test_cold_servers_survive_clients_of_all_proxies_at_once(
     seed: int, loads_are_hinted: bool
 ) -> None:
-    """Guards against the sum of the proxies: each held one connection ready, and all used it."""
+    """Each proxy kept a token in reserve, and reconnecting clients used all of them at once."""
     rng = random.Random(seed)
     outage = Outage.draw(rng, loads_are_hinted=loads_are_hinted)
     fleet = ColdFleet(outage, rng)
-    fleet.play()
+    fleet.run()
     assert fleet.sent_us, "no cold server was used"
     for server in outage.cold:
         window: deque[int] = deque()
--- a/tests/routing/test_endpoint_list.py
+++ b/tests/routing/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""Watch events, polls after a failure, and administrative ejection."""
+"""Endpoint list: updates, retries after a failed poll, and administrative ejection."""
 
 from __future__ import annotations
 
@@ -35,8 +35,8 @@
 )
 
 
-def test_server_ejected_by_operators_gets_nothing_and_loses_its_clients() -> None:
-    """Guards maintenance: the list may say meanwhile that the server is ready."""
+def test_server_ejected_by_operators_gets_no_requests_and_loses_its_clients() -> None:
+    """An ejection outlasts the list, which may remove the server and list it as ready again."""
     balancer = make_balancer(2)
     sent = actions_of(
         StartAttempt, balancer.handle(START_US, [request_arrived(i, load=0.01) for i in range(12)])
@@ -73,8 +73,8 @@
     assert moved == {send.request_id for send in sent if send.server_id == "s0"}
 
 
-def test_server_that_operators_return_is_checked_at_once_and_used_as_one_that_starts() -> None:
-    """Guards a server that was restarted meanwhile: it is cold, and what was known is obsolete."""
+def test_server_returned_by_operators_is_checked_at_once_and_counts_as_restarted() -> None:
+    """The server may have restarted while ejected: it is cold, and earlier reports are obsolete."""
     balancer = make_balancer(2, can_check_health=True)
     balancer.handle(START_US, [load_report(0, 1.9), load_report(1, 0.1)])
     balancer.handle(
@@ -116,18 +116,18 @@
 
 @pytest.mark.parametrize("grace", [300_000, 500_000, 3_000_000])
 @pytest.mark.parametrize("proxy_count", [1, 3, 200])
-def test_failed_poll_is_repeated_within_the_drain_grace_where_lists_are_pushed(
+def test_failed_poll_is_retried_within_the_drain_grace_when_lists_are_pushed(
     grace: int, proxy_count: int
 ) -> None:
-    """Guards drains: nothing is polled, and yet all that is on the list counts as known."""
-    made = make_balancer(
+    """A proxy is deemed to know a pushed list at once, and must not use servers past a drain."""
+    balancer = make_balancer(
         subscribes_to_endpoints=False,
         drain_grace_us=grace,
         proxy_count=proxy_count,
         poll_deadline_us=10 * SECOND_US,
     )
     for turn in range(6):
-        failed = made.handle(
+        failed = balancer.handle(
             START_US + turn * SECOND_US, [EndpointListUpdate(EndpointListKind.FAILED)]
         )
         assert [action.delay_us <= grace // 2 for action in actions_of(StartTimer, failed)] == [
--- a/tests/routing/test_health_checks.py
+++ b/tests/routing/test_health_checks.py
@@ -1,4 +1,4 @@
-"""Which servers are checked, and when."""
+"""Health checks: which servers are checked, and when."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 )
 
 
-def test_no_server_is_checked_where_that_is_not_allowed() -> None:
+def test_no_server_is_checked_when_checks_are_not_allowed() -> None:
     balancer = make_balancer(3, can_check_health=False)
     balancer.handle(START_US, [load_report(i, 0.9) for i in range(3)])
     batches = [
@@ -32,7 +32,7 @@
 
 
 def test_server_far_down_the_ranking_is_still_checked() -> None:
-    """Guards against an overload that no answer shows: only the lowest servers were checked."""
+    """If only the lowest servers are checked, an overload elsewhere goes unnoticed."""
     balancer = make_balancer(6, can_check_health=True)
     balancer.handle(START_US, [load_report(i, 0.1 if i == 0 else 0.6) for i in range(6)])
     checked: set[str] = set()
@@ -54,10 +54,10 @@
     assert checked == {f"s{i}" for i in range(6)}
 
 
-def test_arrival_is_held_where_no_server_is_left_and_checks_were_begun_beyond_the_credit() -> None:
-    """Guards the process: servers that operators return are checked at once, on credit.
+def test_arrival_without_servers_is_held_when_the_check_credit_is_negative() -> None:
+    """Servers returned by operators are checked at once, which may make the credit negative.
 
-    With two checks owed and no server to choose from, the draw among none raised IndexError.
+    With two checks owed and no server to choose from, the draw raised IndexError.
     """
     balancer = make_balancer(2, can_check_health=True)
     for _ in range(10):
--- a/tests/routing/test_load_estimate.py
+++ b/tests/routing/test_load_estimate.py
@@ -1,4 +1,4 @@
-"""Own placements and reports: what a server's load is taken to be."""
+"""Load estimate of a server: its reports, and this proxy's own placements."""
 
 from __future__ import annotations
 
@@ -43,10 +43,10 @@
     ],
 )
 def test_load_of_a_removed_server_is_forgotten(gone: EndpointListUpdate) -> None:
-    """Guards the load of the fleet: connections that ended with their server once counted on."""
+    """Connections that ended with their server still counted towards the load of the fleet."""
     balancer = make_balancer(2)
 
-    def unseen() -> float:
+    def total_unreported_load() -> float:
         return sum(server.unreported_load for server in balancer.servers.values())
 
     sent = actions_of(
@@ -56,26 +56,26 @@
         START_US + 1,
         [ConnectionEstablished(send.request_id, 0, send.server_id, 500) for send in sent],
     )
-    assert unseen() > 0.19
+    assert total_unreported_load() > 0.19
     balancer.handle(START_US + 2_000_000, [load_report(0, 0.1), load_report(1, 0.1)])
-    assert abs(unseen()) < 1e-9
+    assert abs(total_unreported_load()) < 1e-9
     balancer.handle(START_US + 2_000_001, [gone])
     ends = [
         attempt_ended(send.request_id, 0, send.server_id, AttemptResult.RESET, finished=True)
         for send in sent
     ]
     balancer.handle(START_US + 2_000_002, ends)
-    assert abs(unseen()) < 1e-9
+    assert abs(total_unreported_load()) < 1e-9
 
 
-def test_unreported_changes_are_bounded_where_no_report_ever_comes() -> None:
-    """Guards memory: each connection left three entries for good at a server that tells no load."""
-    made = make_balancer(1)
+def test_unreported_changes_are_bounded_without_load_reports() -> None:
+    """Without load reports, each connection left three entries at its server forever."""
+    balancer = make_balancer(1)
     for request in range(2_000):
         now = START_US + request
-        assert actions_of(StartAttempt, made.handle(now, [request_arrived(request)]))
-        made.handle(now, [ConnectionEstablished(request, 0, "s0", 1000)])
-        made.handle(now, [attempt_ended(request, 0, "s0", AttemptResult.OK, finished=True)])
-    server = made.servers["s0"]
+        assert actions_of(StartAttempt, balancer.handle(now, [request_arrived(request)]))
+        balancer.handle(now, [ConnectionEstablished(request, 0, "s0", 1000)])
+        balancer.handle(now, [attempt_ended(request, 0, "s0", AttemptResult.OK, finished=True)])
+    server = balancer.servers["s0"]
     assert len(server.unreported_changes) == MAX_UNREPORTED_CHANGES
     assert abs(server.unreported_load) < 1e-6
--- a/tests/routing/test_migration.py
+++ b/tests/routing/test_migration.py
@@ -1,4 +1,4 @@
-"""Established connections move off draining, unresponsive and overloaded servers."""
+"""Established connections are migrated off draining, unresponsive and overloaded servers."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def test_overloaded_server_is_rebalanced_and_others_are_left_alone() -> None:
-    """Guards against connections that sit out an overload: they once stayed to the end."""
+    """Without rebalancing, connections stay on an overloaded server until they end."""
     balancer = make_balancer(3, can_check_health=True)
     balancer.handle(START_US, [load_report(0, 0.3), load_report(1, 0.3), load_report(2, 0.3)])
     flows: dict[str, list[int]] = {}
@@ -46,30 +46,30 @@
                 now + 2000, [ConnectionEstablished(send.request_id, 0, send.server_id, 500)]
             )
             flows.setdefault(send.server_id, []).append(send.request_id)
-    crowded = max(flows, key=lambda server: len(flows[server]))
+    busiest = max(flows, key=lambda server: len(flows[server]))
     moves = actions_of(
         MigrateConnection,
-        balancer.handle(START_US + 9_000_000, [load_report(int(crowded[1:]), 0.85)]),
+        balancer.handle(START_US + 9_000_000, [load_report(int(busiest[1:]), 0.85)]),
     )
     assert moves == []
     moves = actions_of(
         MigrateConnection,
-        balancer.handle(START_US + 9_000_000, [load_report(int(crowded[1:]), 1.3)]),
+        balancer.handle(START_US + 9_000_000, [load_report(int(busiest[1:]), 1.3)]),
     )
     assert moves
-    assert {m.request_id for m in moves} <= set(flows[crowded])
-    # The migrations show in reports only later; until then no more follow.
+    assert {m.request_id for m in moves} <= set(flows[busiest])
+    # Reports show the migrations only after a lag; until then no more follow.
     assert (
         actions_of(
             MigrateConnection,
-            balancer.handle(START_US + 9_100_000, [load_report(int(crowded[1:]), 1.3)]),
+            balancer.handle(START_US + 9_100_000, [load_report(int(busiest[1:]), 1.3)]),
         )
         == []
     )
 
 
 def test_clients_of_a_draining_server_are_migrated_over_the_whole_grace() -> None:
-    """Guards connections that are cut when their server leaves: once only overloads were cured."""
+    """Without migration, connections are cut when their draining server leaves."""
     balancer = make_balancer(1, drain_grace_us=3_000_000)
     establish_connections(balancer, 40)
     moves = [
@@ -83,7 +83,7 @@
         if isinstance(action, MigrateConnection)
     ]
     assert sorted(request for _, request in moves) == list(range(40))
-    # Paced and jittered: they take most of the grace, and no tenth of a second sees many.
+    # The migrations are spread over most of the grace, with few in any tenth of a second.
     assert moves[-1][0] - moves[0][0] > 1_500_000
     assert max(sum(at <= other < at + 100_000 for other, _ in moves) for at, _ in moves) <= 8
 
@@ -114,7 +114,7 @@
 
 
 def test_connection_of_an_unresponsive_server_is_migrated_and_the_server_avoided() -> None:
-    """Guards against clients that wait at a hung server, and against new ones sent after them."""
+    """Clients of a hung server would wait in vain, and new ones would be sent to it too."""
     balancer = make_balancer(4)
     establish_connections(balancer, 1)
     server = next(s.id for s in balancer.servers.values() if balancer.connections.on_server(s))
@@ -152,8 +152,8 @@
     ) == list(range(11))
 
 
-def test_rebalanced_server_is_checked_again_although_nobody_arrives() -> None:
-    """Guards clients of a server that stayed overloaded: only arrivals had it checked."""
+def test_rebalanced_server_is_checked_again_without_arrivals() -> None:
+    """Only arrivals triggered checks, so a server could stay overloaded after a rebalancing."""
     balancer = make_balancer(3, can_check_health=True)
     sent = [balancer.placement.add_request(request_arrived(i, load=0.1)) for i in range(8)]
     for request in sent:
--- a/tests/routing/test_outlier_ejection.py
+++ b/tests/routing/test_outlier_ejection.py
@@ -1,4 +1,4 @@
-"""Which failures eject a server, and for how long."""
+"""Outlier ejection: which failures eject a server, and for how long."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 
 
 @pytest.mark.parametrize("result", [AttemptResult.ERROR, AttemptResult.RESET])
-def test_request_that_all_fail_at_once_ejects_no_server(result: AttemptResult) -> None:
-    """Guards sound servers: one bad request once had each ejected, and new set-ups paced."""
+def test_request_that_fails_fast_on_all_servers_ejects_none(result: AttemptResult) -> None:
+    """One bad request, retried on each server, ejected all of them and tripped the breaker."""
     balancer = make_balancer(3)
     now = START_US
     server = chosen_servers(balancer.handle(now, [request_arrived(1)]))[0]
@@ -42,7 +42,7 @@
     assert len(actions_of(StartAttempt, actions)) == 2
 
 
-def test_server_that_fails_what_another_serves_is_ejected() -> None:
+def test_server_is_ejected_when_another_serves_the_request_it_failed() -> None:
     balancer = make_balancer(3)
     first = chosen_servers(balancer.handle(START_US, [request_arrived(1)]))[0]
     second = chosen_servers(
@@ -58,7 +58,7 @@
 
 
 def test_timeout_of_a_short_deadline_ejects_no_server() -> None:
-    """Guards against clients that name a deadline no server can keep."""
+    """A client may set a deadline that no server can meet; the server is not at fault."""
     balancer = make_balancer(2)
     server = chosen_servers(balancer.handle(START_US, [request_arrived(1, budget_us=20_000)]))[0]
     balancer.handle(
@@ -68,7 +68,7 @@
 
 
 def test_server_that_fails_again_soon_is_ejected_for_longer() -> None:
-    """Guards against a failing server that came back every two seconds, after one connection."""
+    """A failing server came back every two seconds, as one connection reset its ejection time."""
     balancer = make_balancer(3)
     server, now, spans = balancer.servers["s0"], START_US, []
     for pause in (0, 1_000_000, 1_000_000, 30_000_000):
@@ -81,7 +81,7 @@
 
 
 def test_removed_servers_do_not_count_among_the_ejected() -> None:
-    """Guards a release of the servers: those that broke and left made failures seem shared."""
+    """Removed servers counted as ejected in a release, so the cause of failures seemed shared."""
     balancer = make_balancer(4)
     balancer.handle(
         START_US, [HealthCheckCompleted(f"s{i}", AttemptResult.UNREACHABLE, 500) for i in (0, 1, 2)]
--- a/tests/routing/test_peer_gossip.py
+++ b/tests/routing/test_peer_gossip.py
@@ -1,4 +1,4 @@
-"""What two processes of one proxy tell each other at a hot restart."""
+"""Gossip between two processes of one proxy at a hot restart."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 )
 
 
-def test_process_that_takes_over_knows_what_was_learned() -> None:
-    """Guards against overloads after an upgrade: the next process had no credit and no loads."""
+def test_new_process_takes_over_learned_state() -> None:
+    """Without migration credit and learned loads, a new process overloads servers."""
     old, new = (
         make_balancer(2, proxy_count=2, can_gossip=True),
         make_balancer(2, proxy_count=2, can_gossip=True),
@@ -43,5 +43,5 @@
         START_US + 4,
         [GossipReceived(1, zeroed_message(sent.message)) for sent in gossip],
     )
-    # Only another process of the same proxy is believed.
+    # Learned state from another proxy is ignored.
     assert new.arrivals.mean_load == old.arrivals.mean_load
--- a/tests/routing/test_placement.py
+++ b/tests/routing/test_placement.py
@@ -1,4 +1,4 @@
-"""Requests are sent to a server, held for one, or rejected."""
+"""Placement: requests are sent to a server, held, or rejected."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def test_request_that_every_server_rejected_is_rejected_at_once() -> None:
-    """Guards against a client held to its deadline when nobody is left that could serve it."""
+    """Holding the request until its deadline is pointless, as no server is left to try."""
     balancer = make_balancer(2)
     first = chosen_servers(balancer.handle(START_US, [request_arrived(1)]))[0]
     second = chosen_servers(
@@ -44,7 +44,7 @@
 
 
 def test_pinned_connection_goes_to_its_server_or_waits_for_it() -> None:
-    """Guards the connections that were open before: any other server would reset them."""
+    """The connection is already open at its server; any other server would reset it."""
     balancer = make_balancer(3)
     balancer.handle(START_US, [load_report(0, 0.1), load_report(1, 0.9), load_report(2, 0.1)])
     pinned = RequestArrived(1, 0, 1_200_000, pinned_server_id="s1")
@@ -55,8 +55,8 @@
     assert actions_of(StartTimer, actions)
 
 
-def test_nothing_is_placed_where_it_would_overload_a_server() -> None:
-    """Guards established connections: retries once went to the last server however full it was."""
+def test_retry_is_not_placed_on_a_server_that_it_would_overload() -> None:
+    """Retries went to the last untried server however full, to the harm of its connections."""
     balancer = make_balancer(3)
     balancer.handle(START_US, [load_report(0, 0.2), load_report(1, 0.2), load_report(2, 0.95)])
     server = chosen_servers(balancer.handle(START_US, [request_arrived(1)]))[0]
@@ -67,7 +67,7 @@
     actions = balancer.handle(START_US + 2, [attempt_ended(1, 1, other, AttemptResult.OVERLOADED)])
     assert actions_of(StartAttempt, actions) == []
     assert actions_of(RejectRequest, actions) != []
-    # A server without a report is tried, though the only report is that of a full one.
+    # A server without a report is tried, even if the only report is that of a full server.
     balancer = make_balancer(2)
     balancer.handle(START_US, [load_report(0, 0.2)])
     assert chosen_servers(balancer.handle(START_US, [request_arrived(1)]))[0] == "s0"
@@ -77,7 +77,7 @@
     assert chosen_servers(actions) == ["s1"]
 
 
-def test_draining_server_gets_nothing_even_when_alone() -> None:
+def test_draining_server_gets_no_requests_even_when_alone() -> None:
     balancer = make_balancer(1)
     balancer.handle(START_US, [endpoint_list(1, state=ServerState.DRAINING)])
     assert actions_of(StartAttempt, balancer.handle(START_US + 1, [request_arrived(1)])) == []
--- a/tests/routing/test_ranking.py
+++ b/tests/routing/test_ranking.py
@@ -1,4 +1,4 @@
-"""Least ratio routing: which server a request goes to, near ties, zones."""
+"""Least ratio routing: choice of the server, near ties, and zones."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 def test_many_proxies_do_not_herd_on_one_late_report() -> None:
-    """Guards the near-tie band: 50 proxies with the same report once all took the same server."""
+    """Without a near-tie band, 50 proxies with the same report all choose the same server."""
     counts: Counter[str] = Counter()
     for seed in range(50):
         balancer = make_balancer(20, seed=seed, proxy_count=50)
@@ -54,7 +54,7 @@
 
 
 def test_heavy_connection_counts_its_own_load() -> None:
-    """Guards against a heavy connection that fills a small server which stood a little lower."""
+    """A heavy connection would fill a small server whose load ratio is only slightly lower."""
     balancer = make_balancer(0)
     small, large = Endpoint("s0", weight=1.0), Endpoint("s1", weight=4.0)
     balancer.handle(START_US, [EndpointListUpdate(EndpointListKind.COMPLETE, 2, (small, large))])
@@ -63,7 +63,7 @@
     assert chosen_servers(balancer.handle(START_US + 2, [request_arrived(2, load=0.01)]))[0] == "s0"
 
 
-def test_near_tie_goes_to_the_own_zone_where_crossing_has_a_cost() -> None:
+def test_near_tie_goes_to_the_own_zone_when_crossing_has_a_cost() -> None:
     balancer = make_balancer(0, zone_count=2, costs=OperationCosts(cross_zone=0.02))
     near, far = Endpoint("s0", zone=0), Endpoint("s1", zone=1)
     balancer.handle(START_US, [EndpointListUpdate(EndpointListKind.COMPLETE, 2, (near, far))])
--- a/tests/routing/test_settings.py
+++ b/tests/routing/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings that no balancer could follow."""
+"""Validation of the routing settings."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from tests.routing.builders import BASIC_SETTINGS
 
 
-def test_settings_that_cannot_be_followed_are_rejected() -> None:
+def test_invalid_settings_are_rejected() -> None:
     with pytest.raises(ValueError, match="cold_from"):
         replace(BASIC_SETTINGS, slow_start_initial_fraction=0.0)
     with pytest.raises(ValueError, match="index"):
--- a/tests/routing/test_slow_start.py
+++ b/tests/routing/test_slow_start.py
@@ -1,4 +1,4 @@
-"""A server that has just started is filled no faster than it warms up."""
+"""Slow start: a server that has just started is filled no faster than it warms up."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def test_cold_server_is_filled_as_the_collapse_multiple_allows() -> None:
-    """Guards other deployments: a pace fitted to one multiple left servers idle at another."""
+    """A pace that suited one collapse multiple left servers idle at another."""
     sent = []
     for multiple in (2.0, 4.0):
         balancer = make_balancer(
@@ -38,17 +38,17 @@
         )
         started = Endpoint("s0", weight=4.0, started_at_us=START_US)
         balancer.handle(START_US, [EndpointListUpdate(EndpointListKind.COMPLETE, 2, (started,))])
-        made = [
+        batches = [
             balancer.handle(START_US + n * 10_000, [request_arrived(n, load=0.04)])
             for n in range(200)
         ]
-        sent.append(sum(len(actions_of(StartAttempt, actions)) for actions in made))
+        sent.append(sum(len(actions_of(StartAttempt, actions)) for actions in batches))
     assert 1.8 * sent[0] <= sent[1] <= 2.2 * sent[0], sent
 
 
 @pytest.mark.parametrize("changes", [{"slow_start_us": 0}, {"collapse_delay_us": 0}])
-def test_server_is_used_where_a_time_of_slow_start_is_zero(changes: dict[str, int]) -> None:
-    """Guards settings at their limits, and servers whose clock is ahead."""
+def test_server_is_used_when_a_slow_start_duration_is_zero(changes: dict[str, int]) -> None:
+    """Covers settings at their lower limits, and a server whose clock is ahead."""
     balancer = make_balancer(0, proxy_count=8, **changes)
     started = Endpoint("s0", started_at_us=START_US + SECOND_US)
     balancer.handle(START_US, [EndpointListUpdate(EndpointListKind.COMPLETE, 2, (started,))])
@@ -60,8 +60,8 @@
     assert sent_us
 
 
-def test_cold_servers_take_their_part_while_the_warm_ones_are_near_full() -> None:
-    """Guards a release of the servers: clients of all that drained went to the one still warm."""
+def test_cold_server_gets_its_share_while_the_warm_one_is_loaded() -> None:
+    """In a release, the clients of all draining servers went to the one that was still warm."""
     taken = 0
     for seed in range(20):
         balancer = make_balancer(1, seed, proxy_count=2)
@@ -76,7 +76,7 @@
 
 @pytest.mark.parametrize("proxy_count", [1, 40, 250])
 def test_cold_server_is_filled_slowly_by_all_proxies_together(proxy_count: int) -> None:
-    """Guards slow start: many proxies must not all send their first connection at once."""
+    """Many proxies must not all send a cold server their first connection at once."""
     sent = []
     listed = (
         *(Endpoint(f"s{i}", weight=2.0) for i in range(4)),
@@ -103,7 +103,7 @@
             actions = balancer.handle(now, [request_arrived(request, load=0.02)])
             attempts = actions_of(StartAttempt, actions)
             sent += [now for attempt in attempts if attempt.server_id == "new"]
-    # It can hold 50 connections of the initial load, and warms up meanwhile.
+    # A warm server holds 50 connections of the initial load, a cold one fewer.
     for begin in range(START_US, START_US + BASIC_SETTINGS.slow_start_us, SECOND_US):
         warmth = 0.3 + 0.7 * (begin - START_US) / BASIC_SETTINGS.slow_start_us
         inside = sum(begin <= at < begin + BASIC_SETTINGS.collapse_delay_us for at in sent)
