--- a/larchhaven/routing/ranking.py
+++ b/larchhaven/routing/ranking.py
@@ -150,7 +150,7 @@
                 yield ratio, server
 
     def count_unavailable_servers(self) -> int:
-        """Count the listed servers without new requests: draining, or with an enforced ejection."""
+        """Count the listed servers that are draining or under an enforced ejection."""
         until_us = math.inf
         if self._ejection.is_enforced(self.entries):
             until_us = self._scheduler.now_us
--- a/larchhaven/routing/request.py
+++ b/larchhaven/routing/request.py
@@ -98,7 +98,7 @@
         return self.state is RequestState.ESTABLISHED or self.state is RequestState.CLOSING
 
     def begin_attempt(self, server: Server | None) -> None:
-        """Start an attempt on a server."""
+        """Record the start of an attempt on a server."""
         self.state = RequestState.ATTEMPTING
         self.attempt_in_flight = self.attempt_count
         self.attempt_count += 1
--- a/larchhaven/routing/server.py
+++ b/larchhaven/routing/server.py
@@ -36,15 +36,15 @@
             (``endpoint_list``).
         unready_since_us: When it last ceased to be ready (``endpoint_list``).
         ranking_entry: Its entry in the ranking if it is ready (``ranking``).
-        slow_until_us: Until when its messages count as slow (``ranking``).
-        full_until_us: Until when it counts as full after rejecting a request (``ranking``).
+        slow_until_us: Time until which its messages count as slow (``ranking``).
+        full_until_us: Time until which it counts as full after a rejection (``ranking``).
         reported_ratio: Load over capacity in its last report (``load_estimate``).
         reported_at_us: When that report was received (``load_estimate``).
         unreported_load: Load changes by this proxy that no report can contain yet, in cores
             (``load_estimate``).
         unreported_changes: Time and size of each of these changes (``load_estimate``).
         next_rebalance_at_us: Earliest time of the next check for an overload (``migration``).
-        migrated_until_us: Until when reports may not show the last migrations (``migration``).
+        migrated_until_us: Time until which reports may not show migrations (``migration``).
         ejection_us: Length of the last ejection, before jitter (``outlier_ejection``).
         ejected_until_us: End of the last ejection (``outlier_ejection``).
         warm_at_us: End of its slow start (``slow_start``).
--- a/larchhaven/routing/slow_start.py
+++ b/larchhaven/routing/slow_start.py
@@ -19,7 +19,7 @@
 from larchhaven.routing.server import Server
 from larchhaven.routing.settings import RoutingSettings
 
-# All proxies together fill a cold server at this fraction of the multiple at which it collapses.
+# All proxies together fill a cold server at this fraction of the collapse multiple.
 FILL_FRACTION = 0.8
 MIN_COLLAPSE_DELAY_US = 1  # avoids divisions by zero if the settings give 0
 
@@ -92,7 +92,7 @@
             server.token_until_us = 0.0
         pace = self._token_pace(server)
         if pace.valid_fraction >= 1:
-            # Tokens never expire between turns, so their times need not be kept. A token that was
+            # Tokens never expire between turns, so the turns need not be kept, and a token that was
             # used late does not bring the next one sooner.
             server.next_token_at_us = self._warm_time_us(server) + pace.interval_us
         server.next_token_at_us += connections * pace.interval_us
@@ -139,7 +139,8 @@
         capacity = server.weight / self._connection_load()
         limit = settings.collapse_multiple * capacity * warm_window_us / settings.slow_start_us
         proxies = self._live_peers.count
-        # A collapse allows for random excess of two square roots of the limit; one is left unused.
+        # A collapse takes two square roots of the limit more, to allow for random arrivals; one of
+        # them is used here.
         share = (FILL_FRACTION * limit + math.sqrt(limit) + 1) / proxies
         arrivals = self._arrivals.arrivals_per_us() * collapse_delay_us
         optimum = share / (1 + math.sqrt(2 / arrivals))
--- a/tests/routing/test_cold_fleet.py
+++ b/tests/routing/test_cold_fleet.py
@@ -198,7 +198,7 @@
 def test_cold_servers_survive_clients_of_all_proxies_at_once(
     seed: int, loads_are_hinted: bool
 ) -> None:
-    """Each proxy kept a token in reserve, and reconnecting clients used all of them at once."""
+    """If each proxy keeps a token in reserve, reconnecting clients use all of them at once."""
     rng = random.Random(seed)
     outage = Outage.draw(rng, loads_are_hinted=loads_are_hinted)
     fleet = ColdFleet(outage, rng)
--- a/tests/routing/test_endpoint_list.py
+++ b/tests/routing/test_endpoint_list.py
@@ -36,7 +36,7 @@
 
 
 def test_server_ejected_by_operators_gets_no_requests_and_loses_its_clients() -> None:
-    """An ejection outlasts the list, which may remove the server and list it as ready again."""
+    """An ejection persists although the list removes the server and lists it as ready again."""
     balancer = make_balancer(2)
     sent = actions_of(
         StartAttempt, balancer.handle(START_US, [request_arrived(i, load=0.01) for i in range(12)])
@@ -119,7 +119,7 @@
 def test_failed_poll_is_retried_within_the_drain_grace_when_lists_are_pushed(
     grace: int, proxy_count: int
 ) -> None:
-    """A proxy is deemed to know a pushed list at once, and must not use servers past a drain."""
+    """A proxy is deemed to know a pushed list at once; a late retry may use a drained server."""
     balancer = make_balancer(
         subscribes_to_endpoints=False,
         drain_grace_us=grace,
--- a/tests/routing/test_health_checks.py
+++ b/tests/routing/test_health_checks.py
@@ -57,7 +57,7 @@
 def test_arrival_without_servers_is_held_when_the_check_credit_is_negative() -> None:
     """Servers returned by operators are checked at once, which may make the credit negative.
 
-    With two checks owed and no server to choose from, the draw raised IndexError.
+    If the negative credit is taken as a number of checks, a draw from no servers raises IndexError.
     """
     balancer = make_balancer(2, can_check_health=True)
     for _ in range(10):
--- a/tests/routing/test_large_fleets.py
+++ b/tests/routing/test_large_fleets.py
@@ -51,7 +51,7 @@
 def test_proxies_that_start_together_all_get_the_endpoint_list(
     count: int, service_time_us: int
 ) -> None:
-    """Polls in step kept the endpoint service busy, and only a few proxies got the list.
+    """If proxies poll in step, the endpoint service is too busy, and only a few get the list.
 
     A call that waits too long fails, but still takes up its service time.
     """
@@ -84,10 +84,10 @@
 
 
 def test_first_poll_is_sent_within_the_poll_deadline() -> None:
-    """One of 182 proxies first polled 13 s after its start, and used servers removed by then.
+    """After a late first poll a proxy uses servers that were removed: one of 182 took 13 s.
 
-    Pacing by the number of proxies delayed the first poll of 200 proxies by up to 25 s. Without a
-    poll, a proxy is deemed to know the list after the poll deadline.
+    Paced by their number alone, the first polls of 200 proxies take up to 25 s. Without a poll, a
+    proxy is deemed to know the list after the poll deadline.
     """
     for count in (1, 3, 40, 182, 1000):
         settings, late = replace(BASIC_SETTINGS, proxy_count=count, subscribes_to_endpoints=True), 0
@@ -109,7 +109,7 @@
 
 
 def test_one_heavy_connection_does_not_look_like_a_full_fleet() -> None:
-    """One proxy's placements were counted for all forty proxies, and an idle fleet rejected."""
+    """If a proxy's own placements are scaled up by forty proxies, an idle fleet seems full."""
     balancer = make_balancer(10, proxy_count=40)
     balancer.handle(START_US, [load_report(i, 0.1) for i in range(10)])
     balancer.handle(START_US + 1, [request_arrived(n, load=0.05) for n in range(4)])
@@ -120,7 +120,7 @@
 def test_proxies_agree_on_a_groups_server_and_spread_groups_over_all_servers() -> None:
     """Each server that holds a client of a group bears the cost of the whole group.
 
-    With CRCs alone, 20 groups went to only three of ten servers.
+    With CRCs alone, 20 groups go to only three of ten servers.
     """
     proxies = [make_balancer(10, seed=i, proxy_count=40, proxy_index=i) for i in range(40)]
     drawn = Counter[str]()
@@ -139,7 +139,7 @@
 
 
 def test_mid_flow_connections_find_their_server_with_most_proxies_killed() -> None:
-    """With one replica holder, an entry was lost if that was killed along with its proxy."""
+    """With one replica holder, an entry is lost if that is killed along with its proxy."""
     settings = large_fleet_settings(pass_through=True, can_check_health=False)
     proxies = [Balancer(replace(settings, proxy_index=i), seed=i) for i in range(40)]
     for balancer in proxies:
@@ -201,10 +201,11 @@
 
 
 def test_rolling_restart_keeps_the_sticky_entries() -> None:
-    """Of 2,491 connections moved in two rolling releases, 114 found no replica holder.
+    """A proxy that restarts is sent the entries that it held for others.
 
-    A starting proxy was sent only its neighbour's own connections, so the four replica holders
-    of a connection lost its entry one after the other.
+    If it is sent only its neighbour's own connections, the four replica holders of a connection
+    lose its entry one after the other. In two rolling releases, 114 of the 2,491 connections that
+    were moved found no replica holder.
     """
     settings = large_fleet_settings(pass_through=True, can_check_health=False)
 
--- a/tests/routing/test_load_estimate.py
+++ b/tests/routing/test_load_estimate.py
@@ -43,7 +43,7 @@
     ],
 )
 def test_load_of_a_removed_server_is_forgotten(gone: EndpointListUpdate) -> None:
-    """Connections that ended with their server still counted towards the load of the fleet."""
+    """Connections that end with their server must not count towards the load of the fleet."""
     balancer = make_balancer(2)
 
     def total_unreported_load() -> float:
@@ -69,7 +69,7 @@
 
 
 def test_unreported_changes_are_bounded_without_load_reports() -> None:
-    """Without load reports, each connection left three entries at its server forever."""
+    """Without a bound, each connection leaves three entries for good if no report comes."""
     balancer = make_balancer(1)
     for request in range(2_000):
         now = START_US + request
--- a/tests/routing/test_migration.py
+++ b/tests/routing/test_migration.py
@@ -153,7 +153,7 @@
 
 
 def test_rebalanced_server_is_checked_again_without_arrivals() -> None:
-    """Only arrivals triggered checks, so a server could stay overloaded after a rebalancing."""
+    """If only arrivals trigger checks, a server may stay overloaded after a rebalancing."""
     balancer = make_balancer(3, can_check_health=True)
     sent = [balancer.placement.add_request(request_arrived(i, load=0.1)) for i in range(8)]
     for request in sent:
--- a/tests/routing/test_outlier_ejection.py
+++ b/tests/routing/test_outlier_ejection.py
@@ -27,7 +27,7 @@
 
 @pytest.mark.parametrize("result", [AttemptResult.ERROR, AttemptResult.RESET])
 def test_request_that_fails_fast_on_all_servers_ejects_none(result: AttemptResult) -> None:
-    """One bad request, retried on each server, ejected all of them and tripped the breaker."""
+    """A bad request, retried on each server, must not eject them all and trip the breaker."""
     balancer = make_balancer(3)
     now = START_US
     server = chosen_servers(balancer.handle(now, [request_arrived(1)]))[0]
@@ -68,7 +68,7 @@
 
 
 def test_server_that_fails_again_soon_is_ejected_for_longer() -> None:
-    """A failing server came back every two seconds, as one connection reset its ejection time."""
+    """If one connection resets the ejection time, a failing server returns every two seconds."""
     balancer = make_balancer(3)
     server, now, spans = balancer.servers["s0"], START_US, []
     for pause in (0, 1_000_000, 1_000_000, 30_000_000):
@@ -81,7 +81,7 @@
 
 
 def test_removed_servers_do_not_count_among_the_ejected() -> None:
-    """Removed servers counted as ejected in a release, so the cause of failures seemed shared."""
+    """If servers removed in a release count as ejected, the cause of failures seems shared."""
     balancer = make_balancer(4)
     balancer.handle(
         START_US, [HealthCheckCompleted(f"s{i}", AttemptResult.UNREACHABLE, 500) for i in (0, 1, 2)]
--- a/tests/routing/test_placement.py
+++ b/tests/routing/test_placement.py
@@ -56,7 +56,7 @@
 
 
 def test_retry_is_not_placed_on_a_server_that_it_would_overload() -> None:
-    """Retries went to the last untried server however full, to the harm of its connections."""
+    """A retry on the last untried server, however full, would harm its connections."""
     balancer = make_balancer(3)
     balancer.handle(START_US, [load_report(0, 0.2), load_report(1, 0.2), load_report(2, 0.95)])
     server = chosen_servers(balancer.handle(START_US, [request_arrived(1)]))[0]
--- a/tests/routing/test_slow_start.py
+++ b/tests/routing/test_slow_start.py
@@ -30,7 +30,7 @@
 
 
 def test_cold_server_is_filled_as_the_collapse_multiple_allows() -> None:
-    """A pace that suited one collapse multiple left servers idle at another."""
+    """A pace that suits one collapse multiple leaves servers idle at another."""
     sent = []
     for multiple in (2.0, 4.0):
         balancer = make_balancer(
@@ -48,7 +48,7 @@
 
 @pytest.mark.parametrize("changes", [{"slow_start_us": 0}, {"collapse_delay_us": 0}])
 def test_server_is_used_when_a_slow_start_duration_is_zero(changes: dict[str, int]) -> None:
-    """Covers settings at their lower limits, and a server whose clock is ahead."""
+    """Slow start works with settings at their limits, and with a server whose clock is ahead."""
     balancer = make_balancer(0, proxy_count=8, **changes)
     started = Endpoint("s0", started_at_us=START_US + SECOND_US)
     balancer.handle(START_US, [EndpointListUpdate(EndpointListKind.COMPLETE, 2, (started,))])
@@ -61,7 +61,7 @@
 
 
 def test_cold_server_gets_its_share_while_the_warm_one_is_loaded() -> None:
-    """In a release, the clients of all draining servers went to the one that was still warm."""
+    """If not, the clients of all servers that drain in a release go to one that is still warm."""
     taken = 0
     for seed in range(20):
         balancer = make_balancer(1, seed, proxy_count=2)
