--- a/larchhaven/net/control/endpoint_directory.py
+++ b/larchhaven/net/control/endpoint_directory.py
@@ -1,4 +1,4 @@
-"""The servers that the endpoint list names: their addresses, and since when they are draining."""
+"""Tracks the addresses of the servers on the endpoint list, and since when they are draining."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from larchhaven.net.core.event_loop import unix_offset_us
 from larchhaven.routing.events import Endpoint, EndpointListKind, EndpointListUpdate, ServerState
 
-# By then nothing that was sent to a removed server can be under way.
+# After this time, no data sent to a removed server can still be in transit.
 REMOVED_SERVER_RETENTION_US = 60_000_000
 MAX_REMEMBERED_SERVERS = 10_000
 MAX_PORT = 65_535
@@ -23,7 +23,7 @@
 
 
 class EndpointEntry(msgspec.Struct):
-    """One server in a message of the endpoint service; its JSON keys are those of the protocol."""
+    """One server in a message of the endpoint service, with the JSON keys of the protocol."""
 
     server_id: str = msgspec.field(name="host")
     address: str = msgspec.field(name="dial", default="")
@@ -36,7 +36,7 @@
 
 
 class EndpointListMessage(msgspec.Struct):
-    """A message of the endpoint service: the complete list, or changes of it."""
+    """A message of the endpoint service: the complete list, or changes to it."""
 
     version: int = msgspec.field(name="seq")
     endpoints: list[EndpointEntry] = msgspec.field(name="hosts")
@@ -44,7 +44,7 @@
 
 
 def parse_address(text: str) -> tuple[str, int] | None:
-    """Return the host and the port of ``host:port``, or None for any other text."""
+    """Return the host and port of ``host:port``, or None if the text has another form."""
     host, _, port = text.rpartition(":")
     if not host or not port.isascii() or not port.isdigit() or int(port) > MAX_PORT:
         return None
@@ -52,15 +52,16 @@
 
 
 class EndpointDirectory:
-    """What the endpoint list says of each server.
+    """Stores the address and the drain time of each server on the endpoint list.
 
     Args:
-        zones: Names of the zones, whose indexes the decisions use.
-        hardware_kinds: Names of the kinds of machines, by index too.
-        max_remembered: Servers that are remembered as once listed; the oldest are forgotten.
+        zones: Names of the zones; the balancer uses their indexes.
+        hardware_kinds: Names of the hardware kinds; the balancer uses their indexes.
+        max_remembered: Maximum number of servers that are remembered after they were listed; the
+            oldest ones are forgotten first.
 
     Attributes:
-        on_server_removed: Is called with each server that leaves the list.
+        on_server_removed: Called with the id of each server that is removed from the list.
     """
 
     def __init__(
@@ -74,17 +75,17 @@
         self._max_remembered = max_remembered
         self._addresses: dict[str, tuple[str, int]] = {}
         self._drain_notified_at_us: dict[str, int] = {}
-        # Every server that was ever listed, the latest last.
+        # Servers that are or were listed, in the order of their latest entry.
         self._remembered: dict[str, None] = {}
         self._unix_offset_us = unix_offset_us()
         self.on_server_removed: Callable[[str], None] = lambda _: None
 
     def find_address(self, server_id: str) -> tuple[str, int] | None:
-        """Return host and port of a server; None if it is not listed."""
+        """Return the host and port of a server, or None if it is not listed."""
         return self._addresses.get(server_id)
 
     def drain_notified_at_us(self, server_id: str) -> int | None:
-        """Return when the list first named it as draining or removed; None while it is ready."""
+        """Return when the list first named a server as draining or removed; None if ready."""
         return self._drain_notified_at_us.get(server_id)
 
     def count_listed(self) -> int:
@@ -92,7 +93,7 @@
         return len(self._addresses)
 
     def count_remembered(self) -> int:
-        """Return the number of servers that are remembered as once listed."""
+        """Return the number of servers that are remembered as listed, now or earlier."""
         return len(self._remembered)
 
     def was_listed(self, server_id: str) -> bool:
@@ -102,15 +103,16 @@
     def apply_list(
         self, kind: EndpointListKind, message: EndpointListMessage, notified_at_us: int
     ) -> EndpointListUpdate:
-        """Apply a list, or changes of it.
+        """Apply a complete list, or changes to the current one.
 
         Args:
-            kind: What the message is; anything but changes replaces the list.
+            kind: Kind of the message; every kind except ``CHANGES`` replaces the list.
             message: The message of the endpoint service.
-            notified_at_us: When this process counts as notified of it.
+            notified_at_us: When this process counts as notified of the message, in microseconds of
+                the event loop's clock.
 
         Returns:
-            The event for the decisions.
+            The event for the balancer.
         """
         if kind is not EndpointListKind.CHANGES:
             self._forget_removed_servers(notified_at_us - REMOVED_SERVER_RETENTION_US)
@@ -128,13 +130,13 @@
             del self._drain_notified_at_us[server_id]
 
     def _remove_unlisted(self, message: EndpointListMessage, notified_at_us: int) -> None:
-        named = {entry.server_id for entry in message.endpoints}
-        for server_id in [known for known in self._addresses if known not in named]:
-            self._note_drain(server_id, notified_at_us)
+        named_ids = {entry.server_id for entry in message.endpoints}
+        for server_id in [listed_id for listed_id in self._addresses if listed_id not in named_ids]:
+            self._record_drain(server_id, notified_at_us)
             self._remove_server(server_id)
 
     def _apply_entry(self, entry: EndpointEntry, notified_at_us: int) -> Endpoint:
-        # Nothing new is sent to a server in a state that is not known yet.
+        # A server with an unknown health value receives no new requests.
         state = _STATES.get(entry.health, ServerState.DRAINING)
         self._remember_server(entry.server_id)
         address = parse_address(entry.address)
@@ -143,7 +145,7 @@
         if state is ServerState.READY:
             self._drain_notified_at_us.pop(entry.server_id, None)
         else:
-            self._note_drain(entry.server_id, notified_at_us)
+            self._record_drain(entry.server_id, notified_at_us)
         if state is ServerState.REMOVED:
             self._remove_server(entry.server_id)
         return Endpoint(
@@ -157,7 +159,7 @@
         )
 
     def _convert_start(self, unix_ms: float) -> int:
-        """Return a start by the clock of the event loop, and at least 1; 0 if there is none."""
+        """Convert a start time to the event loop's clock, at least 1; return 0 if it is not set."""
         unix_us = int(unix_ms * US_PER_MS)
         return max(unix_us - self._unix_offset_us, 1) if unix_us else 0
 
@@ -167,7 +169,7 @@
         if len(self._remembered) > self._max_remembered:
             del self._remembered[next(iter(self._remembered))]
 
-    def _note_drain(self, server_id: str, notified_at_us: int) -> None:
+    def _record_drain(self, server_id: str, notified_at_us: int) -> None:
         self._drain_notified_at_us.setdefault(server_id, notified_at_us)
 
     def _remove_server(self, server_id: str) -> None:
--- a/larchhaven/net/control/endpoint_watch.py
+++ b/larchhaven/net/control/endpoint_watch.py
@@ -1,10 +1,11 @@
-"""The watch on the endpoint list: long polls over one HTTP connection, and polls of all of it.
-
-A watch asks for changes since a version, and the service holds the request until there are some or
-the hold is over. By the protocol a watch that stays silent for 2 s after its hold counts as
-notified of all that it missed. A sound service answers as soon as the hold is over, so a silent
-watch is followed well before that by polls that are not to be held, each over a new connection; the
-watch fails when they are silent too. When to try again is up to the decisions.
+"""Watches the endpoint list with long polls, and polls the complete list when asked to.
+
+A long poll asks for changes since a version. The service holds the request until there are changes
+or the hold time ends. By the protocol, if a watch stays silent for 2 s after its hold time, this
+process counts as notified of all changes that it missed. A working service answers as soon as the
+hold time ends. So well before these 2 s are over, a silent watch is followed by short polls, which
+have no hold time, each over a new connection. If they are silent too, the watch fails. The balancer
+decides when to try again.
 """
 
 from __future__ import annotations
@@ -24,40 +25,42 @@
 from larchhaven.net.core.stream import Stream
 
 WATCH_HOLD_MS = 8_000
-# From the end of the hold to the first poll that is not to be held.
+# From the end of the hold time to the first short poll.
 WATCH_SILENCE_US = 500_000
-# A poll at the last moment took 0.8 s, longer than the grace of a drain: so there is time for two.
-PROMPT_POLL_TIMEOUT_US = 1_000_000
-MAX_PROMPT_POLLS = 2
+# A poll sent just before the 2 s limit took 0.8 s, longer than the grace of a drain. This time-out
+# leaves time for two polls.
+SHORT_POLL_TIMEOUT_US = 1_000_000
+MAX_SHORT_POLLS = 2
 COMPLETE_LIST_TIMEOUT_US = 2_000_000
-# Between two requests: an answer without changes that was not held would be asked for in a tight
-# loop. The protocol allows 200 ms.
+# Minimum time between two requests. Without it, a service that answers at once without changes
+# would be polled in a tight loop. The protocol allows 200 ms.
 MIN_REQUEST_INTERVAL_US = 50_000
 US_PER_MS = 1_000
 
 
-class _CallState(enum.Enum):
-    """Whether a request is out."""
+class _PollState(enum.Enum):
+    """State of the current request to the endpoint service."""
 
-    IDLE = "idle"  # none; a connection may be open for the next
-    CONNECTING = "connecting"  # it is sent once there is a connection
+    IDLE = "idle"  # no request; a connection may be open for the next one
+    CONNECTING = "connecting"  # the request is sent once the connection is established
     AWAITING_RESPONSE = "awaiting response"
 
 
 class EndpointWatch:
-    """Asks the endpoint service for changes, one request at a time.
+    """Requests changes from the endpoint service, one request at a time.
 
     Args:
         loop: The event loop.
-        pool: Buffers and memory account of the connection.
-        log: Where failures are reported.
-        address: Where the service is.
-        version: Version of the list held.
-        on_list: Takes each list; None says that the watch failed and is off.
+        pool: Provides the buffers and the memory account of the connection.
+        log: Receives failures.
+        address: Host and port of the service.
+        version: Version of the current endpoint list.
+        on_list: Called with each list received, or with None when the watch has failed and is
+            disabled.
 
     Attributes:
-        notification_delay_us: While ``on_list`` runs, how long ago this process may count as
-            notified of the list.
+        notification_delay_us: While ``on_list`` runs, for how long this process may already count
+            as notified of the list, in microseconds.
     """
 
     def __init__(
@@ -76,15 +79,15 @@
         self._version = version
         self._on_list = on_list
         self._is_enabled = False
-        self._state = _CallState.IDLE
+        self._state = _PollState.IDLE
         self._stream: Stream | None = None
         self._response: HttpResponse | None = None
-        # What the next request is to ask for.
+        # Whether the next request asks for the complete list.
         self._needs_complete_list = False
-        # The version held is none of this service's: until it has sent a list, only complete ones.
+        # The current version is not one of this service's: poll complete lists until one arrives.
         self._is_out_of_sync = False
-        # Polls in a row that are not to be held, as there may be changes already.
-        self._prompt_polls = 0
+        # Consecutive short polls. They are not held, as there may be changes already.
+        self._short_polls = 0
         self._silent_since_us: int | None = None
         self.notification_delay_us = 0
         self._requested_at_us = -MIN_REQUEST_INTERVAL_US
@@ -92,28 +95,29 @@
         self._next_request: TimerHandle | None = None
 
     def set_enabled(self, is_enabled: bool) -> None:
-        """Open the watch, or do not renew it any more."""
+        """Start the watch, or stop renewing it."""
         self._is_enabled = is_enabled
-        if is_enabled and self._state is _CallState.IDLE:
+        if is_enabled and self._state is _PollState.IDLE:
             self._start_request()
 
     def start_with_poll(self) -> None:
-        """Open the watch with a poll that is not held, as all changes count as notified."""
-        self._prompt_polls = 1
+        """Start the watch with a short poll, as all changes already count as notified."""
+        self._short_polls = 1
         self.set_enabled(True)
 
     def poll_complete_list(self) -> None:
-        """Ask once for the complete list; a watch that is open is interrupted for it."""
+        """Request the complete list once, interrupting a request in progress."""
         self._needs_complete_list = True
-        if self._state is not _CallState.IDLE:
+        if self._state is not _PollState.IDLE:
             self._disconnect()
         self._start_request()
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """Ask another service from now on.
+        """Use another endpoint service from now on.
 
-        Versions hold for one service only: a watch from the old one's version would be silent until
-        the new one has come as far. So it is asked for complete lists until it has sent one.
+        Versions are specific to a service: a watch from the old service's version would stay silent
+        until the new service reaches that version. So complete lists are requested until the new
+        service has sent one.
         """
         self._address = address
         self._disconnect()
@@ -124,7 +128,7 @@
 
     def _start_request(self) -> None:
         self._loop.cancel(self._next_request)
-        self._state = _CallState.CONNECTING
+        self._state = _PollState.CONNECTING
         self._requested_at_us = self._loop.now_us
         self._timeout = self._loop.call_later(self._find_timeout_us(), self._on_timeout)
         if self._stream is not None:
@@ -139,15 +143,15 @@
     def _find_timeout_us(self) -> int:
         if self._needs_complete_list:
             return COMPLETE_LIST_TIMEOUT_US
-        if self._prompt_polls:
-            return PROMPT_POLL_TIMEOUT_US
+        if self._short_polls:
+            return SHORT_POLL_TIMEOUT_US
         return WATCH_HOLD_MS * US_PER_MS + WATCH_SILENCE_US
 
     def _send_request(self, stream: Stream) -> None:
         self._drop_response()
         self._response = HttpResponse(self._pool.account)
-        self._state = _CallState.AWAITING_RESPONSE
-        hold_ms = 0 if self._prompt_polls else WATCH_HOLD_MS
+        self._state = _PollState.AWAITING_RESPONSE
+        hold_ms = 0 if self._short_polls else WATCH_HOLD_MS
         query = "" if self._needs_complete_list else f"?from={self._version}&hold_ms={hold_ms}"
         host, port = self._address
         request = f"GET /v1/endpoints{query} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n"
@@ -161,9 +165,9 @@
             self._start_request()
 
     def _disconnect(self) -> None:
-        """Close the connection, and forget the request that is out."""
+        """Close the connection, and drop the request in progress."""
         self._loop.cancel(self._timeout)
-        self._state = _CallState.IDLE
+        self._state = _PollState.IDLE
         self._drop_response()
         if self._stream is not None:
             self._stream.close()
@@ -177,14 +181,14 @@
     # Failures
 
     def _on_timeout(self) -> None:
-        """Follow a silent watch by a poll that is not to be held, or give it up."""
-        is_last = self._needs_complete_list or self._prompt_polls >= MAX_PROMPT_POLLS
+        """Follow a silent request with a short poll, or fail if no further one is allowed."""
+        is_last = self._needs_complete_list or self._short_polls >= MAX_SHORT_POLLS
         if is_last or not self._is_enabled:
-            self._fail("no answer in time")
+            self._fail(f"no response within {self._find_timeout_us() // US_PER_MS} ms")
             return
         self._disconnect()
         self._note_silence()
-        self._prompt_polls += 1
+        self._short_polls += 1
         self._start_request()
 
     def _note_silence(self) -> None:
@@ -192,7 +196,7 @@
             self._silent_since_us = self._loop.now_us
 
     def _fail(self, reason: str) -> None:
-        if self._state is _CallState.IDLE:
+        if self._state is _PollState.IDLE:
             return
         self._disconnect()
         self._note_silence()
@@ -206,7 +210,7 @@
     def _read_response(self, response: HttpResponse) -> None:
         status = response.read_status()
         if status != HTTPStatus.OK:
-            self._fail(f"status {status}")
+            self._fail(f"HTTP status {status}")
             return
         try:
             message = msgspec.json.decode(response.body, type=EndpointListMessage)
@@ -214,36 +218,36 @@
             self._fail(str(error))
             return
         message.is_complete = message.is_complete or self._needs_complete_list
-        fault = self._find_fault(message)
-        if fault is not None:
-            # Changes to another list than the one held would make it worse.
+        list_error = self._find_list_error(message)
+        if list_error is not None:
+            # Changes that belong to another list would corrupt the current one.
             self._is_out_of_sync = True
-            self._fail(fault)
+            self._fail(list_error)
             return
         self._accept_list(message, response.keeps_connection)
 
-    def _find_fault(self, message: EndpointListMessage) -> str | None:
-        """Return why the list held is better than this one, if it is.
+    def _find_list_error(self, message: EndpointListMessage) -> str | None:
+        """Return why the message must not be applied, or None if it is valid.
 
-        A list without servers would end all service, and one that names a server twice is wrong in
-        one place at least. Changes may name a server twice, as one follows the other.
+        An empty list would end all service, and a complete list that names a server twice has at
+        least one wrong entry. Changes may name a server twice, as they are applied in order.
         """
         endpoints = message.endpoints
         if message.is_complete and not endpoints:
-            return "the list is empty"
+            return "complete endpoint list is empty"
         server_ids = {entry.server_id for entry in endpoints}
         if message.is_complete and len(server_ids) < len(endpoints):
-            return "the list contradicts itself: a host is in it twice"
+            return f"endpoint list repeats hosts: {len(endpoints)} entries, {len(server_ids)} hosts"
         if not self._needs_complete_list and message.version < self._version:
-            return f"version {message.version} is older than version {self._version}, which is held"
+            return f"endpoint list version {message.version} is older than version {self._version}"
         return None
 
     def _accept_list(self, message: EndpointListMessage, keeps_connection: bool) -> None:
         self._loop.cancel(self._timeout)
-        self._state = _CallState.IDLE
+        self._state = _PollState.IDLE
         self._drop_response()
         self._needs_complete_list = self._is_out_of_sync = False
-        self._prompt_polls = 0
+        self._short_polls = 0
         self._version = message.version
         self.notification_delay_us = 0
         if self._silent_since_us is not None:
@@ -255,45 +259,45 @@
         if self._is_enabled:
             self._schedule_next_request()
 
-    # The protocol of the stream
+    # Callbacks of the stream
 
     def connection_made(self) -> None:
-        """Send the request that waits for the connection."""
-        if self._state is _CallState.CONNECTING and self._stream is not None:
+        """Send the request that waited for the connection."""
+        if self._state is _PollState.CONNECTING and self._stream is not None:
             self._send_request(self._stream)
 
     def write_buffer_drained(self) -> None:
-        """Nothing waits for this: requests are short."""
+        """Do nothing: requests are short, so none waits for buffer space."""
 
     def data_received(self) -> None:
-        """Read what has arrived of the response."""
+        """Parse the bytes of the response that have arrived."""
         stream = self._stream
         if stream is None or stream.inbox is None:
             return
         data = bytes(stream.inbox.readable())
         stream.consume(len(data))
         response = self._response
-        if self._state is not _CallState.AWAITING_RESPONSE or response is None:
-            self._disconnect()  # data without a request
+        if self._state is not _PollState.AWAITING_RESPONSE or response is None:
+            self._disconnect()  # data that was not requested
             return
         try:
             response.feed(data)
         except httptools.HttpParserError as error:
-            self._fail(f"bad HTTP: {error}")
+            self._fail(f"invalid HTTP response: {error}")
             return
         if response.is_too_long:
-            self._fail("the answer is too long")
+            self._fail(f"response exceeds the memory limit after {len(response.body)} bytes")
         elif response.is_complete:
             self._read_response(response)
 
     def eof_received(self) -> None:
-        """Close the connection, which is a failure only while a request is out."""
-        if self._state is _CallState.IDLE:
+        """Close the connection; this is a failure only while a request is in progress."""
+        if self._state is _PollState.IDLE:
             self._disconnect()
         else:
-            self._fail("the connection ended")
+            self._fail("service closed the connection before the end of the response")
 
     def connection_lost(self, code: int) -> None:
-        """Take notice of a broken connection, which is a failure while a request is out."""
+        """Handle a broken connection, which is a failure only while a request is in progress."""
         self._stream = None
-        self._fail(f"the connection broke ({code})")
+        self._fail(f"connection lost: errno {code}")
--- a/larchhaven/net/control/http_response.py
+++ b/larchhaven/net/control/http_response.py
@@ -1,4 +1,4 @@
-"""One HTTP response, read from bytes, with a body that is charged to the memory account."""
+"""Parses one HTTP response, and charges its body to the memory account."""
 
 from __future__ import annotations
 
@@ -8,23 +8,24 @@
 from larchhaven.memory.purposes import MemoryPurpose
 
 MAX_BODY_BYTES = 4 << 20
-# Of the memory for management, if that is less.
+# Share of the memory cap for management; the lower of the two limits applies.
 MAX_BODY_MEMORY_RATIO = 0.25
 
 
 class HttpResponse:
-    """A response of which any part may have arrived.
+    """An HTTP response that may be incomplete.
 
-    The parser refers to this object: ``release`` has to be called once it is over.
+    The parser refers back to this object, so ``release`` must be called when the response is no
+    longer needed.
 
     Args:
-        account: Is charged for the body.
+        account: Memory account that is charged for the body.
 
     Attributes:
-        body: What has arrived of the body.
-        is_too_long: Whether there is no memory for all of the body.
-        is_complete: Whether all of the response has arrived.
-        keeps_connection: Once it is complete, whether the connection may be used again.
+        body: The part of the body received so far.
+        is_too_long: Whether the body exceeds its memory limit.
+        is_complete: Whether the whole response has been received.
+        keeps_connection: Whether the connection may be reused; set when the response is complete.
     """
 
     def __init__(self, account: MemoryAccount) -> None:
@@ -36,21 +37,21 @@
         self.keeps_connection = False
 
     def feed(self, data: bytes) -> None:
-        """Take the next bytes.
+        """Parse the next bytes.
 
         Raises:
-            httptools.HttpParserError: These are not the bytes of a response.
+            httptools.HttpParserError: The bytes are not part of a valid HTTP response.
         """
         if self._parser is not None:
             self._parser.feed_data(data)
 
     def read_status(self) -> int:
-        """Return the status code of a response that is complete."""
+        """Return the status code of a complete response."""
         assert self._parser is not None
         return self._parser.get_status_code()
 
     def release(self) -> None:
-        """Give the memory of the body back; the response cannot be used any more."""
+        """Release the memory of the body; the response must not be used afterwards."""
         self._account.release(MemoryPurpose.MANAGEMENT, len(self.body))
         self.body = bytearray()
         self._parser = None
@@ -58,7 +59,7 @@
     # Callbacks of the parser
 
     def on_body(self, body: bytes) -> None:
-        """Keep a part of the body, if there is memory for it."""
+        """Append a part of the body, if the memory limit allows it."""
         length = len(self.body) + len(body)
         fits = not self.is_too_long and length <= self._find_max_body_bytes()
         if fits and self._account.try_charge(MemoryPurpose.MANAGEMENT, len(body)):
@@ -67,7 +68,7 @@
             self.is_too_long = True
 
     def on_message_complete(self) -> None:
-        """Take notice of the end, after which the parser forgets what it has read."""
+        """Record the end of the response, before the parser resets its state."""
         self.is_complete = True
         self.keeps_connection = self._parser is not None and self._parser.should_keep_alive()
 
--- a/tests/net/control/test_http_response.py
+++ b/tests/net/control/test_http_response.py
@@ -1,4 +1,4 @@
-"""Responses of the endpoint service, and the memory that they may take."""
+"""Responses of the endpoint service, and the memory limits of their bodies."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     assert account.charged_bytes(MemoryPurpose.MANAGEMENT) == 0
 
 
-def test_body_beyond_a_quarter_of_the_memory_is_too_long(account: MemoryAccount) -> None:
+def test_body_larger_than_a_quarter_of_the_memory_is_too_long(account: MemoryAccount) -> None:
     response = HttpResponse(account)
     response.feed(HEAD % CAP_BYTES + b"x" * (CAP_BYTES // 4))
     assert not response.is_too_long
