--- a/larchhaven/net/control/membership_log.py
+++ b/larchhaven/net/control/membership_log.py
@@ -1,4 +1,4 @@
-"""Log lines about changes of the membership, at most one a second."""
+"""Logs membership changes, at most one line per second."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 from larchhaven.membership.view import MemberChanged, MembershipView
 from larchhaven.net.core.event_loop import EventLoop
 
-# Changes are gathered for this long: a fleet that falls apart makes one line a second.
+# Changes are gathered for this long, so that mass failures cause only one line per second.
 GATHER_US = 1_000_000
-# Members of each state that a line names.
+# Maximum number of members of each state that a line names.
 MAX_NAMED_MEMBERS = 12
 
 _log = logging.getLogger("larchhaven")
@@ -29,11 +29,11 @@
 
 
 class MembershipLog:
-    """Gathers changes and writes them to the log.
+    """Gathers membership changes and logs them in batches.
 
     Args:
         loop: The event loop.
-        current_view: Returns the current view, for names of members.
+        current_view: Returns the current view, which contains the names of the members.
         current_status: Returns the current partition status.
     """
 
@@ -49,7 +49,7 @@
         self._changes: dict[int, _GatheredChange] = {}
 
     def add(self, change: MemberChanged) -> None:
-        """Add a change to the next line."""
+        """Add a change to the next log line."""
         if not self._changes:
             self._loop.call_later(GATHER_US, self._write)
         number, state = change.member.number, change.member.state
@@ -69,27 +69,27 @@
             if change.was_dead and change.state is not MemberState.DEAD:
                 briefly_dead.append(number)
         if not numbers_by_state and not briefly_dead:
-            return  # suspected and refuted within the time
-        parts = [
+            return  # suspected and refuted within the interval
+        clauses = [
             f"{state.name.lower()}: {self._names(numbers)}"
             for state, numbers in sorted(numbers_by_state.items())
         ]
         if briefly_dead:
-            parts.append(f"briefly declared dead: {self._names(briefly_dead)}")
+            clauses.append(f"briefly declared dead: {self._names(briefly_dead)}")
         status = self._current_status()
-        parts.append(f"{status.present_count} of {status.table_size} present")
-        parts.append(f"partition side: {status.side.value}")
-        detail = "; ".join(parts)
+        clauses.append(f"{status.present_count} of {status.table_size} present")
+        clauses.append(f"partition side: {status.side.value}")
+        detail = "; ".join(clauses)
         _log.info("membership changed: %s", detail, extra={"event": "members", "detail": detail})
 
     def _names(self, numbers: Sequence[int]) -> str:
         named = ", ".join(self._name(number) for number in numbers[:MAX_NAMED_MEMBERS])
-        more_count = len(numbers) - MAX_NAMED_MEMBERS
-        return f"{named} and {more_count} more" if more_count > 0 else named
+        omitted_count = len(numbers) - MAX_NAMED_MEMBERS
+        return f"{named} and {omitted_count} more" if omitted_count > 0 else named
 
     def _name(self, number: int) -> str:
         member = self._current_view().get(number)
         if member is None or member.info is None or not member.info.name:
             return str(number)
-        # Names come from other processes: no control characters in the log.
+        # Names come from other processes, so control characters are escaped.
         return f"{number} ({member.info.name.encode('unicode_escape').decode()})"
--- a/larchhaven/net/control/membership_report.py
+++ b/larchhaven/net/control/membership_report.py
@@ -1,4 +1,4 @@
-"""The JSON of ``GET /v1/members``: its keys are mapped here, and nowhere else."""
+"""The JSON of ``GET /v1/members``; this is the only module that defines its keys."""
 
 from __future__ import annotations
 
@@ -15,19 +15,20 @@
         "capabilities": "can",
     },
 ):
-    """What is known of one member.
+    """The state of one member, as this proxy sees it.
 
     Attributes:
-        number: Its index in the peer table.
-        name: Its name; empty until it is known.
+        number: The member's index in the peer table.
+        name: Its name; empty until received.
         state: alive, suspect, dead or left.
-        learned_ago_s: How long ago this was learned, in seconds.
+        learned_ago_s: Time since this proxy learned the state, in seconds.
         incarnation: Its incarnation.
-        accusers: Who suspects it or declared it dead; empty if the member spoke for itself.
-        zone: The index of its zone; this and all below are None or empty until they are known.
-        protocol_version: The version of the protocol that its program speaks.
-        started_unix_s: When it started, by its own clock.
-        capabilities: What its program supports.
+        accusers: Numbers of the suspectors, or of the members that declared it dead; empty if the
+            member reported the state itself.
+        zone: Index of its zone. This field and those below are None or empty until received.
+        protocol_version: Version of the membership protocol that it uses.
+        started_unix_s: Unix time when it started, by its own clock, in seconds.
+        capabilities: Names of the capabilities that it supports.
     """
 
     number: int
@@ -61,25 +62,27 @@
         "rejected": "refused",
     },
 ):
-    """What a proxy reports of the membership.
+    """The membership, as one proxy sees it.
 
     Attributes:
-        is_enabled: Whether the membership is on; if not, only ``disabled_reason`` is meaningful.
-        disabled_reason: Why it is off.
+        is_enabled: Whether the membership is enabled; if not, only ``disabled_reason`` is
+            meaningful.
+        disabled_reason: Why the membership is disabled.
         own_number: The proxy's index in the peer table.
         incarnation: The proxy's incarnation.
-        view_version: The version of the view.
+        view_version: Version of the membership view.
         is_synchronized: Whether another member has confirmed the view.
-        health_score: Lifeguard's local health score, 0 is healthy.
-        present_count: How many members are present.
-        agreed_count: How many were present when all last agreed.
-        table_size: How many entries the peer table has.
-        confidence_ratio: The share of present members that are not suspected.
+        health_score: Lifeguard's local health score; 0 is healthy.
+        present_count: Number of members present.
+        agreed_count: Number of members present when all members last agreed.
+        table_size: Number of entries in the peer table.
+        confidence_ratio: Share of the present members that are not suspected.
         partition_side: whole, majority, minority or unknown.
-        lost_zones: Zones without a present member that had some when all last agreed.
-        members: What is known of each member.
-        counters: The counters of the protocol.
-        rejected: How many datagrams were rejected, by reason.
+        lost_zones: Indexes of zones that have no present member, but had one when all members last
+            agreed.
+        members: The state of each member.
+        counters: Counters of the membership protocol, by name.
+        rejected: Number of rejected datagrams, by reason.
     """
 
     is_enabled: bool
@@ -103,11 +106,11 @@
 class MembershipDisabledReport(
     msgspec.Struct, rename={"is_enabled": "on", "disabled_reason": "why_off"}
 ):
-    """What a proxy reports while the membership is off.
+    """The report of a proxy whose membership is disabled.
 
     Attributes:
         is_enabled: False.
-        disabled_reason: Why it is off.
+        disabled_reason: Why the membership is disabled.
     """
 
     is_enabled: bool
--- a/larchhaven/net/control/membership_switch.py
+++ b/larchhaven/net/control/membership_switch.py
@@ -1,6 +1,6 @@
-"""Enables and disables the membership: by the operators' file, at hot restarts and at the stop.
+"""Enables and disables the membership: by the operators' file, at hot restarts and at shutdown.
 
-The protocol is imported only while it is enabled, so that other proxies do not pay for its memory.
+The protocol is imported only when it is enabled, so that proxies without it save the memory.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 if TYPE_CHECKING:
     from larchhaven.net.control.membership_transport import MembershipTransport
 
-# What datagrams of the membership begin with.
+# First byte of each membership datagram.
 DATAGRAM_PREFIX = b"M"
-# Memory for each entry of the peer table, as measured by benchmarks/membership_costs.py.
+# Memory per entry of the peer table; see benchmarks/membership_costs.py.
 BYTES_PER_PEER = 1_500
-# A peer table of this size names another proxy.
+# Size of the smallest peer table that contains another proxy.
 MIN_TABLE_SIZE = 2
 
 _KEY_BYTES = 32
@@ -33,12 +33,12 @@
 
 
 def derive_key(secret: str) -> bytes:
-    """Return the key that proves datagrams, from the operators' secret of any length."""
+    """Derive the key that authenticates datagrams from the operators' secret of any length."""
     return hashlib.blake2b(secret.encode(), digest_size=_KEY_BYTES).digest()
 
 
 class MembershipConfiguration(Protocol):
-    """What the membership needs of the platform's configuration."""
+    """The part of the platform's configuration that the membership needs."""
 
     @property
     def name(self) -> str:
@@ -46,19 +46,19 @@
 
     @property
     def settings(self) -> RoutingSettings:
-        """The settings of the decisions."""
+        """The routing settings."""
 
     @property
     def seed(self) -> int:
-        """Seed of random draws."""
+        """Seed of the random number generator."""
 
     @property
     def peer_listen_address(self) -> tuple[str, int] | None:
-        """Where peers send to; None if they cannot."""
+        """Address on which peers reach this proxy; None if they cannot."""
 
     @property
     def peer_addresses(self) -> Sequence[tuple[str, int]]:
-        """All proxies, this one included, by their numbers."""
+        """Addresses of all proxies by number, including this one."""
 
 
 class MembershipSwitch:
@@ -67,12 +67,12 @@
     Args:
         loop: The event loop.
         config: The platform's configuration.
-        send_datagram: Sends a datagram to a proxy by its number.
+        send_datagram: Sends a datagram to the proxy with this number.
         shares_load_reports: Whether this proxy shares the results of its health checks.
 
     Attributes:
-        on_present_changed: Called with the proxies that are presumed present when that changes;
-            with all of the peer table when the membership is disabled.
+        on_present_changed: Called with the proxies that are presumed present when this set
+            changes. Called with the whole peer table when the membership is disabled.
     """
 
     def __init__(
@@ -89,38 +89,45 @@
         self._shares_load_reports = shares_load_reports
         self._settings = Settings()
         self._is_started = False
-        self._previous_incarnation = 0  # of the process before this one, 0 if there was none
-        self._handed_over_incarnation = 0  # to the process after this one, 0 while this one speaks
+        self._previous_incarnation = 0  # 0 if there was no previous process
+        self._handed_over_incarnation = 0  # 0 unless the next process has taken over
         self._transport: MembershipTransport | None = None
 
     def disabled_reason(self) -> str:
-        """Return why the membership is disabled, in words for operators; empty if it may run."""
+        """Return why the membership is disabled, as text for operators; empty if it may run."""
         config = self._config
         if not self._settings.membership_enabled:
             return "the operators' file does not turn it on (membership.on)"
         if not config.settings.can_gossip:
-            return "the platform's settings do not let proxies talk"
+            return "the platform's settings do not let proxies gossip (policy_limits.may_tell)"
         if config.peer_listen_address is None or len(config.peer_addresses) < MIN_TABLE_SIZE:
             return "the platform's configuration names no other proxies (peer_listen, peers)"
         if config.settings.proxy_index >= len(config.peer_addresses):
-            return "the own number is not in the platform's list of peers"
+            return (
+                f"proxy number {config.settings.proxy_index} is beyond the platform's list of "
+                f"{len(config.peer_addresses)} peers"
+            )
         if self.is_handed_over:
-            return "the next process of this proxy speaks for it"
+            return "the next process of this proxy has taken over the membership"
         return ""
 
     def start(self) -> None:
-        """Enable the membership if the settings say so: this process serves from now on."""
+        """Start serving, and enable the membership if the settings say so."""
         self._is_started = True
         self._apply()
 
     def apply_settings(self, settings: Settings) -> None:
-        """Enable or disable the membership, or replace its keys, as the operators' file says."""
+        """Enable or disable the membership or replace its keys, according to the settings."""
         self._settings = settings
         if self._is_started:
             self._apply()
 
     def handle_datagram(self, sender: int, data: bytes) -> bool:
-        """Handle a datagram of the membership; return whether it was one, and that is enabled."""
+        """Handle a membership datagram.
+
+        Returns:
+            False if the datagram is not a membership datagram, or the membership is disabled.
+        """
         if self._transport is None or data[:1] != DATAGRAM_PREFIX:
             return False
         self._transport.handle_datagram(sender, data)
@@ -154,55 +161,55 @@
         )
         self._transport.on_present_changed = self.on_present_changed
         self._transport.take_over(self._previous_incarnation)
-        _log.info("membership enabled: proxy %d of %d", own_number, table_size)
+        _log.info("membership enabled: proxy number %d, peer table size %d", own_number, table_size)
 
     def _forget_transport(self) -> None:
         self._transport = None
-        # Without the membership nobody is known to be gone.
+        # Without the membership, no proxy counts as gone.
         self.on_present_changed(frozenset(range(len(self._config.peer_addresses))))
 
-    # Hot restart and stop
+    # Hot restart and shutdown
 
     @property
     def is_handed_over(self) -> bool:
-        """Whether the next process speaks for this proxy."""
+        """Whether the next process has taken over the membership of this proxy."""
         return self._handed_over_incarnation > 0
 
     def hand_over(self) -> int:
-        """Fall silent for the next process; return the incarnation that it has to exceed."""
+        """Stop the membership for the next process; return the incarnation that it must exceed."""
         if self._transport is not None:
             self._handed_over_incarnation = self._transport.hand_over()
             self._forget_transport()
         return self._handed_over_incarnation
 
     def take_over(self, previous_incarnation: int) -> None:
-        """Speak for this proxy after its previous process."""
+        """Continue the membership of the previous process, whose incarnation must be exceeded."""
         self._previous_incarnation = max(self._previous_incarnation, previous_incarnation)
         if self._transport is not None:
             self._transport.take_over(self._previous_incarnation)
 
     def resume(self) -> None:
-        """Speak again: the next process has ended before this one."""
+        """Enable the membership again, as the next process ended before this one."""
         if self.is_handed_over:
             self._previous_incarnation = self._handed_over_incarnation
             self._handed_over_incarnation = 0
             self._apply()
 
     def announce_leave(self) -> None:
-        """Announce a planned stop of this proxy."""
+        """Announce the planned shutdown of this proxy."""
         if self._transport is not None:
             self._transport.announce_leave()
 
-    # What operators read
+    # Reports
 
     def memory_bytes(self) -> int:
-        """Return how much memory the membership takes, for the memory account."""
+        """Return the memory used by the membership in bytes, for the memory account."""
         return (
             BYTES_PER_PEER * len(self._config.peer_addresses) if self._transport is not None else 0
         )
 
     def report_json(self) -> bytes:
-        """Return the answer to ``GET /v1/members``."""
+        """Return the response body of ``GET /v1/members``."""
         if self._transport is not None:
             return msgspec.json.encode(self._transport.report())
         report = MembershipDisabledReport(is_enabled=False, disabled_reason=self.disabled_reason())
--- a/larchhaven/net/control/membership_transport.py
+++ b/larchhaven/net/control/membership_transport.py
@@ -1,9 +1,9 @@
-"""Connects the membership protocol to the event loop, the peer socket, the log and the operators.
+"""Connects the membership protocol to the event loop, the peer socket, the log and the report.
 
-The decisions are those of ``larchhaven.membership``. Here its timers become deadlines of the loop,
-its messages datagrams that prove their origin, and its changes log lines. A turn of the loop
-handles ``MAX_DATAGRAMS_PER_TURN`` datagrams at most, so that peers never keep clients waiting; how
-many are sent a second is bounded by the protocol.
+The protocol itself is in ``larchhaven.membership``. This module runs its timers on the event loop,
+sends its messages as authenticated datagrams, and logs its membership changes. One iteration of the
+loop handles at most ``MAX_DATAGRAMS_PER_ITERATION`` datagrams, so that peers never delay clients.
+The protocol limits how many datagrams are sent per second.
 """
 
 from __future__ import annotations
@@ -24,23 +24,23 @@
 from larchhaven.net.control.membership_report import MemberReport, MembershipReport
 from larchhaven.net.core.event_loop import EventLoop, TimerHandle, unix_offset_us
 
-# The version of the protocol that this program speaks.
+# Version of the membership protocol that this program implements.
 PROTOCOL_VERSION = 1
-# Datagrams handled in one turn of the loop, and kept for later ones; beyond, they are dropped.
-MAX_DATAGRAMS_PER_TURN = 16
+# Datagrams handled in one loop iteration, and queued for later ones; any further ones are dropped.
+MAX_DATAGRAMS_PER_ITERATION = 16
 MAX_QUEUED_DATAGRAMS = 256
-# The partition status depends on time as well as on the view.
+# The partition status depends on the time as well as on the view, so it is updated periodically.
 STATUS_INTERVAL_US = 1_000_000
-# The begin of 2025: incarnations have 30 bits and begin with the seconds since.
+# Start of 2025. Incarnations have 30 bits and begin with the number of seconds since then.
 INCARNATION_EPOCH_UNIX_S = 1_735_689_600
 
 _US_PER_S = 1_000_000
 _UINT32_MASK = 0xFFFF_FFFF
 _SESSION_ID_BITS = 32
 _REPORT_DECIMALS = 3
-# Datagrams dropped because ``MAX_QUEUED_DATAGRAMS`` waited; a key that operators read.
+# Counts datagrams dropped because ``MAX_QUEUED_DATAGRAMS`` were queued; operators read this key.
 _OVERFLOW_COUNTER = "dropped unread"
-# How operators read the capabilities.
+# Names of the capabilities in the report for operators.
 CAPABILITY_NAMES = {
     Capability.LOAD_REPORTS: "reports",
     Capability.REPLICAS: "copies",
@@ -50,26 +50,26 @@
 
 @dataclass(frozen=True, slots=True)
 class _QueuedDatagram:
-    """A datagram that waits for a turn of the loop."""
+    """A received datagram that has not been handled yet."""
 
     sender: int
     data: bytes
 
 
 class MembershipTransport:
-    """The membership of this proxy while it is enabled.
+    """Runs the membership protocol of this proxy while it is enabled.
 
     Args:
         loop: The event loop.
         own_number: This proxy's index in the peer table.
-        table_size: How many entries the peer table has.
-        info: What this proxy says of itself; its version and start are filled in.
-        keys: The keys that prove datagrams, the first one for the own ones.
-        send_datagram: Sends a datagram to a proxy by its number.
-        seed: For random numbers.
+        table_size: Number of entries in the peer table.
+        info: What this proxy announces about itself; protocol version and start are filled in.
+        keys: Keys that authenticate datagrams; the first one is used for outgoing datagrams.
+        send_datagram: Sends a datagram to the proxy with this number.
+        seed: Seed of the random number generator, combined with the start time.
 
     Attributes:
-        on_present_changed: Called with the proxies that are presumed present when that changes.
+        on_present_changed: Called with the proxies that are presumed present when this set changes.
     """
 
     def __init__(
@@ -108,7 +108,7 @@
         self._timer: TimerHandle | None = None
         self._timer_due_us = 0
         self._is_stopped = False
-        self._update_status_regularly()
+        self._update_status_periodically()
         self._schedule_timer()
 
     @property
@@ -118,13 +118,13 @@
 
     @property
     def status(self) -> PartitionStatus:
-        """How many members are present, and which side of a partition this is."""
+        """The number of present members, and the partition side of this proxy."""
         return self._status
 
     # Datagrams and timers
 
     def handle_datagram(self, sender: int, data: bytes) -> None:
-        """Queue a datagram of the membership for this turn of the loop or a later one."""
+        """Queue a membership datagram for this iteration of the loop or a later one."""
         if self._is_stopped:
             return
         if len(self._queue) >= MAX_QUEUED_DATAGRAMS:
@@ -135,13 +135,13 @@
             self._loop.call_later(0, self._handle_queue)
 
     def _handle_queue(self) -> None:
-        for _ in range(min(MAX_DATAGRAMS_PER_TURN, len(self._queue))):
+        for _ in range(min(MAX_DATAGRAMS_PER_ITERATION, len(self._queue))):
             datagram = self._queue.popleft()
             message = self._authenticator.open(datagram.data, datagram.sender)
             if message is not None and not self._is_stopped:
                 self._execute(self._membership.receive(self._loop.now_us, message))
         if self._queue:
-            # Not before the next turn of the loop: clients come between.
+            # Wait for the next iteration of the loop, so that clients are served in between.
             self._loop.call_later(1, self._handle_queue)
 
     def _run_timers(self) -> None:
@@ -173,10 +173,10 @@
         self._timer_due_us = due_us
         self._timer = self._loop.call_later(max(due_us - self._loop.now_us, 0), self._run_timers)
 
-    def _update_status_regularly(self) -> None:
+    def _update_status_periodically(self) -> None:
         if not self._is_stopped:
             self._update_status()
-            self._loop.call_later(STATUS_INTERVAL_US, self._update_status_regularly)
+            self._loop.call_later(STATUS_INTERVAL_US, self._update_status_periodically)
 
     def _update_status(self) -> None:
         self._status = self._partition_tracker.update(self._loop.now_us, self.view)
@@ -185,39 +185,39 @@
             self._present = present
             self.on_present_changed(present)
 
-    # Keys, hot restart and stop
+    # Keys, hot restart and shutdown
 
     def set_keys(self, keys: Sequence[bytes]) -> None:
-        """Replace the keys that prove datagrams."""
+        """Replace the keys that authenticate datagrams."""
         self._authenticator.keys = tuple(keys)
 
     def announce_leave(self) -> None:
-        """Announce a planned stop; it is repeated until the process ends."""
+        """Announce the planned shutdown; the announcement is repeated until the process ends."""
         if not self._is_stopped:
             self._execute(self._membership.leave(self._loop.now_us))
 
     def hand_over(self) -> int:
-        """Stop, as the next process speaks for this proxy; return the last incarnation."""
+        """Stop, as the next process takes over; return the last incarnation."""
         self.stop()
         return self._membership.incarnation
 
     def take_over(self, previous_incarnation: int) -> None:
-        """Speak for a proxy whose previous process had this incarnation; 0 if there was none."""
+        """Continue after a previous process with this incarnation; 0 if there was none."""
         if previous_incarnation > 0 and not self._is_stopped:
             now_us = self._loop.now_us
             actions = self._membership.learn_previous_incarnation(now_us, previous_incarnation)
             self._execute(actions)
 
     def stop(self) -> None:
-        """Neither send nor handle datagrams any more."""
+        """Stop sending and handling datagrams."""
         self._is_stopped = True
         self._queue.clear()
         self._loop.cancel(self._timer)
 
-    # The operators' report
+    # Report for operators
 
     def report(self) -> MembershipReport:
-        """Return what operators read of the membership."""
+        """Return the membership report for operators."""
         membership, status = self._membership, self._status
         members = sorted(self.view.members.values(), key=lambda member: member.number)
         return MembershipReport(
--- a/larchhaven/net/control/peer_socket.py
+++ b/larchhaven/net/control/peer_socket.py
@@ -1,4 +1,4 @@
-"""Datagrams to and from the other proxies: they may arrive late or never."""
+"""Sends datagrams to the other proxies and receives theirs; any may be late or lost."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
     Args:
         loop: The event loop.
-        log: Where datagrams are reported that are not sent or are dropped.
-        own_address: Where to listen.
-        peers: Addresses of all proxies by their indexes, this one among them.
-        broadcast_address: Where a datagram reaches all other proxies; None to send to each.
-        on_datagram: Takes the index of the sender and the datagram.
-        is_shared: Whether the other process of a hot restart listens there too; the younger one
-            gets what arrives.
-        on_invalid_datagram: Is called for each datagram that is dropped.
+        log: Receives warnings about datagrams that are dropped or not sent.
+        own_address: Address to listen on.
+        peers: Addresses of all proxies by index, including this one.
+        broadcast_address: Address that reaches all other proxies; None to send to each of them.
+        on_datagram: Called with the index of the sender and the datagram.
+        is_shared: Whether the other process of a hot restart listens on the same address; the
+            newer process receives the datagrams.
+        on_invalid_datagram: Called for each datagram that is dropped.
     """
 
     def __init__(
@@ -56,7 +56,9 @@
     def send(self, peer_index: int | None, data: bytes) -> None:
         """Send a datagram to one peer, or to all if ``peer_index`` is None."""
         if len(data) > MAX_DATAGRAM_BYTES:
-            self._log.warning("datagram too long, not sent", f"{len(data)} bytes")
+            self._log.warning(
+                "datagram too long, not sent", f"{len(data)} bytes, limit {MAX_DATAGRAM_BYTES}"
+            )
             return
         for address in self._find_targets(peer_index):
             try:
@@ -76,12 +78,12 @@
     def _on_readable(self, _events: int) -> None:
         for _read in range(MAX_READS_PER_WAKEUP):
             try:
-                # One byte more, by which a datagram that is too long is seen.
+                # One byte more than allowed, to detect datagrams that are too long.
                 data, sender = self._sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 return
             except OSError:
-                continue  # a datagram sent before was refused by its target
+                continue  # an earlier datagram was refused by its receiver
             self._receive(data, sender)
 
     def _receive(self, data: bytes, sender: Address) -> None:
--- a/tests/net/control/test_membership_transport.py
+++ b/tests/net/control/test_membership_transport.py
@@ -1,4 +1,4 @@
-"""Membership on an event loop: the report, the log, datagrams per iteration, the switch."""
+"""Membership on an event loop: report, log, datagrams per iteration, hot restart and switch."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from larchhaven.net.control import membership_transport
 from larchhaven.net.control.membership_switch import MembershipSwitch, derive_key
 from larchhaven.net.control.membership_transport import (
-    MAX_DATAGRAMS_PER_TURN,
+    MAX_DATAGRAMS_PER_ITERATION,
     MAX_QUEUED_DATAGRAMS,
     MembershipTransport,
 )
@@ -31,33 +31,33 @@
 
 
 class ManualLoop:
-    """The deadlines of an event loop, on a clock that the test advances."""
+    """The timers of an event loop, on a clock that the test advances."""
 
     def __init__(self) -> None:
         self.now_us = SECOND_US
-        self._deadlines: list[tuple[int, int, TimerHandle]] = []
+        self._timers: list[tuple[int, int, TimerHandle]] = []
         self._order = itertools.count()
 
     def call_later(self, delay_us: int, callback: Callable[[], None]) -> TimerHandle:
-        deadline = TimerHandle(self.now_us + delay_us, callback)
-        heapq.heappush(self._deadlines, (deadline.due_us, next(self._order), deadline))
-        return deadline
+        timer = TimerHandle(self.now_us + delay_us, callback)
+        heapq.heappush(self._timers, (timer.due_us, next(self._order), timer))
+        return timer
 
-    def cancel(self, deadline: TimerHandle | None) -> None:
-        if deadline is not None:
-            deadline.callback = None
+    def cancel(self, timer: TimerHandle | None) -> None:
+        if timer is not None:
+            timer.callback = None
 
     def run_until(self, until_us: int) -> None:
-        while self._deadlines and self._deadlines[0][0] <= until_us:
-            at_us, _, deadline = heapq.heappop(self._deadlines)
+        while self._timers and self._timers[0][0] <= until_us:
+            at_us, _, timer = heapq.heappop(self._timers)
             self.now_us = max(self.now_us, at_us)
-            if deadline.callback is not None:
-                deadline.callback()
+            if timer.callback is not None:
+                timer.callback()
         self.now_us = until_us
 
 
 class Fleet:
-    """Transports that send each other datagrams; those of cut-off ones are lost."""
+    """Transports that exchange datagrams; those to and from cut-off transports are lost."""
 
     def __init__(self, size: int, table_size: int) -> None:
         self.loop = ManualLoop()
@@ -124,7 +124,7 @@
     ]  # fmt: skip
 
 
-def test_silent_proxy_is_reported_dead_and_logged(
+def test_unreachable_proxy_is_reported_dead_and_logged(
     fleet: Fleet, caplog: pytest.LogCaptureFixture
 ) -> None:
     fleet.loop.run_until(15 * SECOND_US)
@@ -135,14 +135,14 @@
     assert [member["state"] for member in report["members"]] == ["alive", "alive", "dead"]
     assert sorted(report["members"][2]["by"]) == [0, 1]
     assert (report["here"], report["agreed"], report["part"]) == (2, 3, "majority")
-    assert fleet.present[0] == {0, 1, 3}  # no message of 3 was received: it may be about to start
+    assert fleet.present[0] == {0, 1, 3}  # 3 has sent nothing: it may be about to start
     line = "membership changed: dead: 2 (n2); 2 of 4 present; partition side: majority"
     lines = {record.getMessage(): record for record in caplog.records}
     assert vars(lines[line])["event"] == "members"
     assert vars(lines[line])["detail"] == line.removeprefix("membership changed: ")
 
 
-def test_changes_within_a_second_are_one_line(
+def test_changes_within_a_second_are_logged_in_one_line(
     fleet: Fleet, caplog: pytest.LogCaptureFixture
 ) -> None:
     with caplog.at_level(logging.INFO, "larchhaven"):
@@ -151,13 +151,13 @@
     assert [record.getMessage() for record in caplog.records] == [f"membership changed: {line}"] * 3
 
 
-def test_datagrams_beyond_the_queue_are_dropped_and_counted(fleet: Fleet) -> None:
+def test_datagrams_beyond_the_queue_limit_are_dropped_and_counted(fleet: Fleet) -> None:
     fleet.loop.run_until(5 * SECOND_US)
     transport = fleet.transports[0]
     for _ in range(MAX_QUEUED_DATAGRAMS + 3):
         transport.handle_datagram(1, b"M")
-    fleet.loop.run_until(fleet.loop.now_us)  # one turn
-    assert fleet.report(0)["refused"] == {"size": MAX_DATAGRAMS_PER_TURN}
+    fleet.loop.run_until(fleet.loop.now_us)  # one iteration
+    assert fleet.report(0)["refused"] == {"size": MAX_DATAGRAMS_PER_ITERATION}
     fleet.loop.run_until(6 * SECOND_US)
     report = fleet.report(0)
     assert report["counts"]["dropped unread"] == 3
@@ -179,7 +179,7 @@
     assert fleet.report(0)["members"][2]["incarnation"] == fleet.report(2)["incarnation"]
 
 
-def test_disabled_membership_says_why() -> None:
+def test_disabled_membership_reports_the_reason() -> None:
     switch = MembershipSwitch(
         cast("EventLoop", ManualLoop()), cast("Any", None), lambda proxy, data: None, False
     )
--- a/tests/net/control/test_peer_socket.py
+++ b/tests/net/control/test_peer_socket.py
@@ -19,43 +19,45 @@
 
 def test_datagrams_from_unknown_addresses_and_long_ones_are_counted_and_dropped() -> None:
     loop = EventLoop()
-    known, stranger = (socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(2))
-    known.bind(("127.0.0.1", 0))
-    own = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-    own.bind(("127.0.0.1", 0))
-    address = own.getsockname()
-    own.close()
+    peer_socket, foreign_socket = (
+        socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(2)
+    )
+    peer_socket.bind(("127.0.0.1", 0))
+    reserved_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+    reserved_socket.bind(("127.0.0.1", 0))
+    own_address = reserved_socket.getsockname()
+    reserved_socket.close()
     received: list[tuple[int, bytes]] = []
-    unknown_senders: list[None] = []
-    tier = [address, known.getsockname()]
+    dropped: list[None] = []
+    peers = [own_address, peer_socket.getsockname()]
     PeerSocket(
         loop,
         RateLimitedLog(loop),
-        address,
-        tier,
+        own_address,
+        peers,
         None,
         lambda peer, data: received.append((peer, data)),
         False,
-        lambda: unknown_senders.append(None),
+        lambda: dropped.append(None),
     )
     for _ in range(3):
-        stranger.sendto(PROXY_STARTED, address)
-    known.sendto(bytes(MAX_DATAGRAM_BYTES + 1), address)
-    # On loopback nothing overtakes what one socket sent before.
-    known.sendto(PROXY_STARTED, address)
+        foreign_socket.sendto(PROXY_STARTED, own_address)
+    peer_socket.sendto(bytes(MAX_DATAGRAM_BYTES + 1), own_address)
+    # Loopback preserves the order of datagrams from one socket.
+    peer_socket.sendto(PROXY_STARTED, own_address)
     for _ in range(200):
         loop.call_later(10_000, lambda: None)
         loop.run_once()
-        if received and len(unknown_senders) == 4:
+        if received and len(dropped) == 4:
             break
     assert received == [(1, PROXY_STARTED)]
-    assert len(unknown_senders) == 4
-    for sock in (known, stranger):
+    assert len(dropped) == 4
+    for sock in (peer_socket, foreign_socket):
         sock.close()
 
 
-def test_messages_of_each_kind_are_judged_by_their_size() -> None:
-    good = (
+def test_messages_of_each_kind_are_validated_by_their_size() -> None:
+    valid = (
         PROXY_STARTED,
         STICKY_ENTRY_QUERY + b"abcd",
         STICKY_ENTRIES + b"abcdef",
@@ -63,7 +65,7 @@
         b"R",
         b"R123",
     )
-    bad = (
+    invalid = (
         b"",
         PROXY_STARTED + b"x",
         STICKY_ENTRY_QUERY,
@@ -73,5 +75,5 @@
         LEARNED_STATE + bytes(56),
         b"x",
     )
-    assert all(is_peer_message(decode(data)) for data in good)
-    assert not any(is_peer_message(decode(data)) for data in bad)
+    assert all(is_peer_message(decode(data)) for data in valid)
+    assert not any(is_peer_message(decode(data)) for data in invalid)
