--- a/larchhaven/net/control/__init__.py
+++ b/larchhaven/net/control/__init__.py
@@ -1,1 +1,1 @@
-"""Between sockets and decisions: requests, endpoint discovery, peers."""
+"""Control plane between sockets and routing decisions: requests, endpoints, peers."""
--- a/larchhaven/net/control/arrival_gate.py
+++ b/larchhaven/net/control/arrival_gate.py
@@ -1,4 +1,4 @@
-"""Holds back arrivals until the first endpoint list of this process."""
+"""Holds back arriving requests until this process has received its first endpoint list."""
 
 from __future__ import annotations
 
@@ -9,28 +9,29 @@
 from larchhaven.routing.events import Event, RequestArrived
 from larchhaven.routing.settings import RoutingSettings
 
-# Of the shortest latency objective.
+# Maximum wait for the first endpoint list, as a fraction of the shortest latency objective.
 FIRST_LIST_WAIT_RATIO = 0.25
 
 
 def find_max_wait_us(settings: RoutingSettings) -> int:
-    """Return how long arrivals may wait for the first endpoint list."""
-    objective_us = min(each.latency_objective_us for each in settings.classes)
+    """Return how long arrivals may wait for the first endpoint list, in microseconds."""
+    objective_us = min(request_class.latency_objective_us for request_class in settings.classes)
     return int(FIRST_LIST_WAIT_RATIO * objective_us)
 
 
 class ArrivalGate:
-    """Passes arrivals on, or holds them back while it is closed.
+    """Passes arrivals on to the balancer, or holds them back while it is closed.
 
-    Where lists are pushed, a list counts as notified from the first moment of this process, and the
-    one that it was started with may be old: a server on it may have drained since.
+    If endpoint lists are pushed, this process counts as notified of the current list from the
+    moment it starts. The list that it was started with may be outdated: a server on it may have
+    started to drain since then.
 
     Args:
         loop: The event loop.
-        max_wait_us: How long arrivals are held back.
-        queue_event: Takes arrivals that are passed on.
-        find_remaining_budget_us: Returns the time that a request has left; None if its client
-            has left or is answered.
+        max_wait_us: Maximum time for which arrivals are held back, in microseconds.
+        queue_event: Called with each arrival that is passed on.
+        find_remaining_budget_us: Returns the time until the deadline of a request, in
+            microseconds; None if its client has disconnected or was answered.
     """
 
     def __init__(
@@ -48,12 +49,12 @@
         self._held: list[RequestArrived] = []
 
     def close(self) -> None:
-        """Hold arrivals back from now on; the time limit runs from the first iteration."""
+        """Hold back arrivals from now on; the time limit starts with the first loop iteration."""
         self._is_open = False
         self._loop.call_later(0, self._start_time_limit)
 
     def open(self) -> None:
-        """Pass on what was held back, and all that comes from now on."""
+        """Pass on the arrivals that were held back, and all later ones."""
         self._is_open = True
         held, self._held = self._held, []
         for arrival in held:
@@ -62,7 +63,7 @@
                 self._queue_event(replace(arrival, budget_us=budget_us))
 
     def admit(self, arrival: RequestArrived) -> None:
-        """Pass an arrival on, or hold it back."""
+        """Pass an arrival on, or hold it back while the gate is closed."""
         if self._is_open:
             self._queue_event(arrival)
         else:
--- a/larchhaven/net/control/attempt_runner.py
+++ b/larchhaven/net/control/attempt_runner.py
@@ -1,4 +1,4 @@
-"""Attempts of requests at servers: the decisions start and cancel them, and get their results."""
+"""Runs the attempts that the balancer starts or cancels, and reports their results to it."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 
 
 class RequestFinder(Protocol):
-    """The open requests, as far as attempts need them."""
+    """The part of the request table that attempts need."""
 
     def find_request(self, request_id: int) -> Request | None:
-        """Return an open request; None once it has ended."""
+        """Return an open request, or None if it has ended."""
 
     def answer_established(self, request: Request, observer: ConnectionObserver) -> None:
         """Connect a client to the server that has accepted its request."""
 
 
 class AttemptTransport(Protocol):
-    """By what attempts are started."""
+    """Starts attempts at servers."""
 
     @property
     def endpoints(self) -> EndpointAddresses:
@@ -47,12 +47,12 @@
     Args:
         loop: The event loop.
         requests: The open requests.
-        connections: Is notified of the connections that attempts become.
-        drain_guard: Says whether a server may still be sent something new.
+        connections: Observes the connections that result from attempts.
+        drain_guard: Tells whether a server may still be sent requests.
         metrics: Counts requests sent to servers.
-        queue_event: Takes events for the decisions.
-        is_attempt_allowed: Asks the decisions, by time and request id, whether the attempt under
-            way may still send its request.
+        queue_event: Queues events for the balancer.
+        is_attempt_allowed: Asks the balancer whether the running attempt may still send its
+            request, given the current time in microseconds and the request id.
     """
 
     def __init__(
@@ -75,13 +75,13 @@
         self._transport: AttemptTransport
 
     def attach_transport(self, transport: AttemptTransport) -> None:
-        """Set by what attempts are started."""
+        """Set the transport that starts attempts; call this before the first action."""
         self._transport = transport
 
     # Actions
 
     def start_attempt(self, action: StartAttempt) -> None:
-        """Start an attempt, unless the request has its answer or an attempt already."""
+        """Start an attempt, unless the request has been answered or has a running attempt."""
         request = self._requests.find_request(action.request_id)
         if request is None or request.state is not RequestState.WAITING:
             return
@@ -101,7 +101,7 @@
         )
 
     def cancel_attempt(self, action: CancelAttempt) -> None:
-        """Cancel an attempt, if it is still under way."""
+        """Cancel an attempt if it is still running."""
         request = self._requests.find_request(action.request_id)
         if request is None or request.state is not RequestState.ATTEMPTING:
             return
@@ -112,19 +112,23 @@
     # Progress
 
     def may_send_request(self, request_id: int) -> bool:
-        """Return whether the first byte may go out now, however long the connect took."""
+        """Return whether the first byte of a request may be sent now.
+
+        The connect may have taken long. Since it began, the client may have disconnected, or the
+        server may have started to drain.
+        """
         request = self._requests.find_request(request_id)
         if request is None:
             return False
         if request.client is not None:
             request.client.read_available()
             if request.state is RequestState.ENDED:
-                return False  # its client had just left
+                return False  # the client has disconnected
         can_send = self._drain_guard.may_send_to(request.server_id)
         return can_send and self._is_attempt_allowed(self._loop.now_us, request_id)
 
     def on_request_sent(self, _request_id: int) -> None:
-        """Count a request sent: from now on its server may have executed it."""
+        """Count a request as sent; from now on, its server may have executed it."""
         self._metrics.upstream_requests += 1
 
     def on_attempt_established(self, request_id: int) -> None:
@@ -141,7 +145,7 @@
     def on_attempt_failed(
         self, request_id: int, result: AttemptResult, report: LoadReport | None
     ) -> None:
-        """Take notice that the attempt ended without a connection."""
+        """Handle an attempt that ended without a connection."""
         request = self._requests.find_request(request_id)
         if request is not None and request.state is RequestState.ATTEMPTING:
             request.take_attempt()
--- a/larchhaven/net/control/connection_limits.py
+++ b/larchhaven/net/control/connection_limits.py
@@ -1,4 +1,4 @@
-"""Whether capacity is left for one more client: bytes by purpose, and descriptors."""
+"""Checks whether memory and file descriptors suffice for one more client."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from larchhaven.memory.purposes import MemoryPurpose
 from larchhaven.net.core.event_loop import EventLoop
 
-# So many clients may be rejected at a time; no admitted request may use their connections.
+# Connections reserved for clients that are being rejected; admitted requests must not use them.
 RESERVED_REJECTION_SLOTS = 8
-# Requests may use this part of the tables; the rest is for what grows between two samples.
+# Requests may use this share of the table memory; the rest covers growth between two samples.
 REQUEST_TABLES_RATIO = 0.9
-# The end of the client and that of its attempt.
+# One stream to the client and one to the server of its attempt.
 _STREAMS_PER_CLIENT = 2
 
 
 class _CapacityIndex(IntEnum):
-    """The position of each capacity in the sequence that is checked."""
+    """Position of each capacity in the tuple that admission checks."""
 
     CONNECTIONS = 0
     TABLES = 1
@@ -34,14 +34,16 @@
 
 
 class ConnectionLimits:
-    """The capacities that a client needs: the connection of its attempt, its request, descriptors.
+    """Limits the resources that a client needs.
+
+    These are memory for the connection of its attempt and for its request, and file descriptors.
 
     Attributes:
-        admission: The decision by priority weight.
-        max_descriptors: The descriptors that clients and their attempts may use together.
-        descriptor_rejections: Requests rejected and clients shed for want of descriptors.
-        evict_table_bytes: Called to evict cached entries of the tables, with how many bytes are
-            wanted.
+        admission: Admission control by priority weight.
+        max_descriptors: Maximum number of descriptors used by clients and their attempts together.
+        descriptor_rejections: Number of requests rejected and clients shed because the descriptors
+            were exhausted.
+        evict_table_bytes: Called with the number of bytes to free by evicting cached table entries.
     """
 
     def __init__(
@@ -56,8 +58,9 @@
         Args:
             loop: The event loop, which counts the descriptors in use.
             account: The memory account.
-            priority_weights: The priority weight of each request class, by its number.
-            max_descriptors: The descriptors that clients and their attempts may use together.
+            priority_weights: Priority weights of the request classes, by class index.
+            max_descriptors: Maximum number of descriptors used by clients and their attempts
+                together.
         """
         self._loop = loop
         self._account = account
@@ -67,14 +70,15 @@
         self.evict_table_bytes: Callable[[int], None] = lambda _: None
 
     def is_exhausted(self, awaiting_request: int, lingering: int) -> bool:
-        """Return whether no new client fits.
+        """Return whether there is no capacity for a new client.
 
-        Where caps were set below what is in use, a few are accepted all the same: else new clients
-        would wait for their rejection until established connections have ended.
+        If caps were set below the current usage, a few clients are accepted nevertheless.
+        Otherwise, new clients would wait for their rejection until established connections end.
 
         Args:
-            awaiting_request: Clients without a request line; each may yet need an attempt.
-            lingering: Clients in lingering close.
+            awaiting_request: Number of clients whose request line has not arrived; each may still
+                need an attempt.
+            lingering: Number of clients in lingering close.
         """
         if self._loop.socket_count() + awaiting_request >= self.max_descriptors:
             return True
@@ -84,7 +88,7 @@
         return self._account.available_bytes(MemoryPurpose.CONNECTIONS) < needed_bytes
 
     def count_shed_client(self) -> None:
-        """Count a client that was shed, under the capacity that is used to the larger part."""
+        """Count a shed client under the capacity with the higher utilization."""
         connections = self._account.usage(MemoryPurpose.CONNECTIONS)
         sockets = self._loop.socket_count()
         if sockets * connections.cap_bytes >= connections.used_bytes * self.max_descriptors:
@@ -95,15 +99,18 @@
     def try_admit(
         self, request_class: int, size_bytes: int, sheddable: int, is_established: bool
     ) -> bool:
-        """Decide whether a request fits; a rejection is counted.
+        """Decide whether to admit a request, and count a rejection.
 
         Args:
-            request_class: The number of its class.
-            size_bytes: The size of its payload and id. The client's own connection is charged
-                already.
-            sheddable: Clients that can be shed, whose capacity counts as free.
-            is_established: Whether its connection was established before, here or at another
-                proxy: it may use the reserve, whatever its class.
+            request_class: Index of the request class.
+            size_bytes: Size of the payload and the identity. The client's own connection is
+                already charged.
+            sheddable: Number of clients that can be shed; their capacity counts as free.
+            is_established: Whether the connection was established before, here or at another
+                proxy. If so, the request may use the reserve, whatever its class.
+
+        Returns:
+            True if the request is admitted.
         """
         tables_bytes = int(REQUEST_TABLES_RATIO * self._account.cap_bytes(MemoryPurpose.TABLES))
         self._evict_for(REQUEST_BYTES + size_bytes, tables_bytes)
--- a/larchhaven/net/control/dispatcher.py
+++ b/larchhaven/net/control/dispatcher.py
@@ -1,7 +1,7 @@
-"""Between transports and decisions: events go to the balancer, and its actions are carried out.
+"""Passes events to the balancer and executes the actions that it returns.
 
-Nothing here knows a protocol: clients, servers, health checks, the endpoint list and the other
-proxies are reached through ``larchhaven.net.control.interfaces``.
+This module is independent of the protocol. It accesses clients, servers, health checks, the
+endpoint list and the other proxies through ``larchhaven.net.control.interfaces``.
 """
 
 from __future__ import annotations
@@ -50,20 +50,20 @@
 
 
 class Dispatcher:
-    """Owns the balancer and what its events come from and its actions go to.
+    """Connects the balancer to the sources of its events and the executors of its actions.
 
     Args:
         loop: The event loop.
-        log: Takes the decisions' lines for the operators.
-        settings: The settings of the decisions.
-        seed: Seed of their random draws.
-        metrics: Counts what happens.
-        account: Is charged for requests; None for no limit.
+        log: Receives log messages of the balancer and of the request table.
+        settings: The routing settings.
+        seed: Seed of the balancer's random number generator.
+        metrics: Metrics to update.
+        account: Memory account that is charged for requests; None for no limit.
 
     Attributes:
         requests: The open requests.
-        attempts: Their attempts at servers.
-        connections: Their established connections.
+        attempts: The attempts of these requests at servers.
+        connections: The established connections.
     """
 
     def __init__(
@@ -103,7 +103,7 @@
     def _create_shared_health_checks(
         self, settings: RoutingSettings, metrics: Metrics
     ) -> SharedHealthCheckScheduler | None:
-        """Return the scheduler of shared health checks; None where each proxy checks by itself."""
+        """Return the scheduler of shared health checks; None if each proxy runs its own checks."""
         if not uses_shared_checks(settings):
             return None
         return SharedHealthCheckScheduler(
@@ -111,7 +111,7 @@
         )
 
     def _map_handlers(self) -> dict[type, Callable[[Any], None]]:
-        """Return what carries out the actions, by their types."""
+        """Return the method that executes each type of action."""
         checks = self._shared_health_checks or self._health_checks
         return {
             StartAttempt: self.attempts.start_attempt,
@@ -129,63 +129,63 @@
         }
 
     def attach_transport(self, transport: Transport) -> None:
-        """Set by what actions are carried out; to be called before the first event."""
+        """Set the transport that executes actions; call this before the first event."""
         self._transport = transport
         self.requests.attach_identity_exchange(transport)
         self.attempts.attach_transport(transport)
         self._health_checks.attach_transport(transport)
         self._drain_guard.attach_endpoints(transport.endpoints)
 
-    # State of the decisions
+    # State of the balancer
 
     def count_unavailable_servers(self) -> int:
-        """Return the number of listed servers that get nothing new at present."""
+        """Return the number of listed servers that currently receive no new requests."""
         return self._balancer.count_unavailable_servers(self._loop.now_us)
 
     def count_sticky_entries(self) -> int:
-        """Return the number of connections whose server is remembered."""
+        """Return the number of entries in the sticky table."""
         return len(self._balancer.sticky_table)
 
     def evict_sticky_entries(self, count: int) -> None:
-        """Forget the oldest sticky entries: their connections may reach another server mid-flow."""
+        """Evict the oldest sticky entries; their connections may reach another server mid-flow."""
         self._balancer.sticky_table.forget_oldest(count)
 
     # Events
 
     def queue_event(self, event: Event) -> None:
-        """Pass an event to the decisions at the end of this iteration of the event loop."""
+        """Queue an event for the balancer until the end of this event loop iteration."""
         self._events.append(event)
 
     def receive_endpoint_list(self, update: EndpointListUpdate) -> None:
-        """Take a watch event, or that the watch failed; requests need not wait for one any more."""
+        """Queue an endpoint list or a watch failure, and pass on the requests held back for it."""
         self._events.append(update)
         self._arrival_gate.open()
 
     def wait_for_endpoint_list(self) -> None:
-        """Hold back requests until an endpoint list is received, as long as they can wait."""
+        """Hold back requests until an endpoint list arrives or they cannot wait any longer."""
         self._arrival_gate.close()
 
     def on_process_resumed(self) -> None:
-        """Decide nothing until what arrived during a process pause is read."""
+        """Hold back events until all input that arrived during a process pause has been read."""
         self._events.gather_after_pause()
 
     def set_administrative_ejection(self, server_id: str, is_ejected: bool) -> None:
-        """Take a server out for operators, or let it serve again."""
+        """Eject a server at the request of operators, or revoke the ejection."""
         self._drain_guard.set_ejection(server_id, is_ejected)
         self._events.append(AdministrativeEjection(server_id, is_ejected))
 
     def set_live_peers(self, proxies: frozenset[int]) -> None:
-        """Count on these proxies only; the others are known to be gone."""
+        """Set which proxies are live; all others count as gone."""
         if self._shared_health_checks is not None:
             self._shared_health_checks.set_live_peers(proxies)
         self._events.append(LivePeersChanged(proxies))
 
     def forget_server(self, server_id: str) -> None:
-        """Forget what is kept here of a removed server; the decisions do so by themselves."""
+        """Drop the state kept here for a removed server; the balancer drops its own."""
         self.connections.forget_server(server_id)
 
     def dispatch_events(self) -> None:
-        """Pass the events on to the decisions, and carry out the actions that follow."""
+        """Pass the queued events to the balancer, and execute the actions that it returns."""
         if not self._events.pending:
             return
         events = self._events.take_events()
@@ -196,7 +196,7 @@
         for action in self._balancer.handle(self._loop.now_us, events):
             self._handlers[type(action)](action)
         if self._events.pending:
-            # Some actions end at once; their events must not wait for a socket.
+            # Some actions complete immediately; their events must not wait for socket activity.
             self._loop.skip_next_wait()
 
     def _find_remaining_budget_us(self, request_id: int) -> int | None:
@@ -221,4 +221,4 @@
         self._transport.close_idle_connections(action.server_id)
 
     def _log_message(self, action: LogMessage) -> None:
-        self._log.warning("decisions", action.text)
+        self._log.warning("balancer", action.text)
--- a/larchhaven/net/control/drain_guard.py
+++ b/larchhaven/net/control/drain_guard.py
@@ -1,40 +1,40 @@
-"""Whether a server may still be sent something new, checked when the bytes are to go out."""
+"""Checks, right before bytes are sent, whether a server may still receive requests."""
 
 from __future__ import annotations
 
 from larchhaven.net.control.interfaces import EndpointAddresses
 from larchhaven.net.core.event_loop import EventLoop
 
-# A draining server is left alone a little before its grace ends: bytes need time to get there.
+# Sending ends this long before the drain grace does, as bytes need time to reach the server.
 DRAIN_GRACE_MARGIN_US = 150_000
 
 
 class DrainGuard:
-    """Since when servers are draining or administratively ejected.
+    """Tracks since when servers have been draining or administratively ejected.
 
-    The decisions choose a server while it may be used; the endpoint list can change while the
-    connection to it is being made.
+    The balancer chooses a server that is in use at that time. The endpoint list can change while
+    the connection to the server is being established.
     """
 
     def __init__(self, loop: EventLoop, drain_grace_us: int) -> None:
         self._loop = loop
-        self._max_age_us = drain_grace_us - DRAIN_GRACE_MARGIN_US
+        self._send_window_us = drain_grace_us - DRAIN_GRACE_MARGIN_US
         self._ejected_at_us: dict[str, int] = {}
         self._endpoints: EndpointAddresses
 
     def attach_endpoints(self, endpoints: EndpointAddresses) -> None:
-        """Set where to find since when a server is draining."""
+        """Set the directory that returns since when a server has been draining."""
         self._endpoints = endpoints
 
     def set_ejection(self, server_id: str, is_ejected: bool) -> None:
-        """Take notice that operators took a server out, or let it serve again."""
+        """Record that operators ejected a server, or revoked its ejection."""
         if is_ejected:
             self._ejected_at_us.setdefault(server_id, self._loop.now_us)
         else:
             self._ejected_at_us.pop(server_id, None)
 
     def may_send_to(self, server_id: str) -> bool:
-        """Return whether the server is in use, or its grace is not over yet."""
+        """Return whether the server is in use, or its drain grace has not ended yet."""
         drained_at_us = self._endpoints.drain_notified_at_us(server_id)
         if drained_at_us is not None and not self._is_within_grace(drained_at_us):
             return False
@@ -42,4 +42,4 @@
         return ejected_at_us is None or self._is_within_grace(ejected_at_us)
 
     def _is_within_grace(self, since_us: int) -> bool:
-        return self._loop.now_us < since_us + self._max_age_us
+        return self._loop.now_us < since_us + self._send_window_us
--- a/larchhaven/net/control/established_connections.py
+++ b/larchhaven/net/control/established_connections.py
@@ -1,4 +1,4 @@
-"""Established connections: what they report, their migration, and their way between processes."""
+"""Established connections: events, migration, and transfer between processes."""
 
 from __future__ import annotations
 
@@ -24,29 +24,29 @@
 
 
 class ConnectionRequests(Protocol):
-    """The open requests, as far as established connections need them."""
+    """The part of the request table that established connections need."""
 
     def find_request(self, request_id: int) -> Request | None:
-        """Return an open request; None once it has ended."""
+        """Return an open request, or None if it has ended."""
 
     def list_established(self) -> list[Request]:
         """Return the requests whose connections are established."""
 
     def add_request(self, request: Request) -> int:
-        """Enter a request; return its id."""
+        """Add a request; return its id."""
 
     def remove_request(self, request_id: int) -> Request | None:
-        """End a request; return it, or None if it had ended before."""
+        """Remove a request; return it, or None if it had already ended."""
 
 
 class EstablishedConnections:
-    """The connections between clients and servers, by the ids of their requests.
+    """Manages the connections between clients and servers, identified by their request ids.
 
     Args:
         loop: The event loop.
-        requests: The open requests, which the connections belong to.
-        delay_filter: Says which delays are worth an event.
-        queue_event: Takes events for the decisions.
+        requests: The open requests, including those of established connections.
+        delay_filter: Selects the message delays to report as events.
+        queue_event: Queues events for the balancer.
     """
 
     def __init__(
@@ -64,7 +64,7 @@
     # Reports
 
     def on_load_changed(self, request_id: int, load: float) -> None:
-        """Take notice of a connection's new load, in cores."""
+        """Report the new load of a connection, in cores."""
         request = self._requests.find_request(request_id)
         if request is not None:
             request.load = load
@@ -73,7 +73,7 @@
             )
 
     def on_message_answered(self, request_id: int, delay_us: int) -> None:
-        """Take notice of how long a server took for an answer."""
+        """Report how long a server took to answer, if the filter selects this delay."""
         request = self._requests.find_request(request_id)
         if request is None:
             return
@@ -85,11 +85,11 @@
             )
 
     def on_message_waiting(self, request_id: int, age_us: int) -> None:
-        """Take notice of how long the oldest message has gone unanswered."""
+        """Report the age of the oldest unanswered message, if the filter selects this delay."""
         self.on_message_answered(request_id, age_us)
 
     def on_server_unresponsive(self, request_id: int, age_us: int) -> None:
-        """Take notice that a message is unanswered for so long that the connection is to move."""
+        """Report a message unanswered for so long that the connection should be migrated."""
         request = self._requests.find_request(request_id)
         if request is not None:
             self._queue_event(
@@ -99,7 +99,7 @@
     def on_connection_ended(
         self, request_id: int, result: AttemptResult, report: LoadReport | None
     ) -> None:
-        """Take notice of how a connection ended."""
+        """Remove a connection that has ended, and report its result."""
         request = self._requests.remove_request(request_id)
         if request is not None:
             self._queue_connection_end(request, result, report)
@@ -129,7 +129,7 @@
         return self._requests.list_established()
 
     def release_connection(self, request_id: int) -> None:
-        """Let go of a connection that another process has taken over."""
+        """Remove a connection that another process has taken over."""
         request = self._requests.remove_request(request_id)
         if request is not None and request.connection is not None:
             request.connection.detach_sockets()
@@ -141,12 +141,12 @@
         server_id: str,
         connect: Callable[[int], EstablishedConnection],
     ) -> None:
-        """Take over a connection that another process had.
+        """Take over an established connection from another process.
 
         Args:
-            spec: What its client asked for, without the payload.
-            server_id: Its server.
-            connect: Makes the connection of its sockets, for a request of this id.
+            spec: Parameters of its request, without the payload.
+            server_id: Id of its server.
+            connect: Creates the connection from its sockets, given the request id.
         """
         now_us = self._loop.now_us
         request = Request(None, spec, now_us)
--- a/larchhaven/net/control/event_queue.py
+++ b/larchhaven/net/control/event_queue.py
@@ -1,4 +1,4 @@
-"""Events gathered until the decisions take them, once in an iteration of the event loop."""
+"""Queues events for the balancer, which takes them once per event loop iteration."""
 
 from __future__ import annotations
 
@@ -6,16 +6,17 @@
 from larchhaven.routing.events import EndpointListUpdate, Event, GossipReceived
 from larchhaven.routing.gossip_messages import SharedLoadReports
 
-# After a process pause: several iterations may be needed to read an endpoint list.
+# How long events are held back after a process pause. Reading an endpoint list can take several
+# iterations.
 RESUME_GATHER_US = 20_000
 
 
 def order_events_after_pause(events: list[Event]) -> list[Event]:
-    """Order what was gathered after a process pause by what may be relied on.
+    """Move endpoint lists to the front, and drop outdated load reports.
 
-    Endpoint lists count from when they were sent, so they come first: requests that arrived in the
-    same moment would else go to servers that have left meanwhile. Load reports of other proxies are
-    as old as the pause, and are dropped.
+    Endpoint lists count from the time when they were sent, so they come first. Otherwise, requests
+    that arrived at the same time would go to servers that have been removed meanwhile. Load reports
+    of other proxies are as old as the pause, so they are dropped.
     """
     lists: list[Event] = []
     others: list[Event] = []
@@ -32,29 +33,29 @@
 
 
 class EventQueue:
-    """Events in the order in which they happened.
+    """Holds events in the order in which they occurred.
 
     Attributes:
-        pending: The events that wait; only this class changes it.
+        pending: The queued events; only this class modifies the list.
     """
 
     def __init__(self, loop: EventLoop) -> None:
         self._loop = loop
         self.pending: list[Event] = []
-        self._gather_until_us = 0  # 0 unless the process was paused
+        self._gather_until_us = 0  # 0 unless events are held back
 
     def append(self, event: Event) -> None:
-        """Add an event, which is handed over at the end of this iteration."""
+        """Add an event; the balancer takes it at the end of this iteration."""
         self.pending.append(event)
 
     def gather_after_pause(self) -> None:
-        """Hold events back until all that arrived during a process pause has been read."""
+        """Hold back events until all input that arrived during a process pause has been read."""
         self._gather_until_us = self._loop.now_us + RESUME_GATHER_US
-        # Makes sure that there is an iteration then.
+        # Ensures that an iteration runs at that time.
         self._loop.call_later(RESUME_GATHER_US, lambda: None)
 
     def take_events(self) -> list[Event]:
-        """Return the events to be handed over now; they leave the queue."""
+        """Remove and return the events that are due; none while they are held back."""
         if self._loop.now_us < self._gather_until_us:
             return []
         events, self.pending = self.pending, []
--- a/larchhaven/net/control/health_checks.py
+++ b/larchhaven/net/control/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks that the decisions ask for, and those that the proxies share among themselves."""
+"""Starts the health checks that the balancer requests, and those shared among the proxies."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class HealthCheckTransport(Protocol):
-    """By what health checks are started."""
+    """Starts health checks of servers."""
 
     @property
     def endpoints(self) -> EndpointAddresses:
@@ -33,10 +33,10 @@
 
 
 class HealthCheckStarter:
-    """Starts health checks.
+    """Starts health checks of listed servers.
 
     Args:
-        queue_event: Takes events for the decisions.
+        queue_event: Queues events for the balancer.
     """
 
     def __init__(self, queue_event: Callable[[Event], None]) -> None:
@@ -44,11 +44,11 @@
         self._transport: HealthCheckTransport
 
     def attach_transport(self, transport: HealthCheckTransport) -> None:
-        """Set by what health checks are started."""
+        """Set the transport that starts health checks; call this before the first check."""
         self._transport = transport
 
     def check_health(self, action: CheckHealth) -> None:
-        """Start a health check of a server; one that is not listed gets none."""
+        """Start a health check; for an unlisted server, report it as not sent."""
         address = self._transport.endpoints.find_address(action.server_id)
         if address is None:
             self.skip_check(action)
@@ -61,14 +61,14 @@
 
 
 class SharedHealthCheckScheduler:
-    """Runs this proxy's part of the shared health checks.
+    """Runs this proxy's share of the shared health checks.
 
     Args:
         loop: The event loop.
-        settings: The settings of the decisions.
-        metrics: Counts gossip that cannot be used.
+        settings: The routing settings.
+        metrics: Counts invalid entries in the gossip of peers.
         starter: Starts health checks.
-        send_gossip: Sends what they have found.
+        send_gossip: Sends the results of health checks to peers.
     """
 
     def __init__(
@@ -88,21 +88,22 @@
         self._timer: TimerHandle | None = None
 
     def set_live_peers(self, proxies: frozenset[int]) -> None:
-        """Share the checks among these proxies."""
+        """Distribute the checks among these proxies."""
         self._shared_checks.update_live_peers(self._loop.now_us, proxies)
 
     def check_health(self, action: CheckHealth) -> None:
-        """Start a health check that the decisions ask for, unless one is under way."""
+        """Start a health check that the balancer requests, unless one is already running."""
         if self._shared_checks.try_begin_check(action.server_id):
             self._starter.check_health(action)
         elif not self._shared_checks.is_ready(action.server_id):
             self._starter.skip_check(action)
 
     def process_events(self, events: list[Event]) -> list[Event]:
-        """Take notice of events.
+        """Update the shared health checks from events.
 
         Returns:
-            The events for the decisions, with load reports of other proxies as health checks.
+            The events for the balancer, with load reports of other proxies replaced by the health
+            check results that they contain.
         """
         processed: list[Event] = []
         for event in events:
@@ -110,20 +111,20 @@
                 processed += self._receive_load_reports(event.message)
             else:
                 processed.append(event)
-                self._notice_event(event)
+                self._process_event(event)
         self._update_timer()
         return processed
 
     def _receive_load_reports(self, message: SharedLoadReports) -> list[HealthCheckCompleted]:
-        unusable_before = self._shared_checks.invalid_entries
+        invalid_before = self._shared_checks.invalid_entries
         results = self._shared_checks.receive_reports(self._loop.now_us, message)
-        self._metrics.invalid_peer_messages += self._shared_checks.invalid_entries - unusable_before
+        self._metrics.invalid_peer_messages += self._shared_checks.invalid_entries - invalid_before
         return results
 
-    def _notice_event(self, event: Event) -> None:
+    def _process_event(self, event: Event) -> None:
         now_us = self._loop.now_us
         if isinstance(event, GossipReceived):
-            # The other process of a hot restart is no sign of life of a peer.
+            # A message from the other process of a hot restart does not prove contact with a peer.
             if event.sender_index != self._proxy_index:
                 self._shared_checks.record_contact(now_us)
         elif isinstance(event, EndpointListUpdate):
--- a/larchhaven/net/control/message_delay_filter.py
+++ b/larchhaven/net/control/message_delay_filter.py
@@ -1,4 +1,4 @@
-"""Which message delays are reported: slow ones at intervals, and the first fast one after."""
+"""Selects the message delays to report: slow ones at intervals, and the next fast one."""
 
 from __future__ import annotations
 
@@ -6,33 +6,34 @@
 
 from larchhaven.routing.settings import RoutingSettings
 
-# The shortest latency objective over this.
+# A message is slow if its delay exceeds the shortest latency objective divided by this.
 SLOW_MESSAGE_DIVISOR = 3
-# Slow messages of one server are reported at most this often.
+# Minimum time between two reports of slow messages of the same server.
 DELAY_REPORT_INTERVAL_US = 1_000_000
 
 
 def find_slow_threshold_us(settings: RoutingSettings) -> float:
-    """Return the delay beyond which a message is slow."""
+    """Return the delay above which a message is slow, in microseconds."""
     objectives_us = [
-        each.message_latency_objective_us or each.latency_objective_us for each in settings.classes
+        request_class.message_latency_objective_us or request_class.latency_objective_us
+        for request_class in settings.classes
     ]
     return min(objectives_us) / SLOW_MESSAGE_DIVISOR
 
 
 @dataclass(slots=True)
 class _LastReport:
-    """The latest delay reported of a server."""
+    """The latest delay report of a server."""
 
     reported_at_us: int
     is_slow: bool
 
 
 class MessageDelayFilter:
-    """The latest report of each server that had one.
+    """Selects the delays to report, given the latest report of each server.
 
     Args:
-        slow_threshold_us: A longer delay is slow.
+        slow_threshold_us: Delay above which a message is slow, in microseconds.
     """
 
     def __init__(self, slow_threshold_us: float) -> None:
@@ -40,7 +41,7 @@
         self._last_reports: dict[str, _LastReport] = {}
 
     def should_report(self, server_id: str, delay_us: int, now_us: int) -> bool:
-        """Return whether to report this delay; it counts as reported then."""
+        """Return whether to report this delay; if so, record it as reported."""
         is_slow = delay_us > self._slow_threshold_us
         last = self._last_reports.get(server_id)
         if last is None or not last.is_slow:
@@ -52,5 +53,5 @@
         return is_due
 
     def forget_server(self, server_id: str) -> None:
-        """Forget the report of a server that is removed."""
+        """Forget the latest report of a removed server."""
         self._last_reports.pop(server_id, None)
--- a/larchhaven/net/control/request.py
+++ b/larchhaven/net/control/request.py
@@ -1,4 +1,4 @@
-"""A client's request and its states, from its arrival to the end of its connection."""
+"""A client's request and its states, from arrival to the end of its connection."""
 
 from __future__ import annotations
 
@@ -15,62 +15,64 @@
 from larchhaven.net.core.event_loop import TimerHandle
 from larchhaven.routing.events import AttemptEnded, AttemptResult, LoadReport
 
-# Until it is in the table, and until its first attempt.
+# Values before a request is added to the table, and before its first attempt.
 NO_REQUEST_ID = -1
 NO_ATTEMPT_NUMBER = -1
 
 
 class RequestState(enum.Enum):
-    """How far a request has come.
+    """State of a request, with these transitions.
 
     ===========  ===========  ==================
-    State        Next         By
+    State        Next state   Method
     ===========  ===========  ==================
     WAITING      ATTEMPTING   ``begin_attempt``
     ATTEMPTING   WAITING      ``take_attempt``
     ATTEMPTING   ESTABLISHED  ``establish``
-    all          ENDED        ``end``
+    any          ENDED        ``end``
     ===========  ===========  ==================
     """
 
-    WAITING = "waiting"  # owed an answer
-    ATTEMPTING = "attempting"  # owed an answer, with an attempt under way
-    ESTABLISHED = "established"  # answered: its client is connected to a server
-    ENDED = "ended"  # answered without a connection, abandoned, or its connection has ended
+    WAITING = "waiting"  # the client waits for its answer; no attempt is running
+    ATTEMPTING = "attempting"  # the client waits for its answer; an attempt is running
+    ESTABLISHED = "established"  # answered; the client is connected to a server
+    ENDED = "ended"  # answered without a connection, abandoned, or connection ended
 
 
 class RequestStateError(LarchhavenError):
-    """A request was to leave a state that it is not in.
+    """An operation on a request requires another state than the request is in.
 
     Attributes:
-        request_id: The request.
-        actual: Its state.
-        expected: The state in which this may happen.
+        request_id: Id of the request.
+        actual: State of the request.
+        expected: State that the operation requires.
     """
 
     def __init__(self, request_id: int, actual: RequestState, expected: RequestState) -> None:
-        super().__init__(f"request {request_id} is {actual.value}, not {expected.value}")
+        super().__init__(
+            f"request {request_id} is in state {actual.value}, expected {expected.value}"
+        )
         self.request_id = request_id
         self.actual = actual
         self.expected = expected
 
 
 class Request:
-    """A request, and the connection that it becomes.
+    """A request, and the connection that is established for it.
 
     Attributes:
-        request_id: Its number in the request table.
-        state: How far it has come.
-        client: Its client while that is owed an answer; None after.
-        spec: What it asks for; its payload is dropped once the connection is established.
-        load: Load of its connection, in cores.
-        deadline_us: When it is to have its answer, by the clock of the event loop.
-        deadline_timer: Fails it a little after its deadline.
-        attempt_number: Number of its latest attempt, from 0.
-        server_id: Server of that attempt.
-        attempt_started_us: When that attempt started.
-        connection: Its connection, once established.
-        charged_bytes: Memory that the account is charged with for it.
+        request_id: Id in the request table.
+        state: State of the request.
+        client: The client while it waits for its answer; None afterwards.
+        spec: Parameters of the request; the payload is dropped once the connection is established.
+        load: Load of the connection, in cores; None if unknown.
+        deadline_us: When the answer is due, by the clock of the event loop.
+        deadline_timer: Fails the request shortly after its deadline.
+        attempt_number: Number of the latest attempt, starting from 0.
+        server_id: Server of the latest attempt.
+        attempt_started_us: When the latest attempt started, by the clock of the event loop.
+        connection: The connection; None until it is established.
+        charged_bytes: Memory charged to the account for this request.
     """
 
     __slots__ = (
@@ -92,7 +94,7 @@
     def __init__(
         self, client: ClientConnection | None, spec: RequestSpec, deadline_us: int
     ) -> None:
-        """Create a request that waits for its answer, or without a client an established one."""
+        """Create a request that waits for its answer, or an established one if client is None."""
         self.request_id = NO_REQUEST_ID
         self.state = RequestState.ESTABLISHED if client is None else RequestState.WAITING
         self.client = client
@@ -108,24 +110,24 @@
         self.charged_bytes = REQUEST_BYTES + len(spec.payload) + len(spec.identity)
 
     def is_pending(self) -> bool:
-        """Return whether its client is owed an answer."""
+        """Return whether the client still waits for its answer."""
         return self.client is not None
 
     def assign_server(self, server_id: str, now_us: int) -> None:
-        """Count an attempt at a server, whether or not it can begin."""
+        """Count an attempt at a server, whether or not it can be started."""
         self._require_state(RequestState.WAITING)
         self.attempt_number += 1
         self.server_id = server_id
         self.attempt_started_us = now_us
 
     def begin_attempt(self, attempt: UpstreamAttempt) -> None:
-        """Take notice that an attempt is under way."""
+        """Record that an attempt has started."""
         self._require_state(RequestState.WAITING)
         self._attempt = attempt
         self.state = RequestState.ATTEMPTING
 
     def take_attempt(self) -> UpstreamAttempt:
-        """Return the attempt under way, which is over: the request waits for the next one."""
+        """Remove and return the running attempt; the request waits for the next one."""
         self._require_state(RequestState.ATTEMPTING)
         attempt, self._attempt = self._attempt, None
         assert attempt is not None
@@ -133,20 +135,20 @@
         return attempt
 
     def establish(self) -> tuple[ClientConnection, UpstreamAttempt]:
-        """Return the client and the attempt that are to be connected."""
+        """Mark the request as established; return the client and the attempt to connect."""
         attempt = self.take_attempt()
         client = self.take_client()
         self.state = RequestState.ESTABLISHED
         return client, attempt
 
     def take_client(self) -> ClientConnection:
-        """Return the client, which gets its one final answer now or has left."""
+        """Remove and return the client, which is answered now or has disconnected."""
         client, self.client = self.client, None
         assert client is not None
         return client
 
     def end(self) -> None:
-        """Take notice that it has left the table."""
+        """Mark the request as ended, when it is removed from the table."""
         self.state = RequestState.ENDED
 
     def report_attempt_end(
@@ -157,7 +159,7 @@
         is_final: bool,
         report: LoadReport | None = None,
     ) -> AttemptEnded:
-        """Return the event for the end of the latest attempt, or of the connection it became."""
+        """Return the event for the end of the latest attempt, or of its connection."""
         latency_us = now_us - self.attempt_started_us
         return AttemptEnded(
             self.request_id,
--- a/larchhaven/net/control/request_spec.py
+++ b/larchhaven/net/control/request_spec.py
@@ -1,4 +1,4 @@
-"""What a client asks for, whatever its protocol."""
+"""Parameters of a client's request, independent of its protocol."""
 
 from __future__ import annotations
 
@@ -7,23 +7,23 @@
 
 @dataclass(slots=True)
 class RequestSpec:
-    """What a client asks for.
+    """Parameters of a client's request.
 
-    It stays as it is, but for the payload, which is dropped once a server has accepted the request.
+    Only the payload changes: it is dropped once a server has accepted the request.
 
     Attributes:
-        payload: What servers get to see, in the form of its protocol.
-        class_index: Its class, by index into the settings.
-        budget_us: Time that it may wait for its answer; None for the deadline of its class.
-        identity: Its id, which no other open request has; empty where a protocol has none.
-        affinity_key: Key of its connection, by which it is found again mid-flow.
+        payload: What is sent to the server, encoded in the client's protocol.
+        class_index: Index of the request class in the settings.
+        budget_us: Maximum time to the answer, in microseconds; None for the deadline of the class.
+        identity: Id that is unique among open requests; empty if the protocol has none.
+        affinity_key: Key of the connection, by which its server is found again mid-flow.
         affinity_group: Group of connections that share state on a server.
-        load: Expected load of its connection, in cores.
-        is_retry: Whether its client has tried before.
-        is_reconnect: Whether its client was connected before.
-        is_mid_flow: Whether its connection is to go on where it was.
-        pinned_server_id: The server that holds it already; no other will do.
-        tenant_index: Its tenant, by index into the settings; past the last for none.
+        load: Expected load of the connection, in cores.
+        is_retry: Whether the client has sent this request before.
+        is_reconnect: Whether the client was connected before.
+        is_mid_flow: Whether the connection continues an earlier one mid-flow.
+        pinned_server_id: Server that already holds the connection; no other server can be used.
+        tenant_index: Index of the tenant in the settings; past the last index if there is none.
     """
 
     payload: bytes
--- a/larchhaven/net/control/request_table.py
+++ b/larchhaven/net/control/request_table.py
@@ -1,4 +1,4 @@
-"""All open requests: each gets one final answer, and is charged for until it ends."""
+"""Table of the open requests; each gets one final answer, and uses memory until it ends."""
 
 from __future__ import annotations
 
@@ -21,24 +21,26 @@
 
 
 class RequestTable:
-    """The open requests, by their ids.
+    """The open requests, by id.
 
-    A request enters by ``add_request`` and leaves by ``remove_request``, whatever ends it. Its
-    client gets its answer from ``answer_rejected``, ``answer_failed`` or ``answer_established`` at
-    the word of the decisions, or fails at its deadline or for a breach of its protocol.
+    A request is added by ``add_request``, and removed by ``remove_request`` however it ends. The
+    balancer has its client answered by ``answer_rejected``, ``answer_failed`` or
+    ``answer_established``. Otherwise, the request fails at its deadline, or because its client
+    violates the protocol.
 
     Args:
         loop: The event loop.
-        log: Where requests are reported that the decisions did not answer in time.
-        settings: The settings of the decisions.
+        log: Receives warnings about requests that the balancer did not answer in time.
+        settings: The routing settings.
         metrics: Counts requests and their outcomes.
-        account: Is charged for them.
-        queue_event: Takes events for the decisions.
-        admit_arrival: Takes arrivals for them, which may have to wait.
+        account: Memory account that is charged for requests.
+        queue_event: Queues events for the balancer.
+        admit_arrival: Passes arrivals to the balancer, possibly after holding them back.
 
     Attributes:
-        find_request: Returns the open request of an id; None once it has ended.
-        last_arrival_us: When the latest request arrived; 0 before the first.
+        find_request: Returns the open request with this id, or None if it has ended.
+        last_arrival_us: When the latest request arrived, by the clock of the event loop; 0 before
+            the first one.
     """
 
     def __init__(
@@ -60,18 +62,18 @@
         self._queue_event = queue_event
         self._admit_arrival = admit_arrival
         self._requests: SlotTable[Request] = SlotTable()
-        # Bound here, without a method between: it is called for each message of a connection.
+        # Bound directly to save a method call, as it is called for each message of a connection.
         self.find_request = self._requests.get
         self._identities = OpenIdentities()
-        # Set once this process is to end: every request has its answer by then.
+        # Set at shutdown: every request must be answered by this time.
         self._answer_deadline_us: int | None = None
         self.last_arrival_us = 0
 
     def attach_identity_exchange(self, exchange: IdentityExchange) -> None:
-        """Set where identities of requests are announced."""
+        """Set the exchange that announces request identities to the other process."""
         self._identities.attach_exchange(exchange)
 
-    # Entries
+    # Table entries
 
     def count_requests(self) -> int:
         """Return the number of open requests, established connections included."""
@@ -90,14 +92,14 @@
         ]
 
     def find_remaining_budget_us(self, request_id: int) -> int | None:
-        """Return the time to the deadline of a request; None unless it is owed an answer."""
+        """Return the time to a request's deadline; None if its client waits for no answer."""
         request = self.find_request(request_id)
         if request is None or not request.is_pending():
             return None
         return max(request.deadline_us - self._loop.now_us, 0)
 
     def add_request(self, request: Request) -> int:
-        """Enter a request; return its id."""
+        """Add a request; return its id."""
         request_id = request.request_id = self._requests.add(request)
         self._account.charge(MemoryPurpose.TABLES, request.charged_bytes)
         self._metrics.active_requests += 1
@@ -105,7 +107,7 @@
         return request_id
 
     def remove_request(self, request_id: int) -> Request | None:
-        """End a request, whatever its state; return it, or None if it had ended before."""
+        """Remove a request in any state; return it, or None if it had already ended."""
         request = self._requests.remove(request_id)
         if request is None:
             return None
@@ -119,11 +121,11 @@
     # Clients
 
     def detect_duplicate_identity(self, spec: RequestSpec) -> bool:
-        """Return whether another open request has this identity, and count a failure if so.
+        """Return whether another open request has this identity; count a failure if so.
 
-        A server would reject the second one, at the price of a connection, and look faulty. A
-        connection that comes back mid-flow, or was established before, may meet what is left of
-        itself.
+        A server would reject the duplicate, which would cost a connection and make the server look
+        faulty. A connection that continues mid-flow, or was established before, is not a duplicate:
+        the open request may be what remains of its earlier connection.
         """
         is_open = self._identities.is_open(spec.identity)
         is_duplicate = is_open and not spec.is_mid_flow and spec.pinned_server_id is None
@@ -131,7 +133,7 @@
         return is_duplicate
 
     def accept_request(self, client: ClientConnection, spec: RequestSpec) -> int:
-        """Take a request over, which gets one final answer; return its id."""
+        """Accept a request, which gets exactly one final answer; return its id."""
         now_us = self._loop.now_us
         self.last_arrival_us = now_us
         budget_us = spec.budget_us
@@ -159,22 +161,22 @@
         return request_id
 
     def reject_request(self, client: ClientConnection, spec: RequestSpec) -> None:
-        """Reject a request for which there is no capacity; the decisions do not see it."""
+        """Reject a request for which there is no capacity, without involving the balancer."""
         self._outcomes[spec.class_index].rejected += 1
         client.send_rejection(self._settings.max_retry_after_us)
 
     def on_client_disconnected(self, request_id: int) -> None:
-        """Take notice that a client has left while it waited."""
+        """End the request of a client that disconnected while it waited for its answer."""
         request = self.find_request(request_id)
         if request is not None and request.is_pending():
             self._queue_event(ClientDisconnected(request_id))
             self._end_pending(request)
 
     def fail_request(self, request_id: int) -> bool:
-        """Fail a request without the decisions, which take its client for disconnected.
+        """Fail a request without asking the balancer; it is told that the client disconnected.
 
         Returns:
-            False if it had its answer already.
+            False if the request was already answered.
         """
         request = self.find_request(request_id)
         if request is None or not request.is_pending():
@@ -188,7 +190,7 @@
     # Deadlines
 
     def set_answer_deadline(self, deadline_us: int) -> None:
-        """Answer every request by this time, which may be now, as this process is to end."""
+        """Limit the deadlines of all requests at shutdown; the limit may be the current time."""
         self._answer_deadline_us = deadline_us
         for _request_id, request in list(self._requests.items()):
             if request.is_pending() and request.deadline_us > deadline_us:
@@ -197,7 +199,7 @@
                 self._start_deadline_timer(request, deadline_us - self._loop.now_us)
 
     def _start_deadline_timer(self, request: Request, delay_us: int) -> None:
-        """Make sure of an answer, should the decisions ever miss the deadline."""
+        """Ensure that the request is answered even if the balancer misses the deadline."""
         request.deadline_timer = self._loop.call_later(
             delay_us, partial(self._on_deadline, request.request_id)
         )
@@ -206,10 +208,10 @@
         if self.fail_request(request_id):
             self._log.warning("request failed at its deadline", f"request {request_id}")
 
-    # Final answers of the decisions
+    # Final answers from the balancer
 
     def answer_rejected(self, action: RejectRequest) -> None:
-        """Answer that a request is not served, and that a retry does no harm."""
+        """Answer that a request is rejected and safe to retry."""
         request = self.find_request(action.request_id)
         if request is None or not request.is_pending():
             return
@@ -241,7 +243,7 @@
         request.spec.drop_payload()
 
     def _end_pending(self, request: Request) -> ClientConnection:
-        """End a request that is owed an answer, and its attempt; return its client."""
+        """End a request whose client waits for an answer, and its attempt; return the client."""
         client = request.take_client()
         attempt = request.take_attempt() if request.state is RequestState.ATTEMPTING else None
         self.remove_request(request.request_id)
--- a/tests/net/control/test_drain_guard.py
+++ b/tests/net/control/test_drain_guard.py
@@ -6,11 +6,11 @@
 from larchhaven.net.core.event_loop import EventLoop
 
 GRACE_US = 1_000_000
-USABLE_US = GRACE_US - DRAIN_GRACE_MARGIN_US
+SEND_WINDOW_US = GRACE_US - DRAIN_GRACE_MARGIN_US
 
 
-class Endpoints:
-    """Plays the endpoint directory."""
+class FakeEndpoints:
+    """Fake endpoint directory."""
 
     def __init__(self) -> None:
         self.drained_at_us: int | None = None
@@ -22,26 +22,26 @@
         return self.drained_at_us
 
 
-def make_guard() -> tuple[EventLoop, Endpoints, DrainGuard]:
-    loop, endpoints = EventLoop(), Endpoints()
+def make_guard() -> tuple[EventLoop, FakeEndpoints, DrainGuard]:
+    loop, endpoints = EventLoop(), FakeEndpoints()
     guard = DrainGuard(loop, GRACE_US)
     guard.attach_endpoints(endpoints)
     return loop, endpoints, guard
 
 
-def test_draining_server_may_be_used_until_a_little_before_its_grace_ends() -> None:
+def test_draining_server_may_be_used_until_shortly_before_its_grace_ends() -> None:
     loop, endpoints, guard = make_guard()
     assert guard.may_send_to("s0")
-    endpoints.drained_at_us = loop.now_us - USABLE_US + 1
+    endpoints.drained_at_us = loop.now_us - SEND_WINDOW_US + 1
     assert guard.may_send_to("s0")
     endpoints.drained_at_us -= 1
     assert not guard.may_send_to("s0")
 
 
-def test_ejection_runs_from_its_first_notice_and_ends_when_withdrawn() -> None:
+def test_ejection_counts_from_its_first_report_and_ends_when_revoked() -> None:
     loop, _endpoints, guard = make_guard()
     guard.set_ejection("s0", True)
-    loop.now_us += USABLE_US - 1
+    loop.now_us += SEND_WINDOW_US - 1
     guard.set_ejection("s0", True)
     assert guard.may_send_to("s0")
     loop.now_us += 1
--- a/tests/net/control/test_open_identities.py
+++ b/tests/net/control/test_open_identities.py
@@ -7,8 +7,8 @@
 from larchhaven.net.control.open_identities import OpenIdentities
 
 
-class Exchange:
-    """Plays the other process of a hot restart."""
+class FakeExchange:
+    """Fakes the other process of a hot restart."""
 
     def __init__(self) -> None:
         self.announced: list[tuple[bytes, bool]] = []
@@ -21,19 +21,19 @@
 
 
 @pytest.fixture
-def exchange() -> Exchange:
-    return Exchange()
+def exchange() -> FakeExchange:
+    return FakeExchange()
 
 
 @pytest.fixture
-def identities(exchange: Exchange) -> OpenIdentities:
-    made = OpenIdentities()
-    made.attach_exchange(exchange)
-    return made
+def identities(exchange: FakeExchange) -> OpenIdentities:
+    open_identities = OpenIdentities()
+    open_identities.attach_exchange(exchange)
+    return open_identities
 
 
-def test_identity_is_open_while_its_request_is_or_at_the_other_process(
-    identities: OpenIdentities, exchange: Exchange
+def test_identity_is_open_until_its_request_ends_or_while_open_in_the_other_process(
+    identities: OpenIdentities, exchange: FakeExchange
 ) -> None:
     identities.register_identity(b"a", 1)
     assert identities.is_open(b"a")
@@ -44,8 +44,8 @@
     assert exchange.announced == [(b"a", True), (b"a", False)]
 
 
-def test_identity_stays_open_when_an_earlier_request_of_it_ends(
-    identities: OpenIdentities, exchange: Exchange
+def test_identity_stays_open_when_an_earlier_request_with_it_ends(
+    identities: OpenIdentities, exchange: FakeExchange
 ) -> None:
     identities.register_identity(b"a", 1)
     identities.register_identity(b"a", 2)
@@ -54,8 +54,8 @@
     assert exchange.announced == [(b"a", True), (b"a", True)]
 
 
-def test_request_without_an_identity_has_none_that_could_be_open(
-    identities: OpenIdentities, exchange: Exchange
+def test_request_without_an_identity_is_not_tracked(
+    identities: OpenIdentities, exchange: FakeExchange
 ) -> None:
     identities.register_identity(b"", 1)
     identities.release_identity(b"", 1)
--- a/tests/net/control/test_request.py
+++ b/tests/net/control/test_request.py
@@ -1,4 +1,4 @@
-"""The states of a request."""
+"""State transitions of a request."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 SPEC = RequestSpec(payload=b"x", class_index=0, budget_us=None)
 
 
-class Peer:
-    """Plays an attempt, and a client."""
+class FakePeer:
+    """Fake attempt and fake client."""
 
     def cancel(self) -> None:
-        """Nothing is under way."""
+        """Do nothing: no attempt is running."""
 
     def read_available(self) -> None:
-        """Nothing arrives."""
+        """Do nothing: no input arrives."""
 
     def send_rejection(self, retry_after_us: int) -> None:
         raise NotImplementedError
@@ -34,7 +34,7 @@
 
 
 def test_request_waits_between_attempts_and_is_established_by_one() -> None:
-    client, first, second = Peer(), Peer(), Peer()
+    client, first, second = FakePeer(), FakePeer(), FakePeer()
     request = Request(client, SPEC, deadline_us=100)
     states = [request.state]
     request.assign_server("s0", now_us=1)
@@ -62,26 +62,26 @@
     assert Request(None, SPEC, deadline_us=0).state is RequestState.ESTABLISHED
 
 
-def test_second_attempt_beside_the_first_is_an_error_that_names_the_states() -> None:
-    request = Request(Peer(), SPEC, deadline_us=100)
-    request.begin_attempt(Peer())
+def test_second_concurrent_attempt_is_an_error_that_names_the_states() -> None:
+    request = Request(FakePeer(), SPEC, deadline_us=100)
+    request.begin_attempt(FakePeer())
     with pytest.raises(RequestStateError) as raised:
-        request.begin_attempt(Peer())
+        request.begin_attempt(FakePeer())
     assert raised.value.actual is RequestState.ATTEMPTING
     assert raised.value.expected is RequestState.WAITING
 
 
-def test_nothing_is_established_without_an_attempt_or_after_the_end() -> None:
-    request = Request(Peer(), SPEC, deadline_us=100)
+def test_request_is_neither_established_without_an_attempt_nor_attempted_after_its_end() -> None:
+    request = Request(FakePeer(), SPEC, deadline_us=100)
     with pytest.raises(RequestStateError):
         request.establish()
     request.end()
     with pytest.raises(RequestStateError):
-        request.begin_attempt(Peer())
+        request.begin_attempt(FakePeer())
 
 
 def test_end_of_an_attempt_is_reported_with_its_server_and_latency() -> None:
-    request = Request(Peer(), SPEC, deadline_us=100)
+    request = Request(FakePeer(), SPEC, deadline_us=100)
     request.request_id = 7
     request.assign_server("s0", now_us=10)
     event = request.report_attempt_end(AttemptResult.RESET, 25, is_final=False)
