--- a/larchhaven/membership/__init__.py
+++ b/larchhaven/membership/__init__.py
@@ -1,1 +1,1 @@
-"""SWIM membership of the proxies, with Lifeguard's additions. Pure: no socket, no clock."""
+"""SWIM membership of the proxies, with Lifeguard's extensions. It uses no socket and no clock."""
--- a/larchhaven/membership/actions.py
+++ b/larchhaven/membership/actions.py
@@ -1,4 +1,4 @@
-"""What the protocol asks its host to do, gathered during one call."""
+"""Actions that the protocol asks its host to perform, collected during one call."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendMessage:
-    """Send a message to its receiver."""
+    """Request to send a message to its receiver."""
 
     message: Message
 
@@ -19,10 +19,10 @@
 
 
 class ActionBatch:
-    """The time of the call under way, and the actions it has led to so far.
+    """The time of the current call, and the actions collected during it.
 
     Args:
-        now_us: The time, by the local monotonic clock.
+        now_us: Current time of the local monotonic clock, in microseconds.
     """
 
     def __init__(self, now_us: int) -> None:
@@ -34,6 +34,6 @@
         self._actions.append(action)
 
     def drain(self) -> list[Action]:
-        """Return the actions in the order they were added, and forget them."""
+        """Return the actions in the order they were added, and clear the batch."""
         actions, self._actions = self._actions, []
         return actions
--- a/larchhaven/membership/authenticator.py
+++ b/larchhaven/membership/authenticator.py
@@ -1,11 +1,14 @@
-"""Accepts datagrams that prove their origin, are meant for the local member and are not replays.
-
-Two keys are valid at once, so that a key can be rotated: first every proxy gets the new key as
-its second one, then as its first one, then the old key is dropped. Each session of a sender has a
-window of message counters; a message that was received before, or is older than the window, is
-dropped. Messages of an older session of a sender are dropped, unless they carry a smaller stamp
-than is known: then they may come from a restarted process that has to learn its last stamp. A
-replay gains an answer at most, which the message budget bounds.
+"""Authenticates datagrams: checks their origin and addressee, and rejects replays.
+
+Two keys are valid at once, so that keys can be rotated: every proxy gets the new key as its second
+key, then as its first key, and finally the old key is removed.
+
+Each session of a sender has a window of message counters. A message is rejected if its counter was
+received before or is older than the window. A message of another session begins a new window if its
+stamp is larger than the latest one known. Otherwise it is rejected if it has the same incarnation.
+With a smaller incarnation, or none, it is accepted without a window: it may come from a restarted
+process that has yet to learn its last incarnation. Replaying such a message causes at most a reply,
+and the message budget limits replies.
 """
 
 from __future__ import annotations
@@ -19,13 +22,16 @@
 from larchhaven.membership.member import NO_STAMP, stamp_incarnation
 from larchhaven.membership.messages import Message
 
-# Counters this far behind the newest are still told apart; datagrams are reordered by less.
+# Counters that are tracked behind the newest one; datagrams are reordered by less than this.
 REPLAY_WINDOW = 256
 
 
 @dataclass(slots=True)
 class _ReplayWindow:
-    """The counters received in one session of a sender; bit ``n`` is the newest less ``n``."""
+    """The counters received in one session of a sender.
+
+    Bit ``n`` of ``received_bits`` stands for the counter ``newest - n``.
+    """
 
     session_id: int
     newest: int = 0
@@ -33,7 +39,7 @@
     stamp: int = NO_STAMP
 
     def accept(self, counter: int) -> bool:
-        """Note a counter; return whether it is new."""
+        """Record a counter; return whether it is new."""
         if counter > self.newest:
             shift = min(counter - self.newest, REPLAY_WINDOW)
             self.received_bits = (self.received_bits << shift | 1) & ((1 << REPLAY_WINDOW) - 1)
@@ -47,17 +53,17 @@
 
 
 class DatagramAuthenticator:
-    """Signs the datagrams of the local member and checks those of others.
+    """Signs datagrams of the local member and verifies those of other members.
 
     Args:
         own_number: The local member's number in the peer table.
-        table_size: How many entries the peer table has.
-        session_id: Drawn at the start of the process.
+        table_size: Number of entries in the peer table.
+        session_id: Random number that the process chooses when it starts.
         keys: The valid keys; the first one signs.
 
     Attributes:
         keys: The valid keys; may be replaced at any time.
-        rejected: How many datagrams were rejected, by reason.
+        rejected: Number of rejected datagrams, by reason.
     """
 
     def __init__(
@@ -72,17 +78,20 @@
         self._windows: dict[int, _ReplayWindow] = {}
 
     def seal(self, message: Message) -> bytes:
-        """Return the datagram of a message, signed with the first key."""
+        """Encode a message with the next counter, signed with the first key."""
         self._counter += 1
         numbered = replace(message, session_id=self._session_id, counter=self._counter)
         return encode(numbered, self.keys[0])
 
     def open(self, data: bytes, sender: int | None = None) -> Message | None:
-        """Return the message of a datagram; None, and a counter, if it is rejected.
+        """Verify and decode a datagram; a rejected datagram is counted in ``rejected``.
 
         Args:
             data: The datagram.
             sender: The number of its source address in the local peer table, if known.
+
+        Returns:
+            The message, or None if the datagram is rejected.
         """
         try:
             message = decode(data, self.keys)
@@ -117,7 +126,7 @@
         return True
 
     def _may_be_restarted(self, message: Message, window: _ReplayWindow) -> bool:
-        """Tell whether it may come from a process that starts anew, perhaps with a slow clock."""
+        """Return whether it may come from a restarted process, perhaps with a slow clock."""
         if message.stamp == NO_STAMP:
             return True
         return stamp_incarnation(message.stamp) != stamp_incarnation(window.stamp)
--- a/larchhaven/membership/codec.py
+++ b/larchhaven/membership/codec.py
@@ -1,25 +1,25 @@
-"""The bytes of messages: at most 256, with a tag that proves their origin.
+"""Binary encoding of messages, as datagrams of at most 256 bytes with an authentication tag.
 
-A datagram is a header, a body by kind, and a tag. Numbers are big-endian.
+A datagram consists of a header, a body that depends on the kind, and a tag. Numbers are big-endian.
 
 =======  ================  ==================================================================
 bytes    field             meaning
 =======  ================  ==================================================================
-1        prefix            ``M``: other datagrams of proxies begin with other letters
+1        prefix            ``M``; other datagrams between proxies have other prefixes
 1        format version    a later version is rejected and counted
 1        kind              one of ``MessageKind``
-1        update count      how many state updates follow
-2, 2     sender, receiver  numbers in the peer table; they differ if the tables differ
-4        session id        drawn at the start of the sender's process
-4        counter           raised with each message of a session, against replays
-4        stamp             the sender's own, 0 before it has joined
-4        sequence          matches an answer with its request
-2        target            the member that is probed
+1        update count      number of state updates in the body
+2, 2     sender, receiver  numbers in the sender's peer table; other tables may differ
+4        session id        random number, chosen when the sender's process starts
+4        counter           raised with each message of a session, to detect replays
+4        stamp             the sender's own stamp, 0 before it has joined
+4        sequence          matches a reply with its request
+2        target            the probed member
 =======  ================  ==================================================================
 
-The body has state updates of 8 bytes (number, stamp, accuser), in push-pull messages digests of 4
-bytes, then info updates. The tag is a keyed BLAKE2b of all before it, 8 bytes; without a key it is
-a checksum only.
+The body holds state updates of 8 bytes each (number, stamp, suspector), then digests of 4 bytes
+each in push-pull messages only, then info updates. The tag is an 8-byte keyed BLAKE2b hash of all
+preceding bytes. Without a key it is only a checksum.
 """
 
 from __future__ import annotations
@@ -56,10 +56,10 @@
 _HEADER = struct.Struct(">cBBBHHIIIIH")
 _STATE_UPDATE = struct.Struct(">HIH")
 _DIGEST = struct.Struct(">I")
-# Number, incarnation, zone, protocol version, start, capabilities, length of the name.
+# Number, incarnation, zone, protocol version, start time, capabilities, length of the name.
 _INFO_UPDATE = struct.Struct(">HIBHIHB")
 _TAG_PERSONALIZATION = b"larchhaven-membr"
-# A member that has not joined says nothing of itself; 32 bits bound the largest stamp.
+# Only members that have joined have a stamp. The 32 bits of the field limit the largest one.
 _MIN_STAMP = make_stamp(1, MemberState.ALIVE)
 _PUSH_PULL_KINDS = (MessageKind.PUSH_PULL_REQUEST, MessageKind.PUSH_PULL_RESPONSE)
 _UINT8_MASK = 0xFF
@@ -74,7 +74,7 @@
 
 
 class _Header(NamedTuple):
-    """The fields of the header, in the order of their bytes."""
+    """Header fields, in the order of their bytes."""
 
     prefix: bytes
     format_version: int
@@ -90,29 +90,29 @@
 
 
 def info_update_bytes(info: MemberInfo) -> int:
-    """Return how many bytes an update with this info takes."""
+    """Return the encoded size of an update with this info, in bytes."""
     return _INFO_UPDATE.size + len(_encode_name(info.name))
 
 
 def truncate_info(info: MemberInfo) -> MemberInfo:
-    """Return the info as other members will receive it."""
+    """Return the info as other members receive it, with a truncated name if necessary."""
     return replace(info, name=_encode_name(info.name).decode())
 
 
 def compute_tag(data: bytes, key: bytes) -> bytes:
-    """Return the tag that proves the origin of the data."""
+    """Return the authentication tag of the data."""
     return blake2b(data, digest_size=TAG_BYTES, key=key, person=_TAG_PERSONALIZATION).digest()
 
 
 def encode(message: Message, key: bytes = b"") -> bytes:
-    """Encode a message.
+    """Encode a message as a datagram.
 
     Args:
         message: The message.
         key: The key of the tag, at most 64 bytes.
 
     Raises:
-        ValueError: The datagram would be longer than 256 bytes.
+        ValueError: The datagram would exceed ``MAX_DATAGRAM_BYTES``.
     """
     header = _HEADER.pack(
         DATAGRAM_PREFIX,
@@ -127,22 +127,22 @@
         message.sequence,
         message.target,
     )
-    parts = [header]
-    parts += [_STATE_UPDATE.pack(u.number, u.stamp, u.accuser) for u in message.state_updates]
-    parts += [_DIGEST.pack(digest) for digest in message.digests]
-    parts += [_encode_info_update(update) for update in message.info_updates]
-    data = b"".join(parts)
+    sections = [header]
+    sections += [_STATE_UPDATE.pack(u.number, u.stamp, u.accuser) for u in message.state_updates]
+    sections += [_DIGEST.pack(digest) for digest in message.digests]
+    sections += [_encode_info_update(update) for update in message.info_updates]
+    data = b"".join(sections)
     data += compute_tag(data, key)
     if len(data) > MAX_DATAGRAM_BYTES:
-        raise ValueError(f"datagram of {len(data)} bytes, at most {MAX_DATAGRAM_BYTES} are allowed")
+        raise ValueError(f"datagram has {len(data)} bytes, limit is {MAX_DATAGRAM_BYTES}")
     return data
 
 
 def decode(data: bytes, keys: Sequence[bytes] = (b"",)) -> Message:
-    """Decode a datagram whose tag is proved by any of the keys.
+    """Decode a datagram whose tag was made with one of the keys.
 
     Raises:
-        DatagramError: It is damaged, or not from a member of this version.
+        DatagramError: The datagram is damaged, or not from a member of this version.
     """
     if not _HEADER.size + TAG_BYTES <= len(data) <= MAX_DATAGRAM_BYTES:
         raise DatagramError(RejectReason.SIZE)
@@ -177,7 +177,7 @@
     data = name.encode("utf-8", "replace")
     if len(data) <= MAX_NAME_BYTES:
         return data
-    # A character that is cut in the middle is left out.
+    # Ignore the incomplete character that the cut may leave at the end.
     return data[:MAX_NAME_BYTES].decode("utf-8", "ignore").encode()
 
 
@@ -197,7 +197,7 @@
 
 
 def _check_tag(data: bytes, keys: Sequence[bytes]) -> bytes:
-    """Return the datagram without its tag."""
+    """Verify the tag, and return the datagram without it."""
     signed, tag = data[:-TAG_BYTES], data[-TAG_BYTES:]
     if not any(hmac.compare_digest(compute_tag(signed, key), tag) for key in keys):
         raise DatagramError(RejectReason.TAG)
--- a/larchhaven/membership/config.py
+++ b/larchhaven/membership/config.py
@@ -7,29 +7,33 @@
 
 @dataclass(frozen=True, slots=True)
 class ProtocolConfig:
-    """Intervals, timeouts and limits; ``docs/design/membership.md`` has the reasons.
+    """Intervals, timeouts and limits; ``docs/design/membership.md`` gives the reasons.
 
     Attributes:
-        probe_interval_us: Time between two probes while the local health is good.
-        probe_timeout_us: Time for an ack to a direct probe; then indirect probes are requested.
-        indirect_probes: How many members are asked for an indirect probe.
+        probe_interval_us: Time between two probes at a local health score of 0.
+        probe_timeout_us: Time to wait for a direct ack before requesting indirect probes.
+        indirect_probes: Number of members that are asked for an indirect probe.
         gossip_interval_us: Time between two gossip rounds.
-        gossip_fanout: Receivers of a gossip round.
-        retransmit_multiplier: Each update is sent this many times the logarithm of the table size.
-        min_suspicion_us: Suspicion timeout with all confirmations; with the probe interval before
-            it, a pause of two seconds is not taken for a death.
-        suspicion_max_multiplier: Suspicion timeout with a single accuser, as a multiple.
-        suspicion_confirmations: Further accusers that shorten the timeout to the minimum.
-        join_timeout_us: How long a new member waits at most for updates about itself.
+        gossip_fanout: Number of receivers of a gossip round.
+        retransmit_multiplier: Number of times that each state update is sent, as a multiple of the
+            bit length of the table size.
+        min_suspicion_us: Suspicion timeout with all confirmations. Together with the probe interval
+            before it, it is long enough that a pause of two seconds is not taken for a death.
+        suspicion_max_multiplier: Suspicion timeout with a single suspector, as a multiple of
+            ``min_suspicion_us``.
+        suspicion_confirmations: Number of further suspectors that shorten the timeout to the
+            minimum.
+        join_timeout_us: Maximum time that a new member waits for updates about itself.
         join_retry_interval_us: Time between two rounds of push-pull requests until one is answered.
-        join_fanout: Receivers of such a round.
+        join_fanout: Number of receivers of such a round.
         push_pull_interval_us: Time between two push-pull exchanges with a present member.
         reconnect_interval_us: Time between two push-pull requests to an absent member.
-        pause_threshold_us: A timer that late means that the process was paused.
-        late_timer_threshold_us: A timer that late makes the probe under way meaningless.
-        isolation_timeout_us: After this time without any answer the own observations count again.
-        messages_per_second: Messages that are sent without being replies, whatever the table size.
-        message_burst: Such messages that may be sent at once.
+        pause_threshold_us: A timer that runs this late means that the process was paused.
+        late_timer_threshold_us: A timer that runs this late invalidates the probe under way.
+        isolation_timeout_us: After this time without any answer, the local member trusts its own
+            observations again.
+        messages_per_second: Maximum rate of messages that are not replies, for any table size.
+        message_burst: Maximum number of such messages that are sent at once.
     """
 
     probe_interval_us: int = 500_000
--- a/larchhaven/membership/context.py
+++ b/larchhaven/membership/context.py
@@ -1,4 +1,4 @@
-"""What all parts of the protocol share: limits, random numbers, counters, the current call."""
+"""Objects that all components of the protocol share."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 from larchhaven.membership.counters import ProtocolCounters
 from larchhaven.membership.sampling import RandomSource
 
-# Later than any deadline: the deadline of a part that has nothing to do.
+# Later than any deadline; means that nothing is scheduled.
 NEVER_US = 1 << 62
 
 
 @dataclass(frozen=True, slots=True)
 class ProtocolContext:
-    """Handed to each part of the protocol.
+    """Objects that are passed to each component of the protocol.
 
     Attributes:
         config: Intervals, timeouts and limits.
-        rng: Random numbers.
-        batch: The time and the actions of the call under way.
+        rng: Source of random numbers.
+        batch: The time and the actions of the current call.
         counters: The protocol's counters.
     """
 
--- a/larchhaven/membership/counters.py
+++ b/larchhaven/membership/counters.py
@@ -1,4 +1,4 @@
-"""The counters of the protocol that operators read."""
+"""Counters of the protocol, for operators."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 
 
 class ProtocolCounter(StrEnum):
-    """What is counted; the values are the keys of ``counts`` in ``GET /v1/members``."""
+    """Counted events; the values are the keys of ``counts`` in ``GET /v1/members``."""
 
     MESSAGES_SENT = "sent"
     MESSAGES_SUPPRESSED = "held back"  # by the message budget
     PROBES_FAILED = "probes failed"
-    ACCUSED = "accused"  # updates that the local member had to refute
+    REFUTATIONS = "accused"  # refuted updates at the local member's current incarnation
     PROCESS_PAUSES = "gaps"
     LATE_TIMERS = "late turns"
-    NUMBERS_BEYOND_TABLE = "numbers beyond the table"  # another member has a longer peer table
+    NUMBERS_BEYOND_TABLE = "numbers beyond the table"  # the sender has a longer peer table
 
 
 ProtocolCounters = Counter[ProtocolCounter]
--- a/larchhaven/membership/dissemination.py
+++ b/larchhaven/membership/dissemination.py
@@ -1,4 +1,4 @@
-"""Gossip rounds: messages that carry nothing but updates, while there are any to send."""
+"""Gossip rounds: messages that carry only updates, sent while updates are pending."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from larchhaven.membership.sampling import sample
 from larchhaven.membership.update_queue import UpdateQueue
 
-# A planned stop is announced at once in this many rounds, to this many members each.
+# A planned stop is announced in this many immediate rounds, to this many members each.
 LEAVE_ROUNDS = 3
 LEAVE_FANOUT = 4
 
@@ -18,9 +18,9 @@
     """Owns the schedule of the gossip rounds.
 
     Args:
-        context: What all parts of the protocol share.
-        table: What is known of the members.
-        queue: The updates to send.
+        context: Objects that all components of the protocol share.
+        table: The member table.
+        queue: The pending updates.
         sender: Sends the messages.
     """
 
@@ -49,16 +49,16 @@
         self._send_round(self._config.gossip_fanout)
 
     def announce_leave(self) -> None:
-        """Send several rounds at once, as the process may end before the next one is due."""
+        """Send several rounds at once, because the process may end before the next one is due."""
         for _ in range(LEAVE_ROUNDS):
             self._send_round(LEAVE_FANOUT)
 
     def next_deadline_us(self) -> int:
-        """Return when ``run_timers`` has something to do, or ``NEVER_US``."""
+        """Return when ``run_timers`` has work to do, or ``NEVER_US``."""
         return self._next_round_us if self._queue.has_states else NEVER_US
 
     def fingerprint(self) -> object:
-        """Return all that later decisions depend on, as a hashable value."""
+        """Return the state that later decisions depend on, as a hashable value."""
         return self._next_round_us
 
     def _send_round(self, fanout: int) -> None:
--- a/larchhaven/membership/errors.py
+++ b/larchhaven/membership/errors.py
@@ -1,4 +1,4 @@
-"""Why a datagram is rejected."""
+"""Errors of datagrams, and the reasons for rejecting them."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class RejectReason(StrEnum):
-    """Why a datagram is rejected; the values are the keys of ``refused`` in ``GET /v1/members``."""
+    """Reason for rejecting a datagram; the keys of ``refused`` in ``GET /v1/members``."""
 
     SIZE = "size"
     PREFIX = "letter"
@@ -24,10 +24,10 @@
 
 
 class DatagramError(LarchhavenError):
-    """A datagram that no member of this version sends.
+    """A datagram cannot be decoded or authenticated.
 
     Attributes:
-        reason: The first rule that it breaks.
+        reason: The first violation that was found.
     """
 
     def __init__(self, reason: RejectReason) -> None:
--- a/larchhaven/membership/indirect_probes.py
+++ b/larchhaven/membership/indirect_probes.py
@@ -1,4 +1,4 @@
-"""Probes members on behalf of others that got no answer themselves."""
+"""Indirect probes: pings a member on behalf of another one that got no ack from it."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 from larchhaven.membership.message_sender import MessageSender
 from larchhaven.membership.messages import Message, MessageKind
 
-# Requests under way; beyond, the oldest is dropped.
+# Requests under way; above this limit the oldest one is dropped.
 MAX_REQUESTS = 64
 
 
 @dataclass(slots=True)
 class IndirectProbeRequest:
-    """A ping under way on behalf of another member.
+    """An indirect probe under way for another member.
 
     Attributes:
-        sequence: Of the ping to the target.
-        requester: Who asked for it.
-        requester_sequence: The sequence number that the answer has to carry.
+        sequence: The sequence number of the ping to the target.
+        requester: The member that requested the probe.
+        requester_sequence: The sequence number for the reply to the requester.
         target: The probed member.
-        deadline_us: When a nack is sent.
+        deadline_us: When a nack is sent to the requester.
     """
 
     sequence: int
@@ -37,10 +37,10 @@
     """Owns the indirect probe requests under way.
 
     Args:
-        context: What all parts of the protocol share.
-        table: What is known of the members.
-        local: The local member; it helps once it has joined.
-        sender: Sends pings and answers.
+        context: Objects that all components of the protocol share.
+        table: The member table.
+        local: The local member; requests are ignored until it has joined.
+        sender: Sends pings, acks and nacks.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
         self._requests: dict[int, IndirectProbeRequest] = {}  # by the sequence of the ping
 
     def handle_request(self, message: Message) -> None:
-        """Probe the target of a request."""
+        """Ping the target of a request."""
         target = message.target
         is_valid = target < self._table.size and target != self._table.own_number
         if not is_valid or not self._local.has_joined:
@@ -92,17 +92,17 @@
             self._answer(request, MessageKind.NACK)
 
     def clear(self) -> None:
-        """Forget all requests."""
+        """Drop all requests."""
         self._requests.clear()
 
     def next_deadline_us(self) -> int:
-        """Return when ``run_timers`` has something to do, or ``NEVER_US``."""
+        """Return when ``run_timers`` has work to do, or ``NEVER_US``."""
         if not self._requests:
             return NEVER_US
         return min(request.deadline_us for request in self._requests.values())
 
     def fingerprint(self) -> tuple[object, ...]:
-        """Return all that later decisions depend on, as a hashable value."""
+        """Return the state that later decisions depend on, as a hashable value."""
         return tuple(
             (
                 request.sequence,
--- a/larchhaven/membership/local_member.py
+++ b/larchhaven/membership/local_member.py
@@ -1,4 +1,4 @@
-"""Owns the incarnation and state of the local member, and refutes what others say of it."""
+"""Incarnation and state of the local member, and its refutations of updates from others."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
 
 
 class LocalMember:
-    """The local member.
+    """Owns the incarnation, state and info of the local member.
 
     Args:
-        context: What all parts of the protocol share.
-        info: What it says of itself.
-        first_incarnation: The least incarnation to join with.
-        table: What is known of the members.
-        queue: Takes the updates that others have to learn.
+        context: Objects that all components of the protocol share.
+        info: The info that it announces.
+        first_incarnation: The smallest incarnation to join with.
+        table: The member table.
+        queue: Receives the updates to be sent to others.
         health: Degraded by each refuted suspicion.
 
     Attributes:
-        info: What it says of itself.
+        info: The info that it announces.
         stamp: Its incarnation and state; ``NO_STAMP`` before it has joined.
     """
 
@@ -62,14 +62,14 @@
 
     @property
     def incarnation(self) -> int:
-        """Its incarnation, or before it has joined the least one to join with."""
+        """Its incarnation, or before it has joined the smallest one to join with."""
         return stamp_incarnation(self.stamp) or self._first_incarnation
 
     def join(self) -> None:
-        """Take an incarnation above all that others remember, and announce it."""
+        """Take an incarnation above the last one that others remember, and announce it."""
         remembered = self._table.get(self._table.own_number)
-        above = remembered.incarnation + 1 if remembered is not None else 0
-        incarnation = min(max(self._first_incarnation, above), MAX_INCARNATION)
+        next_incarnation = remembered.incarnation + 1 if remembered is not None else 0
+        incarnation = min(max(self._first_incarnation, next_incarnation), MAX_INCARNATION)
         self._announce_info(make_stamp(incarnation, MemberState.ALIVE))
 
     def leave(self) -> None:
@@ -78,29 +78,33 @@
             self._announce(make_stamp(self.incarnation, MemberState.LEFT))
 
     def apply_state(self, update: StateUpdate) -> None:
-        """Remember what is said of the local member, or refute it with a larger incarnation."""
+        """Apply an update about the local member.
+
+        It is stored before the join. After the join it is refuted with a larger incarnation if it
+        overrides the local stamp.
+        """
         if not self.has_joined:
-            self._remember(update)
+            self._store_before_join(update)
             return
-        accused_incarnation = stamp_incarnation(update.stamp)
-        if update.stamp <= self.stamp or accused_incarnation >= MAX_INCARNATION:
+        update_incarnation = stamp_incarnation(update.stamp)
+        if update.stamp <= self.stamp or update_incarnation >= MAX_INCARNATION:
             return
-        if accused_incarnation == self.incarnation:
-            self._counters[ProtocolCounter.ACCUSED] += 1
+        if update_incarnation == self.incarnation:
+            self._counters[ProtocolCounter.REFUTATIONS] += 1
             self._health.degrade()
-        self._announce(make_stamp(accused_incarnation + 1, stamp_state(self.stamp)))
+        self._announce(make_stamp(update_incarnation + 1, stamp_state(self.stamp)))
 
     def apply_info(self, update: InfoUpdate) -> None:
-        """Refute an info of another process that has taken the same number and incarnation."""
+        """Refute the info of another process that uses the same number and incarnation."""
         own = self._table.get(self._table.own_number)
         if own is None or not self.has_joined:
             return
         if update.incarnation < own.info_incarnation or update.info == self.info:
             return
-        above = min(max(update.incarnation, self.incarnation) + 1, MAX_INCARNATION)
-        self._announce_info(make_stamp(above, stamp_state(self.stamp)))
+        next_incarnation = min(max(update.incarnation, self.incarnation) + 1, MAX_INCARNATION)
+        self._announce_info(make_stamp(next_incarnation, stamp_state(self.stamp)))
 
-    def _remember(self, update: StateUpdate) -> None:
+    def _store_before_join(self, update: StateUpdate) -> None:
         own_number = self._table.own_number
         remembered = self._table.get(own_number)
         if remembered is None or update.stamp > remembered.stamp:
@@ -112,7 +116,7 @@
         self._set_stamp(stamp, info_incarnation)
 
     def _announce_info(self, stamp: int) -> None:
-        """Announce a stamp, and the info as said at its incarnation."""
+        """Announce a stamp, and the info with the incarnation of the stamp."""
         self._set_stamp(stamp, stamp_incarnation(stamp))
         self._queue.add_info(self._table.own_number)
 
--- a/larchhaven/membership/member.py
+++ b/larchhaven/membership/member.py
@@ -1,10 +1,10 @@
-"""What is known of one member, and which of two updates about it wins.
+"""The record of one member, and the precedence of updates about it.
 
 A *stamp* packs an incarnation number and a state into one integer: ``incarnation * 4 + state``.
 Only the member itself raises its incarnation. Of two stamps the larger one wins, so updates may
-arrive in any order and any number of times: views merge by taking maxima. At one incarnation
-*left* overrides *dead*, *dead* overrides *suspect*, and *suspect* overrides *alive*; a member
-that is suspected wrongly refutes the suspicion with its next incarnation.
+arrive in any order and any number of times: views merge by taking maxima. At the same incarnation
+*left* overrides *dead*, *dead* overrides *suspect*, and *suspect* overrides *alive*. A member that
+is suspected wrongly refutes the suspicion with its next incarnation.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 MAX_INCARNATION = (1 << 30) - 1
 # The stamp of a member that has not joined yet.
 NO_STAMP = 0
-# In UTF-8; a longer name is truncated, as a datagram has 256 bytes for everything.
+# In UTF-8. Longer names are truncated, because a datagram has 256 bytes in total.
 MAX_NAME_BYTES = 24
 
 _STATE_BITS = 2
@@ -24,7 +24,7 @@
 
 
 class MemberState(IntEnum):
-    """The state of a member; at one incarnation the larger one wins."""
+    """The state of a member; at the same incarnation the larger value wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -32,12 +32,12 @@
     LEFT = 3
 
 
-# Looked up for each update of each message, where a call of the enum costs more.
+# Indexed for each update of each message; calling the enum would be slower.
 _STATES = tuple(MemberState)
 
 
 class Capability(IntFlag):
-    """What the program of a member supports."""
+    """A feature that the program of a member supports."""
 
     NONE = 0
     LOAD_REPORTS = 1  # shares the results of its health checks
@@ -62,14 +62,15 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberInfo:
-    """What a member says of itself, once in each life of its process.
+    """Information that a member announces about itself; constant while its process runs.
 
     Attributes:
-        name: Its name; at most ``MAX_NAME_BYTES`` of it are sent.
+        name: Its name; at most ``MAX_NAME_BYTES`` are sent.
         zone: The index of its zone in the settings.
-        protocol_version: The version of the protocol that its program speaks.
-        started_unix_s: When it started, by its own clock. For operators; no decision uses it.
-        capabilities: What its program supports.
+        protocol_version: The protocol version of its program.
+        started_unix_s: When it started, in seconds of Unix time by its own clock. It is meant for
+            operators; the protocol only uses it to order infos of the same incarnation.
+        capabilities: The features that its program supports.
     """
 
     name: str = ""
@@ -80,7 +81,7 @@
 
 
 def info_sort_key(info: MemberInfo | None) -> tuple[object, ...]:
-    """Return a key that orders infos in the same way at every member; None sorts first."""
+    """Return a key that orders infos identically at every member; None sorts first."""
     if info is None:
         return ()
     return (
@@ -94,15 +95,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """What is known of one member.
+    """The local record of one member.
 
     Attributes:
         number: Its index in the peer table.
         stamp: Its incarnation and state.
-        learned_at_us: When this was learned here, by the local monotonic clock.
-        accusers: Who suspects it or declared it dead; empty if the member spoke for itself.
-        info: What it says of itself; None until that arrives.
-        info_incarnation: The incarnation at which it said so.
+        learned_at_us: When the local member learned this state, by the local monotonic clock.
+        accusers: Members that suspect it or declared it dead; empty if it announced its state.
+        info: The info that it announced; None until it is received.
+        info_incarnation: The incarnation at which it announced the info.
     """
 
     number: int
@@ -124,5 +125,5 @@
 
     @property
     def is_present(self) -> bool:
-        """Whether the member counts as present: a suspicion alone does not remove it."""
+        """Whether the member counts as present; a suspected member does."""
         return self.state <= MemberState.SUSPECT
--- a/larchhaven/membership/member_table.py
+++ b/larchhaven/membership/member_table.py
@@ -1,4 +1,4 @@
-"""Owns the numbered view of the fleet, its digests, and the list of present peers."""
+"""Owns the current view of the fleet, its digests and the list of present peers."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 
 
 class MemberTable:
-    """The current view of the fleet; each change makes the next one.
+    """The current view of the fleet; each change creates a new view with the next version.
 
     Args:
         own_number: The local member's index in the peer table.
-        size: How many entries the peer table has.
+        size: Number of entries in the peer table.
         batch: Receives a ``MemberChanged`` for each change.
 
     Attributes:
         view: The current view.
-        peers: All numbers but the own one, in ascending order.
+        peers: All numbers except the local member's, in ascending order.
     """
 
     def __init__(self, own_number: int, size: int, batch: ActionBatch) -> None:
@@ -34,16 +34,16 @@
         self.view = MembershipView(own_number, size)
         self.peers = [number for number in range(size) if number != own_number]
         self._batch = batch
-        self._present_peers: list[int] | None = None  # None: to be computed
+        self._present_peers: list[int] | None = None  # None: not computed yet
         self._stamp_digests = [0] * DIGEST_BUCKETS
         self._info_digests = [0] * DIGEST_BUCKETS
 
     def get(self, number: int) -> Member | None:
-        """Return what is known of a member, or None if it was never heard of."""
+        """Return the record of a member, or None if there is none."""
         return self.view.members.get(number)
 
     def put(self, member: Member, *, quiet: bool = False) -> None:
-        """Replace what is known of a member; unless ``quiet``, the host is notified."""
+        """Replace the record of a member, and notify the host unless ``quiet``."""
         number = member.number
         previous = self.view.get(number)
         self._update_digests(previous, member)
@@ -61,12 +61,12 @@
         )
 
     def set_synchronized(self, is_synchronized: bool) -> None:
-        """Set whether the view was confirmed by another member; its version stays."""
+        """Set whether another member has confirmed the view, without a new version."""
         if self.view.is_synchronized != is_synchronized:
             self.view = replace(self.view, is_synchronized=is_synchronized)
 
     def present_peers(self) -> list[int]:
-        """Return the present members but the local one, in ascending order; do not modify it."""
+        """Return the present peers in ascending order; callers must not modify the list."""
         if self._present_peers is None:
             present = self.view.present_members()
             numbers = (member.number for member in present)
@@ -74,23 +74,23 @@
         return self._present_peers
 
     def absent_peers(self) -> list[int]:
-        """Return the peers that are dead, have left or were never heard of, in ascending order."""
+        """Return the peers that are dead, have left or have no record, in ascending order."""
         present = set(self.present_peers())
         return [number for number in self.peers if number not in present]
 
     def digests(self) -> tuple[int, ...]:
-        """Return the digests of the buckets of stamps, then those of infos.
+        """Return the stamp digests of all buckets, followed by their info digests.
 
-        Two members have equal digests of a bucket if they know the same of its members.
+        The digests of a bucket are equal at two members that have the same records in it.
         """
         return (*self._stamp_digests, *self._info_digests)
 
     def _notified_state(self, previous: Member | None) -> MemberState | None:
-        """Return the state that the host was notified of."""
+        """Return the last state that the host was notified of, or None."""
         if previous is None:
             return None
         if previous.number == self.own_number and previous.info is None:
-            return None  # what others remembered of the local member before it joined
+            return None  # stored before the local member joined, without notification
         return previous.state
 
     def _update_digests(self, previous: Member | None, member: Member) -> None:
--- a/larchhaven/membership/membership.py
+++ b/larchhaven/membership/membership.py
@@ -1,14 +1,15 @@
-"""The protocol of one member: SWIM with suspicion and incarnations, and Lifeguard's additions.
-
-Each interval a member probes one other, in an order that is shuffled anew each round, so that all
-are probed equally often and a death is detected in a time that does not grow with the fleet.
-Without an ack it asks others for indirect probes, then suspects. Updates are piggybacked on all
-messages and sent in gossip rounds. Views are compared by digests with a random member now and
-then, at once after a join or a pause of the local process, and with an absent member again and
-again, which is how a healed partition is noticed.
-
-Pure: messages and a time in, actions out. Times are microseconds of the local monotonic clock;
-clocks of different members are not compared. Random numbers are injected.
+"""The membership protocol of one member: SWIM with suspicions, and Lifeguard's extensions.
+
+In each interval a member probes one other member. The order is shuffled in each round, so all
+members are probed equally often, and the time to detect a death does not grow with the fleet.
+Without an ack the member requests indirect probes, then suspects the target. Updates are
+piggybacked on all messages and also sent in gossip rounds. A member compares digests of its view
+with a random present member at intervals, and immediately after a join or a pause of its process.
+It also does so repeatedly with an absent member, which is how a healed partition is detected.
+
+The protocol does no I/O: it receives messages and the time, and returns actions. Times are in
+microseconds of the local monotonic clock; clocks of different members are not compared. Random
+numbers are injected.
 """
 
 from __future__ import annotations
@@ -43,28 +44,28 @@
 
 
 class Membership:
-    """The part of one member in the protocol.
+    """The membership protocol of the local member.
 
     Args:
-        now_us: The time.
+        now_us: Current time.
         own_number: The local member's index in the peer table.
-        table_size: How many entries the peer table has.
-        info: What the local member says of itself.
-        first_incarnation: The least incarnation to join with, from 1. The seconds of a wall clock
-            will do: one that is slow is raised above what others remember. After a hot restart the
-            older process's incarnation plus 1.
-        rng: Random numbers.
+        table_size: Number of entries in the peer table.
+        info: The info that the local member announces.
+        first_incarnation: The smallest incarnation to join with, at least 1. Seconds of the wall
+            clock are suitable: if the clock is slow, the incarnation is raised above the one that
+            others remember. After a hot restart, the previous process's incarnation plus 1.
+        rng: Source of random numbers.
         config: Intervals, timeouts and limits.
 
     Attributes:
         own_number: The local member's index in the peer table.
-        table_size: How many entries the peer table has.
-        due_us: When ``run_timers`` has something to do.
+        table_size: Number of entries in the peer table.
+        due_us: When ``run_timers`` has work to do.
         health: The local health.
         counters: The protocol's counters.
     """
 
-    # A variant of the protocol replaces one of these, for instance to show that a test catches it.
+    # Subclasses may replace these components, for example to show that a test detects a fault.
     update_queue_type: ClassVar[type[UpdateQueue]] = UpdateQueue
     local_member_type: ClassVar[type[LocalMember]] = LocalMember
     update_merger_type: ClassVar[type[UpdateMerger]] = UpdateMerger
@@ -148,11 +149,11 @@
             synchronizer=self._synchronizer,
         )
 
-    # Reading
+    # Properties and read access
 
     @property
     def info(self) -> MemberInfo:
-        """What the local member says of itself, as others receive it."""
+        """The info that the local member announces, as others receive it."""
         return self._local.info
 
     @property
@@ -172,31 +173,31 @@
 
     @property
     def incarnation(self) -> int:
-        """The local member's incarnation, or before it has joined the least one to join with."""
+        """The local member's incarnation, or before it has joined the smallest one to join with."""
         return self._local.incarnation
 
     def digests(self) -> tuple[int, ...]:
-        """Return the digests of the view: equal where two members know the same."""
+        """Return the digests of the view; members with equal views have equal digests."""
         return self._table.digests()
 
     def suspected_numbers(self) -> list[int]:
-        """Return the suspected members, the longest suspected one first."""
+        """Return the suspected members, the earliest suspected one first."""
         return self._suspicions.numbers()
 
     def pending_update_numbers(self) -> list[int]:
-        """Return the members whose state updates wait to be sent, in ascending order."""
+        """Return the members that pending state updates are about, in ascending order."""
         return self._queue.pending_numbers()
 
     def fingerprint(self) -> tuple[object, ...]:
-        """Return a hashable summary of what decides the local member's next actions.
+        """Return a hashable summary of the state that determines the local member's next actions.
 
-        An exhaustive search takes two members with equal fingerprints for the same and follows
-        only one of them. The order of the parts and their content are not meant for anything else.
+        An exhaustive search treats members with equal fingerprints as equal, and explores only one
+        of them. The content of the fingerprint has no other purpose.
         """
         members = sorted(self.view.members.values(), key=lambda member: member.number)
-        known = tuple((m.number, m.stamp, m.accusers, m.info_incarnation) for m in members)
+        member_states = tuple((m.number, m.stamp, m.accusers, m.info_incarnation) for m in members)
         return (
-            known,
+            member_states,
             self.stamp,
             self.health.score,
             self._sender.fingerprint(),
@@ -212,7 +213,7 @@
     # Events
 
     def receive(self, now_us: int, message: Message) -> list[Action]:
-        """Handle a message that the authenticator has accepted."""
+        """Handle a message that the authenticator has accepted; return the resulting actions."""
         self._begin_call(now_us)
         self._apply_stamp_of_sender(message)
         self._merger.apply_all(message)
@@ -222,7 +223,7 @@
         return self._end_call()
 
     def run_timers(self, now_us: int) -> list[Action]:
-        """Do all that is due."""
+        """Run all timers that are due; return the resulting actions."""
         self._begin_call(now_us)
         if not self.has_joined and now_us >= self._join_deadline_us:
             self._join()
@@ -245,13 +246,13 @@
         return self._end_call()
 
     def learn_previous_incarnation(self, now_us: int, incarnation: int) -> list[Action]:
-        """Take over the number of an earlier process, whose last incarnation is given."""
+        """Record the last incarnation of the process whose number the local member takes over."""
         self._begin_call(now_us)
         stamp = make_stamp(incarnation, MemberState.ALIVE)
         self._local.apply_state(StateUpdate(self.own_number, stamp))
         return self._end_call()
 
-    # The call under way
+    # Start and end of each call
 
     def _begin_call(self, now_us: int) -> None:
         self._batch.now_us = now_us
@@ -286,7 +287,7 @@
         )
 
     def _discard_observations(self) -> None:
-        """Trust nothing that was due during a pause of this process, until it is heard again."""
+        """Discard observations after a pause of this process: it may have missed messages."""
         now_us = self._batch.now_us
         self.health.degrade()
         interval_us = self.health.scale_us(self._config.probe_interval_us)
@@ -304,11 +305,11 @@
         if message.stamp == NO_STAMP:
             return
         sender = message.sender
-        known = self._table.get(sender)
+        previous = self._table.get(sender)
         self._merger.apply_state(StateUpdate(sender, message.stamp))
-        if known is not None and message.stamp < known.stamp and self._sender.may_send():
-            # The sender has missed what is said of it, and cannot refute.
-            self._sender.send_updates(sender, (StateUpdate.from_member(known),))
+        if previous is not None and message.stamp < previous.stamp and self._sender.may_send():
+            # The sender has missed an update about itself, and has to receive it to refute it.
+            self._sender.send_updates(sender, (StateUpdate.from_member(previous),))
 
     def _handle_kind(self, message: Message) -> None:
         sender = message.sender
@@ -327,7 +328,7 @@
                 if not self._prober.handle_answer(message):
                     self._indirect_prober.handle_answer(message)
             case MessageKind.PUSH_PULL_REQUEST:
-                # What a new member knows is no view yet.
+                # A member that has not joined yet has no complete view to compare.
                 if self.has_joined:
                     self._exchange.respond(sender)
                     self._exchange.send_differences(sender, message.digests)
--- a/larchhaven/membership/message_budget.py
+++ b/larchhaven/membership/message_budget.py
@@ -1,24 +1,24 @@
-"""A token bucket that bounds the messages of the local member."""
+"""Token bucket that limits the messages of the local member."""
 
 from __future__ import annotations
 
 from larchhaven.membership.config import ProtocolConfig
 
-# Replies may overdraw the budget by this many messages: a member that is silent looks dead.
+# Replies may overdraw the budget by this many messages: without replies a member looks dead.
 REPLY_OVERDRAFT = 50.0
 
 _US_PER_S = 1e6
 
 
 class MessageBudget:
-    """Tokens for messages, refilled as time passes.
+    """Token bucket for messages, refilled at a constant rate.
 
     Args:
-        now_us: The time.
+        now_us: Current time, in microseconds.
         config: Limits of the protocol.
 
     Attributes:
-        refill_interval_us: How long it takes until there is one more token.
+        refill_interval_us: Time to refill one token, in microseconds.
     """
 
     def __init__(self, now_us: int, config: ProtocolConfig) -> None:
@@ -29,21 +29,21 @@
         self.refill_interval_us = int(_US_PER_S / config.messages_per_second)
 
     def has_token(self, now_us: int) -> bool:
-        """Tell whether a message that is not a reply may be sent."""
+        """Return whether a message that is not a reply may be sent."""
         self._refill(now_us)
         return self._tokens >= 1
 
     def try_spend(self, now_us: int, *, is_reply: bool) -> bool:
-        """Spend a token if there is one; replies may overdraw."""
+        """Spend a token if one is available; replies may overdraw the budget."""
         self._refill(now_us)
-        least_tokens = 1 - REPLY_OVERDRAFT if is_reply else 1
-        if self._tokens < least_tokens:
+        min_tokens = 1 - REPLY_OVERDRAFT if is_reply else 1
+        if self._tokens < min_tokens:
             return False
         self._tokens -= 1
         return True
 
     def fingerprint(self) -> object:
-        """Return all that later decisions depend on, as a hashable value."""
+        """Return the state that later decisions depend on, as a hashable value."""
         return round(self._tokens, 3)
 
     def _refill(self, now_us: int) -> None:
--- a/larchhaven/membership/message_sender.py
+++ b/larchhaven/membership/message_sender.py
@@ -1,4 +1,4 @@
-"""Builds the messages of the local member, within its budget and with piggybacked updates."""
+"""Builds and sends messages within the message budget, with piggybacked updates."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
     """Sends messages as actions of the current batch; owns the sequence numbers.
 
     Args:
-        context: What all parts of the protocol share.
-        table: What is known of the members.
-        local: The local member, whose stamp is on each message.
-        queue: The updates to be piggybacked.
-        budget: Bounds the messages.
+        context: Objects that all components of the protocol share.
+        table: The member table.
+        local: The local member, whose stamp is part of each message.
+        queue: The pending updates, which are piggybacked.
+        budget: Limits the messages.
     """
 
     def __init__(
@@ -51,7 +51,7 @@
 
     @property
     def refill_interval_us(self) -> int:
-        """How long it takes until the budget allows one more message."""
+        """Time until the budget allows one more message, in microseconds."""
         return self._budget.refill_interval_us
 
     def next_sequence(self) -> int:
@@ -60,7 +60,7 @@
         return self._sequence
 
     def may_send(self) -> bool:
-        """Tell whether the budget allows a message that is not a reply."""
+        """Return whether the budget allows a message that is not a reply."""
         return self._budget.has_token(self._batch.now_us)
 
     def send(
@@ -76,10 +76,10 @@
         """Send a message with piggybacked updates.
 
         Args:
-            kind: Its purpose.
-            receiver: Who gets it.
-            sequence: Matches an answer with its ping or request.
-            target: The member that is probed.
+            kind: The purpose of the message.
+            receiver: The member that it is sent to.
+            sequence: Matches a reply with its ping or request.
+            target: The probed member.
             digests: Digests of the view, in push-pull messages.
             is_reply: Whether the message may overdraw the budget.
 
@@ -105,7 +105,7 @@
         states: tuple[StateUpdate, ...],
         infos: tuple[InfoUpdate, ...] = (),
     ) -> bool:
-        """Send these updates and nothing else; return whether the budget allowed it."""
+        """Send the given updates without any others; return whether the budget allowed it."""
         if not self._spend(is_reply=False):
             return False
         stamp = self._local.stamp
@@ -122,7 +122,7 @@
         return True
 
     def fingerprint(self) -> tuple[object, ...]:
-        """Return all that later messages depend on, as a hashable value."""
+        """Return the state that later messages depend on, as a hashable value."""
         return self._sequence, self._budget.fingerprint()
 
     def _spend(self, is_reply: bool) -> bool:
--- a/larchhaven/membership/messages.py
+++ b/larchhaven/membership/messages.py
@@ -1,4 +1,4 @@
-"""The messages that members exchange, as typed values; ``codec`` has their bytes."""
+"""Messages that members exchange, as typed values; ``codec`` encodes them."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 from larchhaven.membership.member import NO_STAMP, Member, MemberInfo
 
-# In place of a member number where there is none.
+# The value of a member number that is absent.
 NO_MEMBER = 0xFFFF
-# The view is compared in this many buckets, stamps and infos separately.
+# Views are compared in this many buckets, with separate digests for stamps and infos.
 DIGEST_BUCKETS = 16
 
 
@@ -27,12 +27,12 @@
 
 @dataclass(frozen=True, slots=True)
 class StateUpdate:
-    """The stamp of a member, and who suspects it or declared it dead.
+    """The stamp of a member, and a member that suspects it or declared it dead.
 
     Attributes:
         number: The member that the update is about.
         stamp: Its incarnation and state.
-        accuser: Who suspects it or declared it dead, or ``NO_MEMBER``.
+        accuser: A member that suspects it or declared it dead, or ``NO_MEMBER``.
     """
 
     number: int
@@ -41,19 +41,19 @@
 
     @classmethod
     def from_member(cls, member: Member) -> StateUpdate:
-        """Return the update that passes on what is known of a member."""
-        accuser = member.accusers[0] if member.accusers else NO_MEMBER
-        return cls(member.number, member.stamp, accuser)
+        """Return the update that passes on a member's record."""
+        suspector = member.accusers[0] if member.accusers else NO_MEMBER
+        return cls(member.number, member.stamp, suspector)
 
 
 @dataclass(frozen=True, slots=True)
 class InfoUpdate:
-    """What a member says of itself, as passed on by any member.
+    """The info of a member, which any member may pass on.
 
     Attributes:
         number: The member that the update is about.
-        incarnation: The incarnation at which it said so.
-        info: What it says of itself.
+        incarnation: The incarnation at which it announced the info.
+        info: The info.
     """
 
     number: int
@@ -63,19 +63,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """One message.
+    """One message between two members.
 
     Attributes:
-        kind: Its purpose.
+        kind: The purpose of the message.
         sender: The sender's number in the peer table.
         receiver: The receiver's number in the sender's peer table.
         stamp: The sender's own stamp, ``NO_STAMP`` before it has joined.
         sequence: Matches an ack or nack with its ping or request.
-        target: The member that is probed, or ``NO_MEMBER``.
-        state_updates: Piggybacked updates of stamps.
+        target: The probed member, or ``NO_MEMBER``.
+        state_updates: Piggybacked state updates.
         digests: Digests of the sender's view, in push-pull messages only.
-        info_updates: Piggybacked infos.
-        session_id: Drawn at the start of the sender's process; filled in by the authenticator.
+        info_updates: Piggybacked info updates.
+        session_id: Random number of the sender's process; filled in by the authenticator.
         counter: Raised with each message of a session; filled in by the authenticator.
     """
 
--- a/larchhaven/membership/partition.py
+++ b/larchhaven/membership/partition.py
@@ -1,11 +1,11 @@
-"""How many members are present, how sure that is, and which side of a network partition this is.
-
-By messages alone nobody can tell a partition from deaths. What can be told is which share of the
-members that last agreed is still present: a majority of them may act for the fleet, as no other
-side can be a majority too. The set that last agreed moves on only where a majority of it is
-present (dynamic voting, Jajodia and Mutchler 1990). So the smaller side of a long partition waits
-for ever, as it should, and so do the survivors when over half die within ``AGREEMENT_DELAY_US``
-of each other. Whoever leaves as planned is taken out of the set.
+"""Partition status: how many members are present, and which side of a partition this is.
+
+Messages alone cannot distinguish a network partition from deaths. They do show which share of the
+last agreed set of members is still present. A majority of that set may act for the fleet, because
+no other side can have a majority too. A side replaces the agreed set only if it has a majority of
+it (dynamic voting, Jajodia and Mutchler 1990). The smaller side of a long partition therefore
+waits indefinitely, as intended. So do the survivors if more than half of the members die within
+``AGREEMENT_DELAY_US`` of each other. Members that leave as planned are removed from the set.
 """
 
 from __future__ import annotations
@@ -17,31 +17,31 @@
 from larchhaven.membership.member import MemberState
 from larchhaven.membership.view import MembershipView
 
-# A view without suspects that has not changed for so long counts as agreed upon by all.
+# A view without suspects that is unchanged for this long counts as agreed by all members.
 AGREEMENT_DELAY_US = 10_000_000
 
 
 class PartitionSide(Enum):
-    """Which side of a network partition the local member is on; operators read the values."""
+    """The local member's side of a network partition; operators read the values."""
 
     WHOLE = "whole"
     MAJORITY = "majority"
     MINORITY = "minority"
-    UNKNOWN = "unknown"  # nothing was agreed yet
+    UNKNOWN = "unknown"  # no set of members has been agreed yet
 
 
 @dataclass(frozen=True, slots=True)
 class PartitionStatus:
-    """How many members are present, and what follows from it.
+    """Number of present members, and the partition status derived from it.
 
     Attributes:
-        present_count: How many are present.
-        agreed_count: How many were present when all last agreed, without those that left since.
-        table_size: How many entries the peer table has.
-        confidence_ratio: The share of the present members that are not suspected; 0 while the view
-            is not synchronized.
-        side: Which side of a partition this is.
-        lost_zones: Zones that had members when all last agreed, and have none present.
+        present_count: Number of present members.
+        agreed_count: Size of the last agreed set, without members that have left since.
+        table_size: Number of entries in the peer table.
+        confidence_ratio: Share of the present members that are not suspected; 0 while the view is
+            not synchronized.
+        side: The local member's side of a partition.
+        lost_zones: Zones with members in the last agreed set, but no present member.
     """
 
     present_count: int
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Observation:
-    """What has to stay the same until the members count as agreed."""
+    """Properties of a view that must not change until its members count as agreed."""
 
     present: frozenset[int]
     suspect_count: int
@@ -62,30 +62,30 @@
 
 
 def presumed_present(view: MembershipView, status: PartitionStatus) -> frozenset[int]:
-    """Return the members among whom work for the whole fleet is divided.
+    """Return the members among which work for the whole fleet is divided.
 
-    Only a majority may take others out, while its view is synchronized: a smaller side may be cut
-    off from proxies that go on working. A member that was never heard of may be about to start, and
-    is included.
+    Only a majority with a synchronized view may exclude members: a smaller side may be cut off from
+    proxies that continue to work. A member without a record is included, because it may be about to
+    start.
     """
-    everybody = frozenset(range(view.table_size))
+    all_numbers = frozenset(range(view.table_size))
     if not view.is_synchronized:
-        return everybody
+        return all_numbers
     if status.side not in (PartitionSide.WHOLE, PartitionSide.MAJORITY):
-        return everybody
-    gone_states = (MemberState.DEAD, MemberState.LEFT)
+        return all_numbers
+    absent_states = (MemberState.DEAD, MemberState.LEFT)
     return frozenset(
         number
-        for number in everybody
-        if number == view.own_number or view.state_of(number) not in gone_states
+        for number in all_numbers
+        if number == view.own_number or view.state_of(number) not in absent_states
     )
 
 
 class PartitionTracker:
-    """Owns the set of members that were present when all last agreed.
+    """Owns the last agreed set: the members that were present when all views last agreed.
 
     Attributes:
-        agreed: That set, without those that have left since.
+        agreed: The last agreed set, without members that have left since.
     """
 
     def __init__(self) -> None:
@@ -94,7 +94,10 @@
         self._agreement_due_us = 0
 
     def update(self, now_us: int, view: MembershipView) -> PartitionStatus:
-        """Return the status of a view; call it with each new view and now and then between."""
+        """Return the status of a view.
+
+        Must be called with each new view, and periodically in between.
+        """
         present = frozenset(view.present_numbers())
         suspect_count = sum(
             1 for member in view.present_members() if member.state is MemberState.SUSPECT
@@ -132,7 +135,7 @@
         if remaining == len(self.agreed):
             return PartitionSide.WHOLE
         if 2 * remaining == len(self.agreed):
-            # Of two halves the one with the smallest number counts as the majority.
+            # Of two equal halves, the one with the smallest number counts as the majority.
             has_majority = min(self.agreed) in present
         else:
             has_majority = 2 * remaining > len(self.agreed)
--- a/larchhaven/membership/probe_order.py
+++ b/larchhaven/membership/probe_order.py
@@ -1,4 +1,4 @@
-"""Owns the order in which the present members are probed."""
+"""The order in which the present members are probed."""
 
 from __future__ import annotations
 
@@ -7,24 +7,24 @@
 
 
 class ProbeOrder:
-    """A shuffled round of all present members, as in SWIM: each is probed once a round.
+    """Shuffled rounds of the present members, as in SWIM: each is probed once per round.
 
     Args:
-        table: What is known of the members.
-        rng: Random numbers.
+        table: The member table.
+        rng: Source of random numbers.
     """
 
     def __init__(self, table: MemberTable, rng: RandomSource) -> None:
         self._table = table
         self._rng = rng
-        self._round: list[int] = []  # the next one is last
+        self._round: list[int] = []  # the next target is at the end
 
     def put_first(self, number: int) -> None:
-        """Make a member the next one."""
+        """Make a member the next target."""
         self._round.append(number)
 
     def next_target(self) -> int | None:
-        """Return the next member to probe, or None if no other one is present."""
+        """Return the next member to probe, or None if no other member is present."""
         target = self._pop_present()
         if target is not None:
             return target
@@ -32,7 +32,7 @@
         return self._pop_present()
 
     def fingerprint(self) -> tuple[object, ...]:
-        """Return all that later choices depend on, as a hashable value."""
+        """Return the state that later choices depend on, as a hashable value."""
         return tuple(self._round)
 
     def _pop_present(self) -> int | None:
--- a/larchhaven/membership/probing.py
+++ b/larchhaven/membership/probing.py
@@ -1,7 +1,7 @@
-"""Probes one other member each interval, directly and then through others, and suspects the silent.
+"""Probes one other member per interval, directly and then indirectly; suspects it without an ack.
 
-This is SWIM's failure detector with Lifeguard's nacks: a helper that reports that the target did
-not answer shows that the local member can still be heard.
+This is SWIM's failure detector with Lifeguard's nacks: a helper sends a nack if the target did not
+answer it. A nack also shows that the local member can still exchange messages with the helper.
 """
 
 from __future__ import annotations
@@ -35,11 +35,11 @@
     is_acked: bool = False
 
     def needs_indirect_probes(self, now_us: int) -> bool:
-        """Tell whether the direct probe was not answered in time, and nobody was asked yet."""
+        """Return whether the direct probe timed out and indirect probes were not requested yet."""
         return not self.is_acked and not self.is_indirect and now_us >= self.direct_deadline_us
 
     def next_deadline_us(self) -> int:
-        """Return when there is something to do for it."""
+        """Return when the next timeout of the probe is due."""
         if self.is_indirect or self.is_acked:
             return self.deadline_us
         return self.direct_deadline_us
@@ -49,12 +49,12 @@
     """Owns the probe under way.
 
     Args:
-        context: What all parts of the protocol share.
-        table: What is known of the members.
-        sender: Sends pings and requests.
-        order: Whom to probe next.
-        merger: Takes the suspicions.
-        synchronizer: Tells whether the own observations count.
+        context: Objects that all components of the protocol share.
+        table: The member table.
+        sender: Sends pings and indirect probe requests.
+        order: Chooses the next member to probe.
+        merger: Applies the suspicions.
+        synchronizer: Tells whether local observations are trusted.
         health: The local health.
     """
 
@@ -88,17 +88,20 @@
         return self._probe is not None
 
     def start(self) -> None:
-        """Begin within an interval: members that start together do not probe at the same moment."""
+        """Schedule the first probe at a random time within one interval.
+
+        Otherwise members that start together would send their probes at the same time.
+        """
         delay_us = int(self._config.probe_interval_us * self._rng.random())
         self._next_probe_us = self._batch.now_us + delay_us
 
     def abandon_probe(self, next_probe_us: int) -> None:
-        """Forget the probe under way; the next one begins at the given time."""
+        """Abandon the probe under way, and schedule the next one for the given time."""
         self._probe = None
         self._next_probe_us = next_probe_us
 
     def run_timers(self) -> None:
-        """Ask for indirect probes, end the probe and begin the next one, as each is due."""
+        """Request indirect probes, end the current probe and begin the next one when due."""
         now_us = self._batch.now_us
         probe = self._probe
         if probe is not None and probe.needs_indirect_probes(now_us):
@@ -111,7 +114,7 @@
             self._begin_probe()
 
     def handle_answer(self, message: Message) -> bool:
-        """Take an ack or nack; return whether it belongs to the probe under way."""
+        """Handle an ack or nack; return whether it belongs to the probe under way."""
         probe = self._probe
         if probe is None:
             return False
@@ -125,13 +128,13 @@
         return True
 
     def next_deadline_us(self) -> int:
-        """Return when ``run_timers`` has something to do."""
+        """Return when ``run_timers`` has work to do."""
         if self._probe is not None:
             return self._probe.next_deadline_us()
         return self._next_probe_us
 
     def fingerprint(self) -> tuple[object, ...]:
-        """Return all that later decisions depend on, as a hashable value."""
+        """Return the state that later decisions depend on, as a hashable value."""
         probe = self._probe
         schedule = (self._next_probe_us, self._order.fingerprint())
         if probe is None:
@@ -173,7 +176,7 @@
                 probe.indirect_requests += 1
 
     def _handle_failure(self, probe: _Probe) -> None:
-        """Suspect the target; without all nacks the fault may be here."""
+        """Suspect the target; if nacks are missing, the fault may be on the local side."""
         self._counters[ProtocolCounter.PROBES_FAILED] += 1
         if not probe.indirect_requests or probe.nacks < probe.indirect_requests:
             self._health.degrade()
--- a/larchhaven/membership/rendezvous.py
+++ b/larchhaven/membership/rendezvous.py
@@ -1,9 +1,10 @@
-"""Rendezvous hashing: which present members are responsible for a key, spread over zones.
+"""Rendezvous hashing: chooses the present members responsible for a key, spread over zones.
 
 Each proxy ranks the present members by a hash of key and number (Thaler, Ravishankar 1998).
 Members with equal views choose the same ones, and a death moves only the keys of the dead member.
-The ranking is then taken zone by zone, so that the loss of a zone takes one of several with it.
-Suspected members stay responsible, as suspicions are often wrong.
+The best member of each zone is chosen before the second best of any, so that the loss of a zone
+affects as few of the chosen members as possible. Suspected members remain responsible, because
+suspicions are often wrong.
 """
 
 from __future__ import annotations
@@ -33,13 +34,13 @@
     """Choose members for a key.
 
     Args:
-        view: Who is present.
-        key: What they are responsible for.
-        count: How many are wanted; fewer are chosen if fewer are present.
-        excluded: Numbers that must not be chosen, such as the own one.
+        view: The view with the present members.
+        key: The key that they are responsible for.
+        count: Number of members to choose; fewer are chosen if fewer are present.
+        excluded: Numbers that must not be chosen, such as the local member's.
 
     Returns:
-        Their numbers, the most responsible one first.
+        The numbers of the chosen members, in order of responsibility.
     """
     excluded_numbers = set(excluded)
     candidates = sorted(
--- a/larchhaven/membership/sampling.py
+++ b/larchhaven/membership/sampling.py
@@ -6,7 +6,7 @@
 
 from larchhaven.membership.messages import NO_MEMBER
 
-# Below this share of the candidates it is cheaper to draw again than to shuffle a copy.
+# With more than this many candidates per draw, redrawing duplicates is cheaper than shuffling.
 _SPARSE_FACTOR = 4
 
 
@@ -20,12 +20,12 @@
 def sample(
     rng: RandomSource, count: int, candidates: list[int], excluded: int = NO_MEMBER
 ) -> list[int]:
-    """Draw distinct candidates.
+    """Draw distinct candidates at random.
 
     Args:
-        rng: Where random numbers come from.
-        count: How many are wanted; fewer are drawn if there are fewer candidates.
-        candidates: Distinct numbers.
+        rng: Source of random numbers.
+        count: Number of candidates to draw; fewer are drawn if there are not enough.
+        candidates: The numbers to draw from, without duplicates.
         excluded: A number that must not be drawn.
     """
     if _SPARSE_FACTOR * count < len(candidates):
--- a/larchhaven/membership/state_exchange.py
+++ b/larchhaven/membership/state_exchange.py
@@ -19,7 +19,7 @@
 )
 from larchhaven.membership.sampling import sample
 
-# Messages of exchanges that wait for the budget; what is beyond is dropped until the next exchange.
+# Messages that wait for the budget; further ones are dropped, and the next exchange repeats them.
 MAX_PENDING_MESSAGES = 128
 
 
@@ -33,14 +33,14 @@
 
 
 class StateExchange:
-    """Owns the schedule of push-pull exchanges, and their messages that wait to be sent.
+    """Owns the schedule of push-pull exchanges and their pending messages.
 
-    A present member is asked now and then, and an absent one more often: its answer is how the end
-    of a network partition is noticed.
+    A present member is asked at intervals, and an absent one more often: an answer of an absent
+    member is how the end of a network partition is detected.
 
     Args:
-        context: What all parts of the protocol share.
-        table: What is known of the members.
+        context: Objects that all components of the protocol share.
+        table: The member table.
         sender: Sends the messages.
     """
 
@@ -68,14 +68,14 @@
         self._sender.send(MessageKind.PUSH_PULL_REQUEST, receiver, digests=digests)
 
     def respond(self, receiver: int) -> None:
-        """Answer a request with the own digests."""
+        """Answer a request with the local digests."""
         digests = self._table.digests()
         self._sender.send(MessageKind.PUSH_PULL_RESPONSE, receiver, digests=digests, is_reply=True)
 
     def send_differences(self, receiver: int, digests: tuple[int, ...]) -> None:
-        """Send all that is known in the buckets whose digests differ.
+        """Send all records of the buckets whose digests differ.
 
-        What is known of the receiver itself comes first, infos come last.
+        The state of the receiver itself comes first, infos come last.
         """
         is_different = [
             own != other for own, other in zip(self._table.digests(), digests, strict=True)
@@ -91,7 +91,7 @@
         self.send_pending()
 
     def send_pending(self) -> None:
-        """Send messages that wait, as far as the budget allows."""
+        """Send pending messages as far as the budget allows."""
         while self._pending and self._sender.may_send():
             message = self._pending.popleft()
             self._sender.send_updates(message.receiver, message.states, message.infos)
@@ -107,17 +107,17 @@
             self._request_any(self._table.absent_peers())
 
     def next_deadline_us(self) -> int:
-        """Return when ``run_timers`` has something to do."""
+        """Return when ``run_timers`` has work to do."""
         return min(self._next_exchange_us, self._next_reconnect_us)
 
     def pending_deadline_us(self) -> int:
-        """Return when ``send_pending`` has something to do, or ``NEVER_US``."""
+        """Return when ``send_pending`` has work to do, or ``NEVER_US``."""
         if not self._pending:
             return NEVER_US
         return self._batch.now_us + self._sender.refill_interval_us
 
     def fingerprint(self) -> tuple[object, ...]:
-        """Return a hashable summary of the schedule and of what waits."""
+        """Return a hashable summary of the schedule and the pending messages."""
         return self._next_exchange_us, self._next_reconnect_us, len(self._pending)
 
     def _request_any(self, candidates: list[int]) -> None:
--- a/larchhaven/membership/synchronization.py
+++ b/larchhaven/membership/synchronization.py
@@ -1,4 +1,4 @@
-"""Owns whether the local view can be trusted, and asks others for theirs until it can."""
+"""Tracks whether the local view is up to date, and requests the views of others if it is not."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class ViewSynchronizer:
-    """Whether another member has confirmed the view since the start or the last pause.
+    """Tracks whether another member has confirmed the view since the start or the last pause.
 
-    Until then nobody is suspected or declared dead on the own observations. If nobody answers for
-    ``isolation_timeout_us`` they count again, as all others may be dead.
+    Until then local observations do not lead to suspicions or declarations of death. If no member
+    answers for ``isolation_timeout_us`` they are trusted again, because all others may be dead.
 
     Args:
-        context: What all parts of the protocol share.
-        table: What is known of the members.
+        context: Objects that all components of the protocol share.
+        table: The member table.
         local: The local member.
         exchange: Sends push-pull requests.
     """
@@ -40,17 +40,17 @@
         self._next_request_us = context.batch.now_us
 
     def mark_stale(self) -> None:
-        """Note that updates may have been missed."""
+        """Mark the view as stale, because updates may have been missed."""
         self._stale_since_us = self._next_request_us = self._batch.now_us
         self._table.set_synchronized(False)
 
     def mark_synchronized(self) -> None:
-        """Note that another member has answered a push-pull request."""
+        """Mark the view as confirmed, because a push-pull request was answered."""
         self._stale_since_us = None
         self._table.set_synchronized(True)
 
     def trusts_own_observations(self) -> bool:
-        """Tell whether a missing answer may count against another member."""
+        """Return whether a missing answer may lead to a suspicion or a declaration of death."""
         if not self._local.has_joined:
             return False
         since_us = self._stale_since_us
@@ -59,7 +59,7 @@
         return self._batch.now_us >= since_us + self._config.isolation_timeout_us
 
     def run_timers(self) -> None:
-        """Send a round of push-pull requests if one is due; they go to absent members too."""
+        """Send a round of push-pull requests if one is due, also to absent members."""
         now_us = self._batch.now_us
         if self._stale_since_us is None or now_us < self._next_request_us:
             return
@@ -68,9 +68,9 @@
             self._exchange.request(number)
 
     def next_deadline_us(self) -> int:
-        """Return when ``run_timers`` has something to do, or ``NEVER_US``."""
+        """Return when ``run_timers`` has work to do, or ``NEVER_US``."""
         return NEVER_US if self._stale_since_us is None else self._next_request_us
 
     def fingerprint(self) -> tuple[object, ...]:
-        """Return all that later decisions depend on, as a hashable value."""
+        """Return the state that later decisions depend on, as a hashable value."""
         return self._stale_since_us, self._next_request_us
--- a/larchhaven/membership/update_merger.py
+++ b/larchhaven/membership/update_merger.py
@@ -1,4 +1,4 @@
-"""Merges the updates that arrive into the member table: the larger stamp wins."""
+"""Merges received updates into the member table: the larger stamp wins."""
 
 from __future__ import annotations
 
@@ -22,19 +22,19 @@
 from larchhaven.membership.suspicion import SuspicionTable
 from larchhaven.membership.update_queue import UpdateQueue
 
-# On average twice as many members probe a suspected one next as have to confirm the suspicion:
-# until all come round to it could take seconds by chance.
+# On average, twice as many members probe a suspect next as are needed to confirm the suspicion.
+# In the usual probe order it could by chance take seconds until enough of them probe it.
 _PROBERS_PER_CONFIRMATION = 2
 
 
 class UpdateMerger:
-    """Applies updates to the member table, and passes on what is new.
+    """Applies updates to the member table, and queues new ones for others.
 
     Args:
-        context: What all parts of the protocol share.
-        table: What is known of the members.
-        queue: Takes the updates that others have to learn.
-        local: Gets the updates about the local member.
+        context: Objects that all components of the protocol share.
+        table: The member table.
+        queue: Receives the updates to be sent to others.
+        local: Receives the updates about the local member.
         suspicions: The suspicions that updates begin and end.
         probe_order: Decides which member is probed next.
     """
@@ -81,7 +81,7 @@
                 self._confirm_suspicion(member, update)
             return
         if member is not None and _implies_return(member, update):
-            # The member was back before it was accused: the host is notified of both, in order.
+            # The member was alive again in between: notify the host of both changes, in order.
             alive_stamp = make_stamp(stamp_incarnation(update.stamp), MemberState.ALIVE)
             self._table.put(replace(member, stamp=alive_stamp, accusers=()))
             member = self._table.get(number)
@@ -89,7 +89,7 @@
         self._queue.add_state(update)
 
     def apply_info(self, update: InfoUpdate) -> None:
-        """Apply an info update: the later incarnation wins, at one incarnation the larger info."""
+        """Apply an info update: the later incarnation wins, and at the same one the larger info."""
         number = update.number
         if number >= self._table.size:
             self._counters[ProtocolCounter.NUMBERS_BEYOND_TABLE] += 1
@@ -105,58 +105,58 @@
         self._queue.add_info(number)
 
     def declare_dead(self, number: int) -> None:
-        """Declare a suspected member dead, as it has not refuted in time."""
+        """Declare a suspected member dead that has not refuted in time."""
         member = self._table.get(number)
         suspicion = self._suspicions.get(number)
         self._suspicions.end(number)
         if suspicion is None or member is None or member.state is not MemberState.SUSPECT:
             return
         stamp = make_stamp(member.incarnation, MemberState.DEAD)
-        accusers = tuple(suspicion.accusers)
+        suspectors = tuple(suspicion.suspectors)
         self._table.put(
-            replace(member, stamp=stamp, learned_at_us=self._batch.now_us, accusers=accusers)
+            replace(member, stamp=stamp, learned_at_us=self._batch.now_us, accusers=suspectors)
         )
-        self._queue.add_state(StateUpdate(number, stamp, accusers[0]))
+        self._queue.add_state(StateUpdate(number, stamp, suspectors[0]))
 
-    def _accuser_of(self, update: StateUpdate) -> int:
+    def _suspector_of(self, update: StateUpdate) -> int:
         return update.accuser if update.accuser < self._table.size else NO_MEMBER
 
     def _confirm_suspicion(self, member: Member, update: StateUpdate) -> None:
         suspicion = self._suspicions.get(member.number)
         if suspicion is None:
             return
-        accuser = self._accuser_of(update)
-        if accuser != NO_MEMBER and suspicion.confirm(accuser):
-            confirmed = replace(member, accusers=tuple(suspicion.accusers))
+        suspector = self._suspector_of(update)
+        if suspector != NO_MEMBER and suspicion.confirm(suspector):
+            confirmed = replace(member, accusers=tuple(suspicion.suspectors))
             self._table.put(confirmed, quiet=True)
             self._queue.add_state(update)
 
     def _set_state(self, update: StateUpdate, previous: Member | None) -> None:
         number, stamp = update.number, update.stamp
-        accuser = self._accuser_of(update)
-        accusers = (accuser,) if accuser != NO_MEMBER else ()
+        suspector = self._suspector_of(update)
+        suspectors = (suspector,) if suspector != NO_MEMBER else ()
         info: MemberInfo | None = None
         info_incarnation = 0
         if previous is not None:
             info, info_incarnation = previous.info, previous.info_incarnation
         now_us = self._batch.now_us
-        self._table.put(Member(number, stamp, now_us, accusers, info, info_incarnation))
+        self._table.put(Member(number, stamp, now_us, suspectors, info, info_incarnation))
         if stamp_state(stamp) is MemberState.SUSPECT:
-            self._begin_suspicion(number, accuser)
+            self._begin_suspicion(number, suspector)
         else:
             self._suspicions.end(number)
 
-    def _begin_suspicion(self, number: int, accuser: int) -> None:
+    def _begin_suspicion(self, number: int, suspector: int) -> None:
         present_count = len(self._table.present_peers()) + 1
-        self._suspicions.begin(self._batch.now_us, number, accuser, present_count)
-        if accuser == self._table.own_number:
+        self._suspicions.begin(self._batch.now_us, number, suspector, present_count)
+        if suspector == self._table.own_number:
             return
         if self._rng.random() * present_count < self._wanted_probers:
             self._probe_order.put_first(number)
 
 
 def _implies_return(member: Member, update: StateUpdate) -> bool:
-    """Tell whether an absent member must have been alive again before this update was made."""
+    """Return whether an absent member must have been alive again before this update."""
     if member.is_present or stamp_incarnation(update.stamp) <= member.incarnation:
         return False
     return stamp_state(update.stamp) is not MemberState.ALIVE
--- a/larchhaven/membership/update_queue.py
+++ b/larchhaven/membership/update_queue.py
@@ -1,4 +1,4 @@
-"""Owns the updates that are piggybacked on messages until each was sent often enough."""
+"""Queue of updates that are piggybacked on messages, each a limited number of times."""
 
 from __future__ import annotations
 
@@ -23,18 +23,18 @@
 
 @dataclass(slots=True)
 class _PiggybackedUpdate:
-    """A state update, and how often it was sent."""
+    """A state update, and the number of times that it was sent."""
 
     update: StateUpdate
     transmissions: int = 0
 
 
 class UpdateQueue:
-    """The updates to be piggybacked; the one that was sent least recently is first.
+    """The pending updates; new ones are first, then those sent least recently.
 
     Args:
-        table: What is known of the members.
-        config: Limits of the protocol.
+        table: The member table.
+        config: Intervals, timeouts and limits.
     """
 
     def __init__(self, table: MemberTable, config: ProtocolConfig) -> None:
@@ -44,11 +44,11 @@
         # Infos can wait for the next push-pull exchange.
         self._info_transmissions = table_size_log2
         self._states: OrderedDict[int, _PiggybackedUpdate] = OrderedDict()
-        self._infos: OrderedDict[int, int] = OrderedDict()  # how often each was sent, by number
+        self._infos: OrderedDict[int, int] = OrderedDict()  # transmissions by member number
 
     @property
     def has_states(self) -> bool:
-        """Whether state updates wait to be sent."""
+        """Whether state updates are pending."""
         return bool(self._states)
 
     def pending_numbers(self) -> list[int]:
@@ -56,42 +56,42 @@
         return sorted(self._states)
 
     def add_state(self, update: StateUpdate) -> None:
-        """Send a state update before all that were sent already, in place of an older one."""
+        """Queue a state update at the front, in place of an older one about the same member."""
         self._states[update.number] = _PiggybackedUpdate(update)
         self._states.move_to_end(update.number, last=False)
 
     def add_info(self, number: int) -> None:
-        """Send the info of a member."""
+        """Queue the info of a member."""
         self._infos[number] = 0
 
     def take_states(
         self, receiver: int, room_bytes: int, *, include_receiver: bool
     ) -> tuple[StateUpdate, ...]:
-        """Choose the state updates for a message, and count that they are sent.
+        """Choose the state updates for a message, and count their transmission.
 
-        The receiver learns what is said of itself first: always if it is suspected, so that it can
-        refute.
+        An update about the receiver itself comes first. It is always included if the receiver is
+        suspected, so that it can refute.
 
         Args:
-            receiver: Who gets the message.
-            room_bytes: How many bytes there are.
-            include_receiver: Whether it learns so if it is not suspected either. It may be a new
-                member that has to take an incarnation above its last one.
+            receiver: The member that the message is sent to.
+            room_bytes: Number of bytes available.
+            include_receiver: Whether the receiver's state is included even if it is not suspected.
+                It may be a new member that has to take an incarnation above its last one.
         """
         limit = min(room_bytes // STATE_UPDATE_BYTES, MAX_STATE_UPDATES)
         chosen = list(islice(self._states, limit))
         if receiver in self._states:
             chosen = [receiver, *(number for number in chosen if number != receiver)][:limit]
         updates = [self._take_state(number) for number in chosen]
-        known = self._table.get(receiver)
-        if known is None or receiver in chosen:
+        receiver_record = self._table.get(receiver)
+        if receiver_record is None or receiver in chosen:
             return tuple(updates)
-        if include_receiver or known.state is MemberState.SUSPECT:
-            updates = [StateUpdate.from_member(known), *updates][:limit]
+        if include_receiver or receiver_record.state is MemberState.SUSPECT:
+            updates = [StateUpdate.from_member(receiver_record), *updates][:limit]
         return tuple(updates)
 
     def take_infos(self, room_bytes: int) -> tuple[InfoUpdate, ...]:
-        """Choose the info updates for a message, and count that they are sent."""
+        """Choose the info updates for a message, and count their transmission."""
         updates = []
         for number in list(islice(self._infos, room_bytes // MIN_INFO_UPDATE_BYTES)):
             member = self._table.get(number)
@@ -106,7 +106,7 @@
         return tuple(updates)
 
     def fingerprint(self) -> tuple[object, ...]:
-        """Return all that later choices depend on, as a hashable value."""
+        """Return the state that later choices depend on, as a hashable value."""
         states = tuple((state.update, state.transmissions) for state in self._states.values())
         return states, tuple(self._infos.items())
 
--- a/larchhaven/membership/view.py
+++ b/larchhaven/membership/view.py
@@ -1,4 +1,4 @@
-"""The numbered immutable view of the fleet that other packages read, and the changes of it."""
+"""The immutable, versioned view of the fleet that other packages read, and its changes."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberChanged:
-    """One member of the view has changed.
+    """A change of one member in the view.
 
     Attributes:
-        at_us: When, by the local monotonic clock.
-        previous_state: The state before; None if the member was unknown.
-        member: What is known of the member now.
+        at_us: The time of the change, by the local monotonic clock.
+        previous_state: The state before; None if the view had no record of the member.
+        member: The new record of the member.
         view_version: The version of the view that contains the change.
     """
 
@@ -29,15 +29,15 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipView:
-    """All that is known of the fleet at one moment. Immutable: whoever holds one may keep it.
+    """An immutable snapshot of the fleet as the local member sees it.
 
     Attributes:
         own_number: The index of the local member in the peer table.
-        table_size: How many entries the peer table has.
-        version: Raised with each change.
-        is_synchronized: False from the start, and from a pause of the local process, until another
-            member has answered a push-pull request.
-        members: What is known of each member, by number.
+        table_size: Number of entries in the peer table.
+        version: Raised with each change of a member.
+        is_synchronized: Whether another member has answered a push-pull request since the start,
+            and since the last pause of the local process.
+        members: The record of each member, by number.
     """
 
     own_number: int
@@ -47,11 +47,11 @@
     members: HashTrieMap[int, Member] = field(default_factory=HashTrieMap)
 
     def get(self, number: int) -> Member | None:
-        """Return what is known of a member, or None if it was never heard of."""
+        """Return the record of a member, or None if there is none."""
         return self.members.get(number)
 
     def state_of(self, number: int) -> MemberState | None:
-        """Return the state of a member, or None if it was never heard of."""
+        """Return the state of a member, or None if there is no record of it."""
         member = self.members.get(number)
         return None if member is None else member.state
 
@@ -64,8 +64,8 @@
         return sorted(member.number for member in self.present_members())
 
     def agrees_with(self, other: MembershipView) -> bool:
-        """Tell whether two views hold the same stamps and infos, whenever these were learned."""
-        return self._facts() == other._facts()
+        """Return whether both views have the same stamps and infos, regardless of the times."""
+        return self._stamps_and_infos() == other._stamps_and_infos()
 
-    def _facts(self) -> dict[int, tuple[int, object]]:
+    def _stamps_and_infos(self) -> dict[int, tuple[int, object]]:
         return {member.number: (member.stamp, member.info) for member in self.members.values()}
