--- a/tests/membership/harness.py
+++ b/tests/membership/harness.py
@@ -1,4 +1,4 @@
-"""Helpers for tests of the membership protocol: a member, messages to it, and time."""
+"""Helpers for membership protocol tests: create a member, send it messages and run its timers."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def synchronized_member(number: int = 0, size: int = 6, incarnation: int = 50) -> Membership:
-    """Return a member that knows that all others are alive, at incarnation 10."""
+    """Return a joined, synchronized member whose peers are all alive at incarnation 10."""
     info = MemberInfo(f"n{number}", number % 3)
     membership = Membership(0, number, size, info, incarnation, random.Random(1), CONFIG)
     peer = (number + 1) % size
@@ -43,22 +43,22 @@
     return membership
 
 
-def message_to(membership: Membership, sender: int, kind: MessageKind, **more: object) -> Message:
-    """Return a message from a member at incarnation 10."""
+def message_to(membership: Membership, sender: int, kind: MessageKind, **fields: object) -> Message:
+    """Return a message to a member, from a peer at incarnation 10."""
     stamp = make_stamp(10, MemberState.ALIVE)
-    return Message(kind, sender, membership.own_number, stamp, **more)  # type: ignore[arg-type]
+    return Message(kind, sender, membership.own_number, stamp, **fields)  # type: ignore[arg-type]
 
 
 def receive_updates(
     membership: Membership, now_us: int, *updates: StateUpdate, sender: int = 1
 ) -> list[Action]:
-    """Let a member receive state updates from another one."""
+    """Deliver state updates from a peer in a gossip message; return the resulting actions."""
     gossip = message_to(membership, sender, MessageKind.GOSSIP, state_updates=updates)
     return membership.receive(now_us, gossip)
 
 
 def sent_messages(actions: Sequence[Action], kind: MessageKind | None = None) -> list[Message]:
-    """Return the messages that are sent, of one kind or all."""
+    """Return the messages that the actions send, optionally of one kind only."""
     messages = [action.message for action in actions if isinstance(action, SendMessage)]
     return [message for message in messages if kind in (None, message.kind)]
 
@@ -71,12 +71,12 @@
 def run_until(
     membership: Membership, until_us: int, is_answered: Callable[[Message], bool]
 ) -> list[Action]:
-    """Let time pass; pings for which ``is_answered`` is true are acked at once."""
+    """Run timers up to a time; ack pings at once if ``is_answered`` returns true for them."""
     actions: list[Action] = []
     while membership.due_us <= until_us:
         now_us = membership.due_us
-        done = membership.run_timers(now_us)
-        for ping in sent_messages(done, MessageKind.PING):
+        new_actions = membership.run_timers(now_us)
+        for ping in sent_messages(new_actions, MessageKind.PING):
             if is_answered(ping):
                 stamp = membership.view.members[ping.receiver].stamp
                 ack = Message(
@@ -87,8 +87,8 @@
                     sequence=ping.sequence,
                     target=ping.target,
                 )
-                done += membership.receive(now_us, ack)
-        actions += done
+                new_actions += membership.receive(now_us, ack)
+        actions += new_actions
     return actions
 
 
--- a/tests/membership/test_datagrams.py
+++ b/tests/membership/test_datagrams.py
@@ -1,4 +1,4 @@
-"""The bytes of membership messages, and which datagrams are accepted."""
+"""Tests of the datagram encoding, and of the checks that reject datagrams."""
 
 from __future__ import annotations
 
@@ -84,11 +84,11 @@
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(MESSAGES, st.binary(max_size=16), st.integers(0, 255 * 8))
 def test_message_survives_encoding_and_damage_is_detected(
-    sent: Message, key: bytes, bit: int
+    message: Message, key: bytes, bit: int
 ) -> None:
-    data = encode(sent, key)
+    data = encode(message, key)
     assert len(data) <= MAX_DATAGRAM_BYTES
-    assert decode(data, (b"other", key)) == sent
+    assert decode(data, (b"other", key)) == message
     damaged = bytearray(data)
     damaged[bit // 8 % len(data)] ^= 1 << bit % 8
     with pytest.raises(DatagramError):
@@ -109,23 +109,23 @@
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(MESSAGES, st.binary(max_size=60))
-def test_any_body_with_a_valid_tag_is_decoded_or_rejected(sent: Message, tail: bytes) -> None:
-    """A sender with the key may be faulty or of another version: no other error is raised."""
-    body = (encode(sent)[:-TAG_BYTES] + tail)[: MAX_DATAGRAM_BYTES - TAG_BYTES]
-    authenticator = DatagramAuthenticator(sent.receiver % 8, 8, 1)
-    read = authenticator.open(body + compute_tag(body, b""))
-    membership = synchronized_member(sent.receiver % 6, 6)
-    if read is not None and read.receiver == membership.own_number:
-        membership.receive(1, read)
-    assert read is not None or sum(authenticator.rejected.values()) == 1
+def test_any_body_with_a_valid_tag_is_decoded_or_rejected(message: Message, tail: bytes) -> None:
+    """A faulty sender with a valid key, or another version, causes no error except a rejection."""
+    body = (encode(message)[:-TAG_BYTES] + tail)[: MAX_DATAGRAM_BYTES - TAG_BYTES]
+    authenticator = DatagramAuthenticator(message.receiver % 8, 8, 1)
+    opened = authenticator.open(body + compute_tag(body, b""))
+    membership = synchronized_member(message.receiver % 6, 6)
+    if opened is not None and opened.receiver == membership.own_number:
+        membership.receive(1, opened)
+    assert opened is not None or sum(authenticator.rejected.values()) == 1
 
 
-def test_fullest_messages_fit() -> None:
-    """Names of any length, 27 state updates, all digests: one message holds them in 256 bytes."""
+def test_largest_messages_fit_into_a_datagram() -> None:
+    """Messages with long names, 27 state updates or all digests stay within 256 bytes."""
     membership = Membership(0, 0, 200, MemberInfo("é" * 60), 5, random.Random(1), CONFIG)
     assert len(membership.info.name.encode()) <= MAX_NAME_BYTES
     for number in range(1, 200):
-        updates = InfoUpdate(number, 10, MemberInfo("x" * 60, 255, 9, 1 << 31, Capability(7)))
+        info_update = InfoUpdate(number, 10, MemberInfo("x" * 60, 255, 9, 1 << 31, Capability(7)))
         membership.receive(
             0,
             message_to(
@@ -136,7 +136,7 @@
             ),
         )
         membership.receive(
-            0, message_to(membership, 1, MessageKind.GOSSIP, info_updates=(updates,))
+            0, message_to(membership, 1, MessageKind.GOSSIP, info_updates=(info_update,))
         )
     membership.receive(
         0,
@@ -153,32 +153,32 @@
                 membership, 1, MessageKind.PUSH_PULL_REQUEST, digests=(0,) * 2 * DIGEST_BUCKETS
             ),
         )
-    sizes = [len(encode(each, b"k" * 32)) for each in sent_messages(actions)]
+    sizes = [len(encode(message, b"k" * 32)) for message in sent_messages(actions)]
     assert max(sizes) <= MAX_DATAGRAM_BYTES
-    assert max(len(each.state_updates) for each in sent_messages(actions)) == MAX_STATE_UPDATES
+    assert max(len(m.state_updates) for m in sent_messages(actions)) == MAX_STATE_UPDATES
 
 
 def test_replays_are_rejected_and_a_restarted_process_is_accepted() -> None:
     sender, authenticator = DatagramAuthenticator(1, 4, 7), DatagramAuthenticator(0, 4, 9)
-    made = [
+    datagrams = [
         sender.seal(Message(MessageKind.PING, 1, 0, make_stamp(5, MemberState.ALIVE)))
         for _ in range(REPLAY_WINDOW + 3)
     ]
-    assert authenticator.open(made[2])
-    assert authenticator.open(made[0])
-    assert authenticator.open(made[2]) is None
-    assert authenticator.open(made[0]) is None
-    assert authenticator.open(made[-1])
-    assert authenticator.open(made[1]) is None
+    assert authenticator.open(datagrams[2])
+    assert authenticator.open(datagrams[0])
+    assert authenticator.open(datagrams[2]) is None
+    assert authenticator.open(datagrams[0]) is None
+    assert authenticator.open(datagrams[-1])
+    assert authenticator.open(datagrams[1]) is None
     assert authenticator.rejected[RejectReason.REPLAY] == 3
-    again = DatagramAuthenticator(1, 4, 8)
+    restarted_sender = DatagramAuthenticator(1, 4, 8)
     assert authenticator.open(
-        again.seal(
+        restarted_sender.seal(
             Message(MessageKind.PUSH_PULL_REQUEST, 1, 0, 0, digests=(0,) * 2 * DIGEST_BUCKETS)
         )
     )
     assert authenticator.open(
-        again.seal(Message(MessageKind.PING, 1, 0, make_stamp(6, MemberState.ALIVE)))
+        restarted_sender.seal(Message(MessageKind.PING, 1, 0, make_stamp(6, MemberState.ALIVE)))
     )
     assert (
         authenticator.open(
@@ -198,13 +198,13 @@
     assert authenticator.open(DatagramAuthenticator(1, 4, 1, (b"stolen",)).seal(ping)) is None
     for other in (replace(ping, receiver=3), replace(ping, sender=9), replace(ping, sender=0)):
         assert authenticator.open(DatagramAuthenticator(1, 4, 1, (b"new",)).seal(other)) is None
-    # The datagram comes from another address.
+    # The source address belongs to another member than the sender in the header.
     assert (
         authenticator.open(DatagramAuthenticator(1, 4, 2, (b"new",)).seal(ping), sender=3) is None
     )
-    future = bytearray(encode(ping, b"new"))
-    future[1] += 1
-    assert authenticator.open(bytes(future)) is None
+    later_version = bytearray(encode(ping, b"new"))
+    later_version[1] += 1
+    assert authenticator.open(bytes(later_version)) is None
     assert authenticator.rejected == {
         RejectReason.TAG: 1,
         RejectReason.PEER_TABLE: 4,
@@ -213,7 +213,7 @@
 
 
 def test_bytes_of_datagrams_do_not_change() -> None:
-    """Proxies of different versions are in one fleet during an upgrade."""
+    """Proxies of different versions exchange datagrams during an upgrade."""
     ack = Message(
         MessageKind.ACK,
         3,
@@ -250,7 +250,7 @@
     return caught.value.reason
 
 
-def test_rejected_datagram_says_which_rule_it_breaks() -> None:
+def test_rejected_datagram_has_the_reason_of_its_first_violation() -> None:
     ping = encode(Message(MessageKind.PING, 0, 1))
 
     def changed(offset: int, value: int, extra: bytes = b"") -> bytes:
--- a/tests/membership/test_failure_detection.py
+++ b/tests/membership/test_failure_detection.py
@@ -1,4 +1,4 @@
-"""Probes, suspicions, local health, pauses of the own process. No sockets."""
+"""Tests of probes, suspicions, local health and pauses of the process, without sockets."""
 
 from __future__ import annotations
 
@@ -27,21 +27,21 @@
 )
 
 
-def test_silent_member_is_suspected_and_then_dead() -> None:
+def test_silent_member_is_suspected_and_then_declared_dead() -> None:
     membership = synchronized_member()
     actions = run_until(membership, 30 * SECOND_US, lambda ping: ping.target != 2)
     states = [c.member.state for c in changes_in(actions) if c.member.number == 2]
     assert states == [MemberState.SUSPECT, MemberState.DEAD]
     dead = next(c for c in changes_in(actions) if c.member.state is MemberState.DEAD)
-    assert dead.member.accusers == (0,)  # nobody confirmed it: the maximum timeout
-    accused = next(c for c in changes_in(actions) if c.member.state is MemberState.SUSPECT)
-    assert dead.at_us - accused.at_us >= int(
+    assert dead.member.accusers == (0,)  # without confirmations the timeout is the maximum
+    suspected = next(c for c in changes_in(actions) if c.member.state is MemberState.SUSPECT)
+    assert dead.at_us - suspected.at_us >= int(
         CONFIG.min_suspicion_us * CONFIG.suspicion_max_multiplier
     )
     assert all(membership.view.state_of(n) is MemberState.ALIVE for n in (0, 1, 3, 4, 5))
 
 
-def test_confirmations_shorten_the_timeout_of_accusers_only() -> None:
+def test_confirmations_shorten_the_timeout_of_suspectors_only() -> None:
     suspicion = Suspicion.begin(0, 1, 10, CONFIG)
     alone = suspicion.deadline_us(1)
     assert (
@@ -49,20 +49,20 @@
         == int(CONFIG.min_suspicion_us * CONFIG.suspicion_max_multiplier)
         == suspicion.deadline_us(9)
     )
-    assert not suspicion.confirm(1)  # the same accuser again
+    assert not suspicion.confirm(1)  # the same suspector again
     times = [alone]
-    for accuser in (2, 3, 4):
-        assert suspicion.confirm(accuser)
+    for suspector in (2, 3, 4):
+        assert suspicion.confirm(suspector)
         times.append(suspicion.deadline_us(1))
     assert times == sorted(times, reverse=True)
     assert times[-1] == CONFIG.min_suspicion_us
     assert suspicion.deadline_us(9) == alone
-    # With two members nobody else can confirm.
+    # With two members there is no other member to confirm.
     assert Suspicion.begin(0, 1, 2, CONFIG).deadline_us(1) == CONFIG.min_suspicion_us
 
 
 def ack_with_refutation(membership: Membership, ping: Message) -> list[Action]:
-    """Answer a ping; the suspected member 2 answers with a later incarnation."""
+    """Ack a ping; member 2 refutes its suspicion with a later incarnation."""
     incarnation = 11 if ping.receiver == 2 else 10
     stamp = make_stamp(incarnation, MemberState.ALIVE)
     ack = Message(
@@ -72,23 +72,27 @@
 
 
 def run_with_healing(membership: Membership, until_us: int, heals_at_us: int) -> list[Action]:
-    """Let time pass; 2 can be reached from a time on, the others always."""
+    """Run timers and ack pings; member 2 is unreachable before ``heals_at_us``."""
     actions: list[Action] = []
     while membership.due_us <= until_us:
         now_us = membership.due_us
-        done = membership.run_timers(now_us)
-        actions += done
-        for ping in sent_messages(done, MessageKind.PING):
+        new_actions = membership.run_timers(now_us)
+        actions += new_actions
+        for ping in sent_messages(new_actions, MessageKind.PING):
             if ping.receiver != 2 or now_us >= heals_at_us:
                 actions += ack_with_refutation(membership, ping)
     return actions
 
 
 def test_member_whose_network_heals_just_before_the_deadline_is_not_declared_dead() -> None:
-    """Guards healed partitions: the deadline passed before the next probe of the suspect."""
+    """A suspect is probed once more before its deadline.
+
+    Without that probe, a suspect whose partition heals after the previous regular probe is declared
+    dead although it can be reached again.
+    """
     membership = synchronized_member()
-    accused = StateUpdate(2, make_stamp(10, MemberState.SUSPECT), 0)
-    receive_updates(membership, 0, accused, sender=3)
+    suspicion_update = StateUpdate(2, make_stamp(10, MemberState.SUSPECT), 0)
+    receive_updates(membership, 0, suspicion_update, sender=3)
     deadline_us = Suspicion.begin(0, 0, 6, CONFIG).deadline_us(0)
     heals_at_us = deadline_us - CONFIG.probe_timeout_us
     actions = run_with_healing(membership, deadline_us + SECOND_US, heals_at_us)
@@ -96,44 +100,44 @@
     assert MemberState.DEAD not in [change.member.state for change in changes_in(actions)]
 
 
-def test_member_is_probed_once_more_when_accusers_cut_its_time_short() -> None:
+def test_suspect_is_probed_once_more_when_confirmations_shorten_its_timeout() -> None:
     membership = synchronized_member()
     stamp = make_stamp(10, MemberState.SUSPECT)
     receive_updates(membership, 0, StateUpdate(2, stamp, 0), sender=3)
     confirmed_at_us = 3 * SECOND_US + 1
     run_with_healing(membership, confirmed_at_us, heals_at_us=confirmed_at_us)
-    for accuser in (3, 4, 5):
-        confirmation = StateUpdate(2, stamp, accuser)
-        receive_updates(membership, confirmed_at_us, confirmation, sender=accuser)
+    for suspector in (3, 4, 5):
+        confirmation = StateUpdate(2, stamp, suspector)
+        receive_updates(membership, confirmed_at_us, confirmation, sender=suspector)
     actions = run_with_healing(membership, 5 * SECOND_US, heals_at_us=confirmed_at_us)
     assert membership.view.state_of(2) is MemberState.ALIVE
     assert MemberState.DEAD not in [change.member.state for change in changes_in(actions)]
 
 
-def test_accuser_probes_again_until_the_deadline() -> None:
-    """One ack from the suspected member, with a later incarnation, is enough."""
+def test_suspector_probes_again_until_the_deadline() -> None:
+    """A single ack with a later incarnation ends the suspicion."""
     membership = synchronized_member()
     receive_updates(
         membership, 10, StateUpdate(2, make_stamp(10, MemberState.SUSPECT), 0), sender=3
     )
-    asked = [
+    pings = [
         p
         for p in sent_messages(
             run_until(membership, 2 * SECOND_US, lambda ping: ping.target != 2), MessageKind.PING
         )
         if p.receiver == 2
     ]
-    assert len(asked) >= 3
-    assert all(p.state_updates[0].number == 2 for p in asked)
-    answer = Message(
+    assert len(pings) >= 3
+    assert all(p.state_updates[0].number == 2 for p in pings)
+    ack = Message(
         MessageKind.ACK,
         2,
         0,
         make_stamp(11, MemberState.ALIVE),
-        sequence=asked[-1].sequence,
+        sequence=pings[-1].sequence,
         target=2,
     )
-    membership.receive(2 * SECOND_US, answer)
+    membership.receive(2 * SECOND_US, ack)
     assert membership.view.state_of(2) is MemberState.ALIVE
     assert not membership.suspected_numbers()
 
@@ -142,15 +146,15 @@
     membership = synchronized_member()
     run_until(membership, 10 * SECOND_US, lambda ping: False)
     assert membership.health.score > 2
-    period = membership.health.scale_us(CONFIG.probe_interval_us)
-    assert period == CONFIG.probe_interval_us * (membership.health.score + 1)
+    interval_us = membership.health.scale_us(CONFIG.probe_interval_us)
+    assert interval_us == CONFIG.probe_interval_us * (membership.health.score + 1)
     for _ in range(20):
         membership.health.improve()
     assert membership.health.scale_us(CONFIG.probe_interval_us) == CONFIG.probe_interval_us
 
 
-def test_pause_of_the_process_is_noticed_and_nothing_is_trusted() -> None:
-    """A process that was paused for ten seconds declares nobody dead, whatever its socket held."""
+def test_process_pause_is_detected_and_marks_the_view_as_stale() -> None:
+    """After a pause of ten seconds no member is declared dead, whatever the socket has buffered."""
     membership = synchronized_member()
     receive_updates(
         membership, 10, StateUpdate(2, make_stamp(10, MemberState.SUSPECT), 0), sender=3
@@ -164,7 +168,7 @@
     assert membership.counters[ProtocolCounter.PROCESS_PAUSES] == 1
     assert not membership.view.is_synchronized
     assert not [c for c in changes_in(actions) if c.member.state is MemberState.DEAD]
-    assert sent_messages(actions, MessageKind.PUSH_PULL_REQUEST)  # it asks others at once
+    assert sent_messages(actions, MessageKind.PUSH_PULL_REQUEST)  # sent at once
     membership.receive(
         12 * SECOND_US + 10,
         message_to(membership, 1, MessageKind.PUSH_PULL_RESPONSE, digests=membership.digests()),
--- a/tests/membership/test_partition.py
+++ b/tests/membership/test_partition.py
@@ -1,4 +1,4 @@
-"""Partition status, and which members are responsible for a key."""
+"""Tests of the partition status, and of the choice of members responsible for a key."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 def view_of(
     states: dict[int, MemberState], zones: int = 3, is_synchronized: bool = True
 ) -> MembershipView:
-    made = MembershipView(0, 64, 1, is_synchronized)
+    view = MembershipView(0, 64, 1, is_synchronized)
     for number, state in states.items():
-        one = Member(
+        member = Member(
             number, make_stamp(1, state), 0, (), MemberInfo(f"n{number}", number % zones), 1
         )
-        made = replace(made, members=made.members.insert(number, one))
-    return made
+        view = replace(view, members=view.members.insert(number, member))
+    return view
 
 
 @settings(max_examples=100, deadline=None, derandomize=True)
@@ -76,37 +76,37 @@
 
 
 def test_weights_do_not_change() -> None:
-    """Proxies of different versions have to choose the same members."""
+    """Proxies of different versions must choose the same members."""
     assert rendezvous_weight(b"key", 7) == 8905555666779977681
 
 
-def test_partition_side_follows_from_the_last_agreement() -> None:
+def test_partition_side_follows_from_the_last_agreed_set() -> None:
     tracker = PartitionTracker()
     complete = dict.fromkeys(range(6), MemberState.ALIVE)
     assert tracker.update(0, view_of(complete)).side is PartitionSide.UNKNOWN
     assert tracker.update(AGREEMENT_DELAY_US, view_of(complete)).side is PartitionSide.WHOLE
-    larger = {**complete, 0: MemberState.DEAD, 3: MemberState.DEAD}
-    status = tracker.update(AGREEMENT_DELAY_US + 1, view_of(larger))
+    majority = {**complete, 0: MemberState.DEAD, 3: MemberState.DEAD}
+    status = tracker.update(AGREEMENT_DELAY_US + 1, view_of(majority))
     assert (status.side, status.present_count, status.agreed_count, status.lost_zones) == (
         PartitionSide.MAJORITY,
         4,
         6,
         (0,),
     )
-    smaller = {n: MemberState.ALIVE if n in (0, 3) else MemberState.DEAD for n in range(6)}
-    for late in range(1, 20):  # however long it lasts
-        status = tracker.update(AGREEMENT_DELAY_US * (1 + late), view_of(smaller))
+    minority = {n: MemberState.ALIVE if n in (0, 3) else MemberState.DEAD for n in range(6)}
+    for periods in range(1, 20):  # for any duration
+        status = tracker.update(AGREEMENT_DELAY_US * (1 + periods), view_of(minority))
         assert (status.side, status.agreed_count) == (PartitionSide.MINORITY, 6)
-    half = {n: MemberState.ALIVE if n < 3 else MemberState.DEAD for n in range(6)}
-    other = {n: MemberState.ALIVE if n >= 3 else MemberState.DEAD for n in range(6)}
-    # This half has the lowest number.
-    assert tracker.update(30 * AGREEMENT_DELAY_US, view_of(half)).side is PartitionSide.MAJORITY
-    fresh = PartitionTracker()
-    fresh.agreed = frozenset(range(6))
-    assert fresh.update(0, view_of(other)).side is PartitionSide.MINORITY
-    gone = {n: MemberState.ALIVE if n in (0, 3) else MemberState.LEFT for n in range(6)}
-    # Members that left do not count.
-    assert fresh.update(1, view_of(gone)).side is PartitionSide.WHOLE
+    lower = {n: MemberState.ALIVE if n < 3 else MemberState.DEAD for n in range(6)}
+    upper = {n: MemberState.ALIVE if n >= 3 else MemberState.DEAD for n in range(6)}
+    # This half has the member with the smallest number.
+    assert tracker.update(30 * AGREEMENT_DELAY_US, view_of(lower)).side is PartitionSide.MAJORITY
+    other_tracker = PartitionTracker()
+    other_tracker.agreed = frozenset(range(6))
+    assert other_tracker.update(0, view_of(upper)).side is PartitionSide.MINORITY
+    left = {n: MemberState.ALIVE if n in (0, 3) else MemberState.LEFT for n in range(6)}
+    # Members that left do not count towards the agreed set.
+    assert other_tracker.update(1, view_of(left)).side is PartitionSide.WHOLE
 
 
 def test_confidence_falls_with_suspects_and_after_a_pause() -> None:
@@ -119,28 +119,31 @@
     }
     assert tracker.update(0, view_of(states)).confidence_ratio == 0.5
     assert tracker.update(0, view_of(states, is_synchronized=False)).confidence_ratio == 0.0
-    # Nothing is agreed with suspects.
+    # A view with suspects is never agreed.
     assert tracker.update(9 * AGREEMENT_DELAY_US, view_of(states)).side is PartitionSide.UNKNOWN
 
 
-def test_only_a_synchronized_majority_takes_others_out() -> None:
-    """Work for all is divided among the rest: the minority side must not take all of it."""
+def test_only_a_synchronized_majority_excludes_members() -> None:
+    """Work for the fleet is divided among the members that are not excluded.
+
+    A minority side that excluded the other members would take over all of their work.
+    """
     tracker = PartitionTracker()
     complete = dict.fromkeys(range(6), MemberState.ALIVE)
     assert presumed_present(view_of(complete), tracker.update(0, view_of(complete))) == frozenset(
         range(64)
     )
     tracker.update(AGREEMENT_DELAY_US, view_of(complete))
-    lost = {**complete, 1: MemberState.DEAD, 2: MemberState.LEFT, 3: MemberState.SUSPECT}
-    seen = view_of(lost)
-    assert presumed_present(seen, tracker.update(AGREEMENT_DELAY_US + 1, seen)) == frozenset(
+    states = {**complete, 1: MemberState.DEAD, 2: MemberState.LEFT, 3: MemberState.SUSPECT}
+    view = view_of(states)
+    assert presumed_present(view, tracker.update(AGREEMENT_DELAY_US + 1, view)) == frozenset(
         range(64)
     ) - {1, 2}
-    unsure = view_of(lost, is_synchronized=False)
-    assert presumed_present(unsure, tracker.update(AGREEMENT_DELAY_US + 2, unsure)) == frozenset(
+    stale = view_of(states, is_synchronized=False)
+    assert presumed_present(stale, tracker.update(AGREEMENT_DELAY_US + 2, stale)) == frozenset(
         range(64)
     )
-    small = view_of({n: MemberState.ALIVE if n < 2 else MemberState.DEAD for n in range(6)})
-    assert presumed_present(small, tracker.update(AGREEMENT_DELAY_US + 3, small)) == frozenset(
+    smaller = view_of({n: MemberState.ALIVE if n < 2 else MemberState.DEAD for n in range(6)})
+    assert presumed_present(smaller, tracker.update(AGREEMENT_DELAY_US + 3, smaller)) == frozenset(
         range(64)
     )
--- a/tests/membership/test_protocol.py
+++ b/tests/membership/test_protocol.py
@@ -1,4 +1,4 @@
-"""Which update wins, joining, refutation, the message budget, smallest fleets. No sockets."""
+"""Tests of update precedence, joining, refutation, the message budget and small fleets."""
 
 from __future__ import annotations
 
@@ -40,47 +40,47 @@
 def test_updates_in_any_order_and_again_give_the_same_view(
     updates: list[StateUpdate], rng: random.Random, again: bool
 ) -> None:
-    """Views merge by taking maxima: members with the same updates have the same view."""
-    one, other = synchronized_member(), synchronized_member()
+    """Merging is commutative and idempotent: members with the same updates have the same view."""
+    first, second = synchronized_member(), synchronized_member()
     for update in updates:
-        seen = {m.number: m.stamp for m in one.view.members.values()}
-        for change in changes_in(receive_updates(one, 1, update, sender=5)):
+        previous_stamps = {m.number: m.stamp for m in first.view.members.values()}
+        for change in changes_in(receive_updates(first, 1, update, sender=5)):
             assert (change.previous_state, change.member.state) != (
                 MemberState.LEFT,
                 MemberState.SUSPECT,
             )
-        assert all(one.view.members[n].stamp >= stamp for n, stamp in seen.items())
+        assert all(first.view.members[n].stamp >= stamp for n, stamp in previous_stamps.items())
     shuffled = updates * 2 if again else list(updates)
     rng.shuffle(shuffled)
     for update in shuffled:
-        receive_updates(other, 1, update, sender=5)
-    assert one.view.agrees_with(other.view)
-    # No infos arrived, so the stamps are all that the digests cover.
-    assert one.digests() == other.digests()
+        receive_updates(second, 1, update, sender=5)
+    assert first.view.agrees_with(second.view)
+    # Without infos the digests cover stamps only.
+    assert first.digests() == second.digests()
 
 
 def test_suspected_member_refutes_with_the_next_incarnation() -> None:
     membership = synchronized_member()
-    accusation = StateUpdate(0, make_stamp(membership.incarnation, MemberState.SUSPECT), 3)
+    suspicion = StateUpdate(0, make_stamp(membership.incarnation, MemberState.SUSPECT), 3)
     before = membership.incarnation
-    receive_updates(membership, 10, accusation)
+    receive_updates(membership, 10, suspicion)
     assert membership.incarnation == before + 1
     assert membership.view.state_of(0) is MemberState.ALIVE
-    assert membership.health.score == 1  # a member that has to refute may be slow
-    receive_updates(membership, 20, accusation)  # a stale one changes nothing any more
+    assert membership.health.score == 1  # a member that has to refute may be slow itself
+    receive_updates(membership, 20, suspicion)  # an outdated suspicion has no effect
     assert membership.incarnation == before + 1
-    # An earlier process was declared dead.
+    # An earlier process with this number was declared dead.
     receive_updates(membership, 30, StateUpdate(0, make_stamp(before + 7, MemberState.DEAD), 3))
     assert membership.incarnation == before + 8
     assert membership.view.state_of(0) is MemberState.ALIVE
-    # There is no larger incarnation.
+    # The largest incarnation cannot be refuted.
     receive_updates(
         membership, 40, StateUpdate(0, make_stamp(MAX_INCARNATION, MemberState.DEAD), 3)
     )
     assert membership.incarnation == before + 8
 
 
-def test_member_that_left_says_so_again_when_accused() -> None:
+def test_member_that_left_announces_it_again_when_declared_dead() -> None:
     membership = synchronized_member()
     membership.leave(10)
     assert membership.view.state_of(0) is MemberState.LEFT
@@ -91,12 +91,12 @@
 
 
 def test_new_member_takes_an_incarnation_above_what_others_remember() -> None:
-    """A slow wall clock does no harm."""
+    """If the wall clock is slow, the first incarnation is smaller than the remembered one."""
     membership = Membership(0, 0, 3, MemberInfo("n0"), 5, random.Random(1), CONFIG)
-    asked = membership.run_timers(0)
-    assert sent_messages(asked, MessageKind.PUSH_PULL_REQUEST)
+    actions = membership.run_timers(0)
+    assert sent_messages(actions, MessageKind.PUSH_PULL_REQUEST)
     assert not membership.has_joined
-    assert sent_messages(asked)[0].stamp == 0
+    assert sent_messages(actions)[0].stamp == 0
     membership.receive(
         10,
         message_to(
@@ -122,8 +122,8 @@
 def test_numbers_beyond_the_table_are_counted_and_ignored() -> None:
     membership = synchronized_member()
     receive_updates(membership, 10, StateUpdate(60, make_stamp(10, MemberState.ALIVE)))
-    updates = InfoUpdate(60, 10, MemberInfo("unknown"))
-    membership.receive(20, message_to(membership, 1, MessageKind.GOSSIP, info_updates=(updates,)))
+    update = InfoUpdate(60, 10, MemberInfo("unknown"))
+    membership.receive(20, message_to(membership, 1, MessageKind.GOSSIP, info_updates=(update,)))
     membership.receive(
         30, message_to(membership, 1, MessageKind.INDIRECT_PROBE_REQUEST, sequence=1, target=60)
     )
@@ -132,7 +132,7 @@
 
 
 def test_two_processes_with_one_incarnation_are_distinguished() -> None:
-    """A proxy started twice within a second: the running process takes a later incarnation."""
+    """If a proxy is started twice in a second, the running process takes a later incarnation."""
     membership = synchronized_member()
     own = membership.view.members[0]
     membership.receive(
@@ -149,22 +149,22 @@
 
 
 def test_larger_info_wins_at_one_incarnation() -> None:
-    one, other = synchronized_member(), synchronized_member()
+    first, second = synchronized_member(), synchronized_member()
     updates = [
         InfoUpdate(2, 10, MemberInfo("a", started_unix_s=1)),
         InfoUpdate(2, 10, MemberInfo("b", started_unix_s=2)),
         InfoUpdate(2, 9, MemberInfo("c")),
     ]
-    for membership, order in ((one, updates), (other, updates[::-1])):
-        for each in order:
+    for membership, ordered in ((first, updates), (second, updates[::-1])):
+        for update in ordered:
             membership.receive(
-                10, message_to(membership, 1, MessageKind.GOSSIP, info_updates=(each,))
+                10, message_to(membership, 1, MessageKind.GOSSIP, info_updates=(update,))
             )
-    assert one.view.agrees_with(other.view)
-    assert one.view.members[2].info == MemberInfo("b", started_unix_s=2)
+    assert first.view.agrees_with(second.view)
+    assert first.view.members[2].info == MemberInfo("b", started_unix_s=2)
 
 
-def test_message_budget_holds_under_any_number_of_requests() -> None:
+def test_message_budget_limits_messages_for_any_number_of_requests() -> None:
     membership = synchronized_member(size=200)
     before = membership.counters[ProtocolCounter.MESSAGES_SENT]
     for i in range(400):
@@ -181,8 +181,8 @@
     burst = membership.counters[ProtocolCounter.MESSAGES_SENT] - before
     assert burst <= CONFIG.message_burst + 50
     assert membership.counters[ProtocolCounter.MESSAGES_SUPPRESSED] > 300
-    for now in range(SECOND_US, 11 * SECOND_US, 100_000):
-        membership.run_timers(now)
+    for now_us in range(SECOND_US, 11 * SECOND_US, 100_000):
+        membership.run_timers(now_us)
     assert (
         membership.counters[ProtocolCounter.MESSAGES_SENT] - before
         <= burst + 10 * CONFIG.messages_per_second + 1
@@ -190,23 +190,23 @@
 
 
 @pytest.mark.parametrize("size", [1, 2, 3])
-def test_smallest_fleets_agree(size: int) -> None:
+def test_smallest_fleets_converge(size: int) -> None:
     memberships = [
         Membership(0, n, size, MemberInfo(f"n{n}"), 5, random.Random(n), CONFIG)
         for n in range(size)
     ]
-    now = 0
-    while now < 4 * SECOND_US:
-        now = max(now, min(membership.due_us for membership in memberships))
-        flying = [
+    now_us = 0
+    while now_us < 4 * SECOND_US:
+        now_us = max(now_us, min(membership.due_us for membership in memberships))
+        in_flight = [
             m
             for membership in memberships
-            if membership.due_us <= now
-            for m in sent_messages(membership.run_timers(now))
+            if membership.due_us <= now_us
+            for m in sent_messages(membership.run_timers(now_us))
         ]
-        while flying:
-            each = flying.pop(0)
-            flying += sent_messages(memberships[each.receiver].receive(now, each))
+        while in_flight:
+            message = in_flight.pop(0)
+            in_flight += sent_messages(memberships[message.receiver].receive(now_us, message))
     assert all(
         membership.has_joined
         and membership.view.is_synchronized
@@ -217,7 +217,7 @@
 
 
 def test_digests_do_not_change() -> None:
-    """Proxies of different versions compare them."""
+    """Proxies of different versions compare digests."""
     info = MemberInfo("n0", 2, 1, 5)
     membership = Membership(0, 0, 1, info, 7, random.Random(1), CONFIG)
     assert membership.digests()[0] == 3466741951
