--- a/larchhaven/membership/errors.py
+++ b/larchhaven/membership/errors.py
@@ -8,7 +8,7 @@
 
 
 class RejectReason(StrEnum):
-    """Reason for rejecting a datagram; the keys of ``refused`` in ``GET /v1/members``."""
+    """Rejection reasons; the values are the keys of ``refused`` in ``GET /v1/members``."""
 
     SIZE = "size"
     PREFIX = "letter"
@@ -19,7 +19,7 @@
     INCARNATION = "incarnation"
     DIGESTS = "digests"
     INFO_UPDATES = "account"
-    PEER_TABLE = "table"  # sender and receiver have different peer tables
+    PEER_TABLE = "table"  # the sender or receiver number does not match the local peer table
     REPLAY = "replayed"
 
 
--- a/larchhaven/membership/membership.py
+++ b/larchhaven/membership/membership.py
@@ -215,7 +215,7 @@
     def receive(self, now_us: int, message: Message) -> list[Action]:
         """Handle a message that the authenticator has accepted; return the resulting actions."""
         self._begin_call(now_us)
-        self._apply_stamp_of_sender(message)
+        self._apply_sender_stamp(message)
         self._merger.apply_all(message)
         self._handle_kind(message)
         if not self.has_joined and message.kind is MessageKind.PUSH_PULL_RESPONSE:
@@ -271,15 +271,15 @@
         return self._batch.drain()
 
     def _next_deadline_us(self) -> int:
-        always_us = min(
+        earliest_us = min(
             self._synchronizer.next_deadline_us(),
             self._suspicion_monitor.next_deadline_us(),
             self._exchange.pending_deadline_us(),
         )
         if not self.has_joined:
-            return min(always_us, self._join_deadline_us)
+            return min(earliest_us, self._join_deadline_us)
         return min(
-            always_us,
+            earliest_us,
             self._prober.next_deadline_us(),
             self._indirect_prober.next_deadline_us(),
             self._exchange.next_deadline_us(),
@@ -301,7 +301,7 @@
         self._local.join()
         self._prober.start()
 
-    def _apply_stamp_of_sender(self, message: Message) -> None:
+    def _apply_sender_stamp(self, message: Message) -> None:
         if message.stamp == NO_STAMP:
             return
         sender = message.sender
--- a/tests/membership/test_protocol.py
+++ b/tests/membership/test_protocol.py
@@ -37,8 +37,8 @@
 
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(st.lists(STATE_UPDATES, max_size=25), st.randoms(use_true_random=False), st.booleans())
-def test_updates_in_any_order_and_again_give_the_same_view(
-    updates: list[StateUpdate], rng: random.Random, again: bool
+def test_reordered_and_repeated_updates_give_the_same_view(
+    updates: list[StateUpdate], rng: random.Random, is_repeated: bool
 ) -> None:
     """Merging is commutative and idempotent: members with the same updates have the same view."""
     first, second = synchronized_member(), synchronized_member()
@@ -50,7 +50,7 @@
                 MemberState.SUSPECT,
             )
         assert all(first.view.members[n].stamp >= stamp for n, stamp in previous_stamps.items())
-    shuffled = updates * 2 if again else list(updates)
+    shuffled = updates * 2 if is_repeated else list(updates)
     rng.shuffle(shuffled)
     for update in shuffled:
         receive_updates(second, 1, update, sender=5)
@@ -131,7 +131,7 @@
     assert membership.view.get(60) is None
 
 
-def test_two_processes_with_one_incarnation_are_distinguished() -> None:
+def test_two_processes_with_the_same_incarnation_are_distinguished() -> None:
     """If a proxy is started twice in a second, the running process takes a later incarnation."""
     membership = synchronized_member()
     own = membership.view.members[0]
@@ -148,7 +148,7 @@
     assert membership.view.members[0].info == own.info
 
 
-def test_larger_info_wins_at_one_incarnation() -> None:
+def test_larger_info_wins_at_the_same_incarnation() -> None:
     first, second = synchronized_member(), synchronized_member()
     updates = [
         InfoUpdate(2, 10, MemberInfo("a", started_unix_s=1)),
