--- a/larchhaven/membership/codec.py
+++ b/larchhaven/membership/codec.py
@@ -128,7 +128,7 @@
         message.target,
     )
     sections = [header]
-    sections += [_STATE_UPDATE.pack(u.number, u.stamp, u.accuser) for u in message.state_updates]
+    sections += [_STATE_UPDATE.pack(u.number, u.stamp, u.suspector) for u in message.state_updates]
     sections += [_DIGEST.pack(digest) for digest in message.digests]
     sections += [_encode_info_update(update) for update in message.info_updates]
     data = b"".join(sections)
--- a/larchhaven/membership/member.py
+++ b/larchhaven/membership/member.py
@@ -101,7 +101,7 @@
         number: Its index in the peer table.
         stamp: Its incarnation and state.
         learned_at_us: When the local member learned this state, by the local monotonic clock.
-        accusers: Members that suspect it or declared it dead; empty if it announced its state.
+        suspectors: Members that suspect it or declared it dead; empty if it announced its state.
         info: The info that it announced; None until it is received.
         info_incarnation: The incarnation at which it announced the info.
     """
@@ -109,7 +109,7 @@
     number: int
     stamp: int
     learned_at_us: int
-    accusers: tuple[int, ...] = ()
+    suspectors: tuple[int, ...] = ()
     info: MemberInfo | None = None
     info_incarnation: int = 0
 
--- a/larchhaven/membership/membership.py
+++ b/larchhaven/membership/membership.py
@@ -195,7 +195,9 @@
         of them. The content of the fingerprint has no other purpose.
         """
         members = sorted(self.view.members.values(), key=lambda member: member.number)
-        member_states = tuple((m.number, m.stamp, m.accusers, m.info_incarnation) for m in members)
+        member_states = tuple(
+            (m.number, m.stamp, m.suspectors, m.info_incarnation) for m in members
+        )
         return (
             member_states,
             self.stamp,
--- a/larchhaven/membership/messages.py
+++ b/larchhaven/membership/messages.py
@@ -32,17 +32,17 @@
     Attributes:
         number: The member that the update is about.
         stamp: Its incarnation and state.
-        accuser: A member that suspects it or declared it dead, or ``NO_MEMBER``.
+        suspector: A member that suspects it or declared it dead, or ``NO_MEMBER``.
     """
 
     number: int
     stamp: int
-    accuser: int = NO_MEMBER
+    suspector: int = NO_MEMBER
 
     @classmethod
     def from_member(cls, member: Member) -> StateUpdate:
         """Return the update that passes on a member's record."""
-        suspector = member.accusers[0] if member.accusers else NO_MEMBER
+        suspector = member.suspectors[0] if member.suspectors else NO_MEMBER
         return cls(member.number, member.stamp, suspector)
 
 
--- a/larchhaven/membership/update_merger.py
+++ b/larchhaven/membership/update_merger.py
@@ -83,7 +83,7 @@
         if member is not None and _implies_return(member, update):
             # The member was alive again in between: notify the host of both changes, in order.
             alive_stamp = make_stamp(stamp_incarnation(update.stamp), MemberState.ALIVE)
-            self._table.put(replace(member, stamp=alive_stamp, accusers=()))
+            self._table.put(replace(member, stamp=alive_stamp, suspectors=()))
             member = self._table.get(number)
         self._set_state(update, member)
         self._queue.add_state(update)
@@ -114,12 +114,12 @@
         stamp = make_stamp(member.incarnation, MemberState.DEAD)
         suspectors = tuple(suspicion.suspectors)
         self._table.put(
-            replace(member, stamp=stamp, learned_at_us=self._batch.now_us, accusers=suspectors)
+            replace(member, stamp=stamp, learned_at_us=self._batch.now_us, suspectors=suspectors)
         )
         self._queue.add_state(StateUpdate(number, stamp, suspectors[0]))
 
     def _suspector_of(self, update: StateUpdate) -> int:
-        return update.accuser if update.accuser < self._table.size else NO_MEMBER
+        return update.suspector if update.suspector < self._table.size else NO_MEMBER
 
     def _confirm_suspicion(self, member: Member, update: StateUpdate) -> None:
         suspicion = self._suspicions.get(member.number)
@@ -127,7 +127,7 @@
             return
         suspector = self._suspector_of(update)
         if suspector != NO_MEMBER and suspicion.confirm(suspector):
-            confirmed = replace(member, accusers=tuple(suspicion.suspectors))
+            confirmed = replace(member, suspectors=tuple(suspicion.suspectors))
             self._table.put(confirmed, quiet=True)
             self._queue.add_state(update)
 
--- a/tests/membership/test_failure_detection.py
+++ b/tests/membership/test_failure_detection.py
@@ -33,7 +33,7 @@
     states = [c.member.state for c in changes_in(actions) if c.member.number == 2]
     assert states == [MemberState.SUSPECT, MemberState.DEAD]
     dead = next(c for c in changes_in(actions) if c.member.state is MemberState.DEAD)
-    assert dead.member.accusers == (0,)  # without confirmations the timeout is the maximum
+    assert dead.member.suspectors == (0,)  # without confirmations the timeout is the maximum
     suspected = next(c for c in changes_in(actions) if c.member.state is MemberState.SUSPECT)
     assert dead.at_us - suspected.at_us >= int(
         CONFIG.min_suspicion_us * CONFIG.suspicion_max_multiplier
