--- a/larchhaven/membership/errors.py
+++ b/larchhaven/membership/errors.py
@@ -1,4 +1,4 @@
-"""Why a datagram is rejected."""
+"""Errors of datagrams, and the reasons for rejecting them."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class RejectReason(StrEnum):
-    """Why a datagram is rejected; the values are the keys of ``refused`` in ``GET /v1/members``."""
+    """Rejection reasons; the values are the keys of ``refused`` in ``GET /v1/members``."""
 
     SIZE = "size"
     PREFIX = "letter"
@@ -19,15 +19,15 @@
     INCARNATION = "incarnation"
     DIGESTS = "digests"
     INFO_UPDATES = "account"
-    PEER_TABLE = "table"  # sender and receiver have different peer tables
+    PEER_TABLE = "table"  # the sender or receiver number does not match the local peer table
     REPLAY = "replayed"
 
 
 class DatagramError(LarchhavenError):
-    """A datagram that no member of this version sends.
+    """A datagram cannot be decoded or authenticated.
 
     Attributes:
-        reason: The first rule that it breaks.
+        reason: The first violation that was found.
     """
 
     def __init__(self, reason: RejectReason) -> None:
