--- a/larchhaven/model/invariants.py
+++ b/larchhaven/model/invariants.py
@@ -54,7 +54,7 @@
     if was_left and changed.state is MemberState.SUSPECT:
         _fail(own_number, f"suspects {changed.number}, which has left")
     has_noticed_pause = member.counters[ProtocolCounter.PROCESS_PAUSES] > before.process_pauses
-    is_declared_by_itself = changed.state is MemberState.DEAD and own_number in changed.accusers
+    is_declared_by_itself = changed.state is MemberState.DEAD and own_number in changed.suspectors
     if has_noticed_pause and is_declared_by_itself:
         _fail(own_number, f"resumed after a pause and declared {changed.number} dead")
 
--- a/larchhaven/net/control/membership_transport.py
+++ b/larchhaven/net/control/membership_transport.py
@@ -257,7 +257,7 @@
             state=member.state.name.lower(),
             learned_ago_s=round(learned_ago_us / _US_PER_S, _REPORT_DECIMALS),
             incarnation=member.incarnation,
-            accusers=list(member.accusers),
+            accusers=list(member.suspectors),
         )
         info = member.info
         if info is not None:
--- a/tests/model/planted_faults.py
+++ b/tests/model/planted_faults.py
@@ -156,7 +156,7 @@
 
     def add_state(self, update: StateUpdate) -> None:
         """Replace the accuser."""
-        accuser = self._table.own_number if update.accuser != NO_MEMBER else NO_MEMBER
+        accuser = self._table.own_number if update.suspector != NO_MEMBER else NO_MEMBER
         incarnation = stamp_incarnation(update.stamp)
         state = stamp_state(update.stamp)
         if state is MemberState.DEAD:
