--- a/larchhaven/net/text_protocol/client_connection.py
+++ b/larchhaven/net/text_protocol/client_connection.py
@@ -1,4 +1,4 @@
-"""One client, from accept until its request is answered or its connection established."""
+"""A client connection, from accept until its request is answered or a server accepts it."""
 
 from __future__ import annotations
 
@@ -16,22 +16,23 @@
 from larchhaven.net.text_protocol.connection_relay import ConnectionRelay
 from larchhaven.net.text_protocol.upstream_attempt import TextUpstreamAttempt
 
-# A client must send its request line within this time of its accept, and of its last PING.
+# Time that a client has to send its request line after it was accepted.
 REQUEST_LINE_TIMEOUT_US = 2_000_000
+# Time that a client has to send its request line, or another PING, after a PING.
 TIMEOUT_AFTER_PING_US = 5_000_000
 
 
 class ClientAcceptor(Protocol):
-    """What a client needs of the listener that accepted it.
+    """The interface of the listener that its client connections use.
 
     Attributes:
         loop: The event loop.
-        pool: The buffers and streams of clients.
-        requests: Where requests go.
-        event_log: The log for operators.
-        request_classes: The numbers of the request classes by name.
-        tenants: The numbers of the tenants by name.
-        is_draining: Whether clients are sent away; those that come all the same are served.
+        pool: The buffer pool of client connections.
+        requests: Receives the requests.
+        event_log: The rate-limited log for operators.
+        request_classes: Request class indexes by name.
+        tenants: Tenant indexes by name.
+        is_draining: Whether the proxy is draining. Clients that connect anyway are served.
     """
 
     loop: EventLoop
@@ -43,18 +44,18 @@
     is_draining: bool
 
     def stop_awaiting_request(self, client: TextClientConnection) -> None:
-        """Take notice that a client has sent its request line, was answered, or has left."""
+        """Record that a client sent its request line, was answered or disconnected."""
 
     def try_admit(self, spec: RequestSpec) -> bool:
-        """Return whether there is capacity for a request; a rejection is counted."""
+        """Return whether there is capacity for a request; count a rejection if not."""
 
 
 class TextClientConnection:
-    """A client that has not been answered yet.
+    """A client connection whose request has not been answered yet.
 
     Attributes:
-        accepted_at_us: When it was accepted.
-        stream: Its connection.
+        accepted_at_us: The time of the accept on the event loop's clock, in microseconds.
+        stream: The stream to the client.
     """
 
     def __init__(self, acceptor: ClientAcceptor, sock: socket.socket) -> None:
@@ -67,16 +68,16 @@
             REQUEST_LINE_TIMEOUT_US, self._on_timeout
         )
 
-    # The stream's protocol
+    # Stream callbacks
 
     def connection_made(self) -> None:
-        """Do nothing: an accepted connection is established already."""
+        """Do nothing: an accepted connection is already established."""
 
     def write_buffer_drained(self) -> None:
-        """Do nothing: answers are short."""
+        """Do nothing: answers are short and need no flow control."""
 
     def data_received(self) -> None:
-        """Handle the lines up to the request; what follows it waits for the server."""
+        """Handle the lines up to the request line; later data stays in the inbox."""
         while self._request_id is None and self.stream.inbox is not None:
             try:
                 line = codec.take_line(self.stream.inbox)
@@ -94,15 +95,15 @@
             self._start_request(spec)
 
     def eof_received(self) -> None:
-        """Take it that the client has left: it would keep its side open while it waits."""
+        """Treat the end of the stream as a disconnect: a waiting client keeps its side open."""
         self._leave()
         self.stream.start_lingering_close()
 
     def connection_lost(self, code: int) -> None:
-        """Take it that the client has left."""
+        """Handle the disconnect of the client."""
         self._leave()
 
-    # The request
+    # Request handling
 
     def _answer_ping(self) -> None:
         self.stream.write(codec.NO if self._acceptor.is_draining else codec.PONG)
@@ -113,7 +114,7 @@
         acceptor = self._acceptor
         spec = codec.parse_request_line(line, acceptor.request_classes, acceptor.tenants)
         if acceptor.requests.detect_duplicate_identity(spec):
-            raise codec.RemoteProtocolError("the id is that of an open request")
+            raise codec.RemoteProtocolError(f"request id {spec.identity!r} is already in use")
         return spec
 
     def _start_request(self, spec: RequestSpec) -> None:
@@ -136,17 +137,18 @@
         self._timeout = None
 
     def _on_timeout(self) -> None:
-        """Fail a client that sent no request line; a line that has just come still counts."""
+        """Fail a client that sent no request line, unless the line has just arrived."""
         timeout = self._timeout
         self.stream.read_available()
         if self._timeout is timeout:
             self.send_failure()
 
     def _on_inbox_full(self) -> None:
-        """Fail a client that sends on while it should wait for its answer.
+        """Fail the request of a client that keeps sending while it waits for its answer.
 
-        What it sends is kept as far as a buffer goes. With more, or with no buffer free, its end of
-        stream would stay unseen, and its request be forwarded for nobody.
+        The data of such a client is kept in one buffer. If that is full, or the pool has no buffer
+        left, the end of the client's stream cannot be detected. The request could then be forwarded
+        although the client has disconnected.
         """
         if self._request_id is not None:
             self._acceptor.event_log.warning(
@@ -155,22 +157,27 @@
             self._acceptor.requests.fail_request(self._request_id)
 
     def shed(self) -> None:
-        """Reject a client without a request line; a line that has just come still counts.
+        """Reject a client that sent no request line, unless the line has just arrived.
 
-        What it sends after that is discarded. Its stream lingers: it is the next to be closed.
+        Later input is discarded. The stream enters lingering close, so it is among the first to be
+        closed if capacity is still exhausted.
         """
         self.stream.read_available()
         if self._request_id is None and not self.stream.is_closed:
             self.send_rejection(0)
 
-    # What the request table calls
+    # Called by the request table
 
     def read_available(self) -> None:
-        """Read what has come, above all the end of stream of a client that has left."""
+        """Read what has arrived, as it may be the end of the client's stream."""
         self.stream.read_available()
 
     def send_rejection(self, retry_after_us: int) -> None:
-        """Answer that a retry does no harm, after this time if it is not 0."""
+        """Reject the request, which the client may safely retry.
+
+        Args:
+            retry_after_us: The delay before a retry, in microseconds; 0 if none is given.
+        """
         self._answer(codec.encode_rejection(retry_after_us))
 
     def send_failure(self) -> None:
@@ -180,7 +187,7 @@
     def establish_connection(
         self, attempt: UpstreamAttempt, request_id: int, observer: ConnectionObserver
     ) -> ConnectionRelay:
-        """Connect the client to the server of this attempt."""
+        """Start relaying between the client and the server that accepted the attempt."""
         assert isinstance(attempt, TextUpstreamAttempt)
         assert attempt.stream is not None
         self.stream.on_inbox_full = None
--- a/larchhaven/net/text_protocol/connection_relay.py
+++ b/larchhaven/net/text_protocol/connection_relay.py
@@ -1,4 +1,4 @@
-"""Forwards lines both ways between a client and its server, until one side ends."""
+"""Relays lines between a client and its server in both directions until one side ends."""
 
 from __future__ import annotations
 
@@ -14,43 +14,46 @@
 from larchhaven.net.text_protocol.relay_state import RelayState, SideState
 from larchhaven.routing.events import AttemptResult
 
-# How often unanswered lines are looked at; their age is reported as a delay.
+# Interval between checks for unanswered lines, whose age is reported as a delay.
 UNANSWERED_CHECK_INTERVAL_US = 1_000_000
-# From this age on the server is reported as unresponsive, and the connection may be migrated.
+# If a line is unanswered for this long, the server is reported as unresponsive, and the connection
+# may be migrated.
 UNRESPONSIVE_US = 4_000_000
-# At this age the connection is ended in any case: it must be within 7 s, and checks are 1 s apart.
+# If a line is unanswered for this long, the connection is aborted. This must happen within 7 s, and
+# checks are 1 s apart.
 MAX_UNANSWERED_US = 5_500_000
-# A client whose machine has vanished never ends its connection. Clients send every few seconds.
+# A connection without data for this long is aborted: a client whose machine has failed never closes
+# its connection. Live clients send every few seconds.
 IDLE_TIMEOUT_US = 600_000_000
-# A server that has sent its final line is given so long to end the connection by itself.
+# Time that a server has to close the connection after its final line.
 FINAL_LINE_GRACE_US = 300_000
-# A migration waits so long for the end of the line in progress, and goes without MOVE after that.
+# Time that a migration waits for the end of the line in progress. After that it sends no MOVE.
 MIGRATION_GRACE_US = 500_000
-# A client with more unanswered lines is measured on the oldest of them.
+# Unanswered lines tracked per connection. If there are more, only the oldest are tracked.
 MAX_UNANSWERED_LINES = 64
 
 
 class _Phase(Enum):
-    """How far a relay has come."""
+    """The state of a relay."""
 
     RELAYING = auto()
-    MIGRATING = auto()  # waits for the end of a line, to send MOVE behind it
+    MIGRATING = auto()  # waiting for the end of a line to send MOVE after it
     MIGRATED = auto()  # reported as ended; nothing more is forwarded to the client
-    ENDED = auto()  # reported as ended; what is left is still forwarded
+    ENDED = auto()  # reported as ended; remaining data is still forwarded
 
 
-# Compared for every block of bytes; to look up a member of an enum takes several times as long.
+# Compared for every block of data. Looking up an enum member takes several times as long.
 _RELAYING = _Phase.RELAYING
 
 
 class _Side:
-    """One side of a relay, as the protocol of its stream.
+    """One side of a relay, which handles the events of its stream.
 
     Attributes:
         relay: The relay.
-        other: The side across.
-        stream: The connection.
-        line_counter: The lines that were forwarded from this side.
+        other: The opposite side.
+        stream: The stream to the client or the server.
+        line_counter: Tracks the lines forwarded from this side.
     """
 
     __slots__ = ("line_counter", "other", "relay", "stream")
@@ -64,11 +67,11 @@
         stream.protocol = self
 
     def release(self) -> None:
-        """Break the cycle of relay and sides."""
+        """Break the reference cycle between the relay and its sides."""
         del self.relay, self.other
 
     def export_state(self) -> SideState:
-        """Return what another process needs to go on with this side."""
+        """Return the state that another process needs to continue this side."""
         inbox = self.stream.inbox
         return SideState(
             inbox=bytes(inbox.readable()) if inbox is not None else b"",
@@ -79,7 +82,7 @@
         )
 
     def restore(self, state: SideState) -> None:
-        """Go on from where another process was."""
+        """Continue from the state of another process."""
         self.stream.write(state.outbox)
         self.stream.prefill(state.inbox)
         self.line_counter.head[:] = state.line_head
@@ -87,22 +90,22 @@
         self.line_counter.is_mid_line = state.is_mid_line
 
     def connection_made(self) -> None:
-        """Do nothing: the connection is established already."""
+        """Do nothing: the connection is already established."""
 
     def data_received(self) -> None:
-        """Forward what came."""
+        """Forward the received data."""
         self.relay.forward(self)
 
     def write_buffer_drained(self) -> None:
-        """Go on with what the other side had to keep back."""
+        """Forward the data that the other side held back."""
         self.relay.forward(self.other)
 
     def eof_received(self) -> None:
-        """Forward the end."""
+        """Forward the end of the stream."""
         self.relay.on_side_ended(self)
 
     def connection_lost(self, code: int) -> None:
-        """Forward the loss."""
+        """Forward the loss of the connection."""
         self.relay.on_side_lost(self)
 
 
@@ -113,10 +116,10 @@
         loop: The event loop.
         client: The connection to the client.
         server: The connection to the server.
-        observer: What is notified of the life of the connection.
-        request_id: The request.
-        initial: The line by which the server accepted the connection, or the state in which another
-            process has handed it over.
+        observer: Receives the events of the connection.
+        request_id: The id of the request.
+        initial: The line with which the server accepted the connection, or the state in which
+            another process has handed it over.
     """
 
     __slots__ = (
@@ -169,7 +172,7 @@
         if server.at_eof:
             self.on_side_ended(self._server)
 
-    # To and from another process
+    # Hand-over between processes
 
     def _restore(self, state: RelayState) -> None:
         self._client.restore(state.client)
@@ -181,7 +184,7 @@
             )
 
     def export_state(self) -> RelayState | None:
-        """Return what another process needs to go on; None if the connection is about to end."""
+        """Return the state for another process; None if the connection is about to end."""
         if self._phase is not _RELAYING or self._final_line is not None:
             return None
         return RelayState(
@@ -195,23 +198,23 @@
         return self._client.stream.file_descriptor, self._server.stream.file_descriptor
 
     def detach_sockets(self) -> None:
-        """Close this process's descriptors; another process has taken the connection over."""
+        """Close this process's descriptors after another process took over the connection."""
         self._phase = _Phase.ENDED
         for timer in (self._unanswered_check, self._idle_timeout, self._close_timeout):
             self._loop.cancel(timer)
         self._client.stream.close()
         self._server.stream.close()
 
-    # Bytes
+    # Forwarding
 
     def forward(self, side: _Side) -> None:
-        """Forward what has come from one side, as far as the other takes it now."""
+        """Forward the data received from one side, as far as the other accepts it now."""
         inbox = side.stream.inbox
         if inbox is not None and (self._phase is _RELAYING or self._may_forward(side)):
             data = bytes(inbox.readable())
             taken = side.other.stream.write(data)
             if taken < len(data):
-                side.stream.pause_reading()  # until the other side has taken the rest
+                side.stream.pause_reading()  # until the other side has accepted the rest
             if taken:
                 if taken == len(data):
                     side.stream.consume(taken)
@@ -228,7 +231,7 @@
         return side is self._client or self._phase is not _Phase.MIGRATED
 
     def _note_lines(self, side: _Side, lines: list[bytes]) -> None:
-        """Take notice of the beginnings of lines that were forwarded completely."""
+        """Handle completely forwarded lines, given the first bytes of each."""
         if self._phase is not _RELAYING and self._has_ended:
             return
         self._last_data_us = self._loop.now_us
@@ -242,7 +245,7 @@
             self._complete_migration()
 
     def _note_client_lines(self, count: int) -> None:
-        space = MAX_UNANSWERED_LINES - len(self._unanswered_since_us)  # the oldest must stay
+        space = MAX_UNANSWERED_LINES - len(self._unanswered_since_us)  # the oldest are kept
         self._unanswered_since_us.extend([self._loop.now_us] * min(count, space))
         if self._unanswered_check is None:
             self._unanswered_check = self._loop.call_later(
@@ -262,7 +265,8 @@
             now_us = self._loop.now_us
             delay_us = now_us - self._unanswered_since_us.popleft()
             self._observer.on_message_answered(self._request_id, delay_us)
-            # A hung server may never answer what it has read; each later answer would seem late.
+            # A hung server may never answer lines that it has read. If these were kept, each later
+            # answer would be matched with an earlier line and seem late.
             while (
                 self._unanswered_since_us
                 and now_us - self._unanswered_since_us[0] >= UNRESPONSIVE_US
@@ -272,7 +276,7 @@
     # Unanswered lines
 
     def _check_unanswered(self) -> None:
-        """Report lines without an answer: a hung server keeps its connections open."""
+        """Report unanswered lines, as a hung server does not close its connections."""
         self._unanswered_check = None
         if self._has_ended or not self._unanswered_since_us:
             return
@@ -297,7 +301,7 @@
     # Migration
 
     def migrate(self) -> None:
-        """Ask the client to reconnect, between two lines, and end both sides."""
+        """Ask the client to reconnect once the line in progress is complete; end both sides."""
         if self._phase is not _RELAYING or self._final_line is not None:
             return
         self._phase = _Phase.MIGRATING
@@ -314,19 +318,19 @@
         self._close_both_sides()
 
     def _send_move(self) -> None:
-        """Send MOVE completely and between two lines, or not at all."""
+        """Send MOVE, but only completely and between two lines."""
         is_mid_line = self._server.line_counter.is_mid_line
         if not is_mid_line and self._client.stream.can_buffer(len(codec.MOVE)):
             self._client.stream.write(codec.MOVE)
 
-    # Ends
+    # Closing
 
     @property
     def _has_ended(self) -> bool:
         return self._phase is _Phase.ENDED or self._phase is _Phase.MIGRATED
 
     def on_side_ended(self, side: _Side) -> None:
-        """Forward the end of one side after what it sent before."""
+        """Forward the end of one side after the data that it sent before."""
         if side is self._server:
             self._report_ended(self._final_line or codec.Ending(AttemptResult.RESET))
         else:
@@ -335,7 +339,7 @@
         self.forward(side)
 
     def on_side_lost(self, side: _Side) -> None:
-        """Forward a loss as a reset; after the server's final line it is only an end."""
+        """Reset the other side, or close both sides if the server has sent its final line."""
         if side is self._server and self._final_line is not None:
             self._close_both_sides()
             return
@@ -346,12 +350,12 @@
         self._loop.cancel(self._close_timeout)
 
     def _shed_client(self) -> None:
-        """Reset both sides, as the client does not read and others need the capacity."""
+        """Reset both sides of a connection whose client does not read, to free its capacity."""
         self._client.stream.close(reset=True)
         self.on_side_lost(self._client)
 
     def _abort(self, result: AttemptResult) -> None:
-        """Reset the server, and ask the client to reconnect if it is still there."""
+        """Reset the server's side, and ask the client to reconnect if it is still connected."""
         self._server.stream.close(reset=True)
         if not self._client.stream.is_closed:
             self._send_move()
@@ -359,7 +363,7 @@
         self._report_ended(codec.Ending(result))
 
     def _schedule_close(self, delay_us: int) -> None:
-        """Close both sides after a time, unless that is scheduled already."""
+        """Close both sides after a delay, unless that is already scheduled."""
         if self._close_timeout is None:
             self._close_timeout = self._loop.call_later(delay_us, self._close_both_sides)
 
@@ -370,7 +374,7 @@
         self._server.stream.start_lingering_close()
 
     def _release_sides(self) -> None:
-        """Let go of the sides once both streams are closed."""
+        """Release both sides once their streams are closed."""
         if self._client.stream.is_closed and self._server.stream.is_closed:
             self._client.release()
             self._server.release()
--- a/larchhaven/net/text_protocol/health_check_connection.py
+++ b/larchhaven/net/text_protocol/health_check_connection.py
@@ -1,4 +1,4 @@
-"""Health checks: one cached connection to each server, over which its load report is asked for."""
+"""Health checks: one cached connection per server, on which its load report is requested."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 from larchhaven.net.text_protocol import codec
 from larchhaven.routing.events import AttemptResult, LoadReport
 
-# A hung server accepts health checks and does not answer them.
+# A hung server accepts connections and does not answer health checks.
 HEALTH_CHECK_TIMEOUT_US = 500_000
 
-# Called with the server, the result, the latency in microseconds and the load report.
+# Called with the server's id, the result, the latency in microseconds and the load report.
 OnChecked = Callable[[str, AttemptResult, int, LoadReport | None], None]
 
 
 class _Phase(Enum):
-    """How far the connection has come."""
+    """The state of a health check connection."""
 
     CONNECTING = auto()
     ESTABLISHED = auto()
-    ANSWERED = auto()  # at least once
+    ANSWERED = auto()  # the server has answered at least one health check
 
 
 class HealthCheckConnection:
-    """The connection for health checks of one server.
+    """The health check connection to one server.
 
     Attributes:
         address: The server's host and port.
@@ -50,7 +50,7 @@
         self._is_checking = False
 
     def check(self) -> None:
-        """Begin a health check, unless one is in flight."""
+        """Start a health check, unless one is in flight."""
         if self._is_checking:
             return
         self._is_checking = True
@@ -64,20 +64,20 @@
             self._stream.write(codec.STATS)
 
     def close(self) -> None:
-        """Close the connection; a health check in flight ends as cancelled."""
+        """Close the connection; a health check in flight is reported as cancelled."""
         self._end(AttemptResult.CANCELLED)
 
-    # The stream's protocol
+    # Stream callbacks
 
     def connection_made(self) -> None:
-        """Ask as soon as the connection is established."""
+        """Send the health check once the connection is established."""
         self._loop.cancel(self._connect_timeout)
         self._phase = _Phase.ESTABLISHED
         if self._stream is not None:
             self._stream.write(codec.STATS)
 
     def write_buffer_drained(self) -> None:
-        """Do nothing: health checks are short."""
+        """Do nothing: health checks are short and need no flow control."""
 
     def data_received(self) -> None:
         """Handle the answer."""
@@ -93,18 +93,18 @@
             return
         stream.consume(len(stream.inbox) if stream.inbox is not None else 0)
         if not self._is_checking:
-            self.close()  # an answer that nobody asked for
+            self.close()  # the server sent a line without being asked
             return
         self._phase = _Phase.ANSWERED
         answer = codec.parse_health_check_answer(line)
         self._report(answer.result, answer.report)
 
     def eof_received(self) -> None:
-        """Take notice that the server has ended the connection."""
+        """Handle the end of the server's stream."""
         self._on_connection_ended()
 
     def connection_lost(self, code: int) -> None:
-        """Take notice that the connection is lost."""
+        """Handle a lost connection or a failed connect."""
         if code in RESOURCE_EXHAUSTION_ERRNOS:
             self._end(AttemptResult.NOT_SENT)
         else:
@@ -127,7 +127,8 @@
 
     def _on_connection_ended(self) -> None:
         if self._is_checking and self._phase is _Phase.ANSWERED:
-            # An idle connection may have been closed just as the check was sent: a new one tells.
+            # The server may have closed the idle connection just as the check was sent, so the
+            # check is repeated on a new connection.
             self._close_stream()
             self._connect()
             return
@@ -135,7 +136,7 @@
         self._end(AttemptResult.UNREACHABLE if is_connecting else AttemptResult.RESET)
 
     def _end(self, result: AttemptResult) -> None:
-        """Close the connection, and report the health check in flight."""
+        """Close the connection and report the health check in flight, if there is one."""
         self._close_stream()
         self._report(result, None)
 
@@ -154,12 +155,12 @@
 
 
 class HealthCheckConnections:
-    """The connections for health checks, by server.
+    """The health check connections, by server.
 
     Attributes:
         loop: The event loop.
-        pool: Buffers and streams of health checks.
-        connect_timeout_us: The time for a connect.
+        pool: The buffer pool of health check connections.
+        connect_timeout_us: The connect timeout in microseconds.
         on_checked: Called with the result of each health check.
     """
 
@@ -173,9 +174,10 @@
         self._connections: dict[str, HealthCheckConnection] = {}
 
     def check(self, server_id: str, address: tuple[str, int]) -> None:
-        """Begin a health check of a server; one in flight serves.
+        """Start a health check of a server, unless one is in flight.
 
-        At the cap of memory for health checks it is reported as not sent.
+        A check that needs a new connection is reported as not sent when the memory cap of health
+        checks is reached.
         """
         connection = self._connections.get(server_id)
         if connection is None and not self._is_memory_available():
@@ -190,15 +192,15 @@
         connection.check()
 
     def close(self, server_id: str) -> None:
-        """Close the connection to a server that has gone, or that is to have no idle one."""
+        """Close the connection to a server that was removed or must have no idle connections."""
         connection = self._connections.pop(server_id, None)
         if connection is not None:
             connection.close()
 
     def _is_memory_available(self) -> bool:
-        """Return whether a stream fits under the cap; a rejection is counted."""
+        """Return whether one more stream fits under the memory cap; count a rejection if not."""
         account = self.pool.account
         if not account.try_charge(MemoryPurpose.PROBES, STREAM_BYTES):
             return False
-        account.release(MemoryPurpose.PROBES, STREAM_BYTES)  # the stream charges itself
+        account.release(MemoryPurpose.PROBES, STREAM_BYTES)  # a stream is charged when created
         return True
--- a/larchhaven/net/text_protocol/line_counter.py
+++ b/larchhaven/net/text_protocol/line_counter.py
@@ -1,19 +1,19 @@
-"""Finds the ends of lines in a byte stream that is forwarded as it comes."""
+"""Finds line ends in a byte stream that is forwarded as it arrives."""
 
 from __future__ import annotations
 
 from larchhaven.net.text_protocol.codec import LINE_END
 
-# Of each line so many bytes are kept; the lines that are looked at are short.
+# Bytes kept of each line. The lines that the proxy interprets are shorter.
 MAX_HEAD_BYTES = 256
 
 
 class LineCounter:
-    """Follows the lines of a byte stream, and keeps the beginning of each.
+    """Tracks the lines of a byte stream and keeps the first bytes of each.
 
     Attributes:
-        head: The beginning of the line in progress.
-        ends_with_cr: Whether the last byte was a CR, which an LF would make the end of the line.
+        head: The first bytes of the line in progress.
+        ends_with_cr: Whether the last byte was a CR, so that a following LF ends the line.
         is_mid_line: Whether a line is in progress.
     """
 
@@ -25,10 +25,10 @@
         self.is_mid_line = False
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Take the next bytes.
+        """Process the next bytes of the stream.
 
         Returns:
-            The beginnings of the lines that they complete.
+            The first bytes of each line that they complete.
         """
         completed: list[bytes] = []
         start = 0
--- a/larchhaven/net/text_protocol/listener.py
+++ b/larchhaven/net/text_protocol/listener.py
@@ -18,35 +18,36 @@
 
 BACKLOG = 1024
 ACCEPTS_PER_ITERATION = 64
-# Accepting pauses for so long when the process is out of descriptors or memory.
+# Time that accepting pauses when the process is out of descriptors or memory.
 EXHAUSTED_PAUSE_US = 100_000
-# And for so long while clients that have just connected get their time to send a request line.
+# Time that accepting pauses while new clients may still send their request lines.
 GRACE_PAUSE_US = 5_000
-# Descriptors kept free for what no client opens: health checks, discovery, the program's own.
+# Descriptors reserved for uses other than clients: health checks, discovery, the process's own.
 SPARE_DESCRIPTORS = 64
-# The part of the descriptors that clients without a request line may hold.
+# Ratio of all descriptors that clients without a request line may hold.
 AWAITING_REQUEST_RATIO = 0.45
 
 
 class Listener:
-    """Accepts clients at one address, from ``open`` on.
+    """Accepts clients at one address after ``open`` was called.
 
     Args:
-        address: Where to listen, unless a socket is inherited.
-        max_descriptors: The descriptors that the process may use.
-        limits: The capacities that clients need.
-        inherited_fd: A socket that the platform has bound, which other processes may hold too.
+        address: The host and port to listen on, unless a socket is inherited.
+        max_descriptors: The number of descriptors that the process may use.
+        limits: The capacity limits of clients.
+        inherited_fd: The descriptor of a socket that the platform has bound, which other processes
+            may share.
 
     Attributes:
         loop: The event loop.
-        pool: The buffers and streams of clients.
-        requests: Where requests go.
-        event_log: The log for operators.
-        request_classes: The numbers of the request classes by name.
-        tenants: The numbers of the tenants by name.
+        pool: The buffer pool of client connections.
+        requests: Receives the requests.
+        event_log: The rate-limited log for operators.
+        request_classes: Request class indexes by name.
+        tenants: Tenant indexes by name.
         is_accepting: Whether clients are accepted.
-        is_draining: Whether clients are sent away; those that come all the same are served.
-        unread_us: A client may be shed after so long without reading.
+        is_draining: Whether the proxy is draining. Clients that connect anyway are served.
+        unread_us: Time without reading after which a client may be shed, in microseconds.
     """
 
     def __init__(
@@ -73,7 +74,7 @@
         self.unread_us = DEFAULT_THRESHOLDS.unread_us
         self._limits = limits
         self._max_awaiting_request = max(int(AWAITING_REQUEST_RATIO * max_descriptors), 1)
-        # The oldest first.
+        # Ordered by the time of the accept, oldest first.
         self._awaiting_request: dict[TextClientConnection, None] = {}
         self._sock = _bind(address) if inherited_fd is None else _inherit(inherited_fd)
         self._channel = loop.register(self._sock, 0, self._on_ready)
@@ -81,24 +82,24 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """The address in use; its port was chosen by the system if 0 was asked for."""
+        """The host and port in use; the system chose the port if port 0 was requested."""
         host, port = self._sock.getsockname()
         return host, port
 
     def open(self) -> None:
-        """Begin to accept clients."""
+        """Start accepting clients."""
         self.is_accepting = True
         self.loop.set_events(self._channel, READ)
 
     def stop(self) -> None:
-        """Accept no more clients; other processes that hold the socket go on."""
+        """Stop accepting clients; other processes that share the socket continue."""
         if self.is_accepting:
             self.is_accepting = False
             self.loop.unregister(self._channel)
             self._sock.close()
 
     def accept_backlog(self) -> bool:
-        """Accept all clients that wait; return False if some are left for want of capacity."""
+        """Accept all waiting clients; return False if some are left for lack of capacity."""
         return any(self._accept() for _ in range(BACKLOG // ACCEPTS_PER_ITERATION))
 
     def reject_awaiting_clients(self) -> None:
@@ -110,14 +111,14 @@
         """Count the clients that have sent no request line yet."""
         return len(self._awaiting_request)
 
-    # What clients call
+    # Called by clients
 
     def stop_awaiting_request(self, client: TextClientConnection) -> None:
-        """Take notice that a client has sent its request line, was answered, or has left."""
+        """Record that a client sent its request line, was answered or disconnected."""
         self._awaiting_request.pop(client, None)
 
     def try_admit(self, spec: RequestSpec) -> bool:
-        """Return whether there is capacity for a request; a rejection is counted."""
+        """Return whether there is capacity for a request; count a rejection if not."""
         return self._limits.try_admit(
             spec.class_index,
             len(spec.payload) + len(spec.identity),
@@ -131,7 +132,7 @@
         self._accept()
 
     def _accept(self) -> bool:
-        """Accept some of the clients that wait; return True once none does any more."""
+        """Accept some of the waiting clients; return True once none is left."""
         for _ in range(ACCEPTS_PER_ITERATION):
             if self._must_shed() and self._choose_shed_candidate() is None:
                 self._pause_for_capacity()
@@ -144,7 +145,7 @@
                 if error.errno in RESOURCE_EXHAUSTION_ERRNOS:
                     self._pause_exhausted(errno.errorcode.get(error.errno, "out of resources"))
                     return False
-                continue  # that client has gone again
+                continue  # the client has already disconnected
             self._add_client(sock)
             self._shed_clients()
         return False
@@ -167,17 +168,17 @@
 
     def _pause(self, duration_us: int) -> None:
         self.loop.set_events(self._channel, 0)
-        # A stale channel, once the listener has stopped, changes nothing.
+        # Has no effect if the listener has stopped meanwhile: its token is stale then.
         self.loop.call_later(duration_us, lambda: self.loop.set_events(self._channel, READ))
 
     # Load shedding
 
     def _is_exhausted(self) -> bool:
-        """Return whether only the attempts of clients without a request line still fit."""
+        """Return whether capacity is left only for the attempts of clients already accepted."""
         return self._limits.is_exhausted(len(self._awaiting_request), len(self.pool.lingering))
 
     def _must_shed(self) -> bool:
-        """Return whether a client has to be shed before the next is accepted."""
+        """Return whether a client must be shed before the next one is accepted."""
         return len(self._awaiting_request) > self._max_awaiting_request or self._is_exhausted()
 
     def _choose_shed_candidate(self) -> ShedCandidate | None:
@@ -194,10 +195,10 @@
         )
 
     def _shed_clients(self) -> None:
-        """Shed the oldest clients of each kind until the next one fits.
+        """Shed clients, the oldest of each kind first, until a new one fits.
 
-        Most clients send their request line as soon as they are connected. To wait until the others
-        had gone by themselves kept new clients out for ten seconds and more.
+        Most clients send their request line as soon as they are connected. When idle clients were
+        left to time out by themselves, new clients were kept out for 10 s and more.
         """
         while (candidate := self._choose_shed_candidate()) is not None:
             match candidate:
@@ -213,7 +214,7 @@
     def _shed_buffer_holder(self) -> None:
         """Shed the oldest client that holds a buffer with an incomplete request line.
 
-        Else a complete request line may not be read until after its deadline.
+        Otherwise a complete request line might wait for a buffer until its deadline has passed.
         """
         for client in self._awaiting_request:
             if client.stream.inbox is not None:
--- a/larchhaven/net/text_protocol/relay_state.py
+++ b/larchhaven/net/text_protocol/relay_state.py
@@ -1,4 +1,4 @@
-"""What another process needs to go on with a relayed connection, as it is handed over."""
+"""The state of a relayed connection that is handed over to another process."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
     msgspec.Struct,
     rename={"line_head": "head", "ends_with_cr": "cr", "is_mid_line": "midline"},
 ):
-    """One side of a relay.
+    """The state of one side of a relay.
 
     Attributes:
-        inbox: Bytes received and not forwarded.
-        outbox: Bytes to be sent.
-        line_head: The beginning of the line in progress.
+        inbox: Bytes received but not forwarded yet.
+        outbox: Bytes written but not sent yet.
+        line_head: The first bytes of the line in progress.
         ends_with_cr: Whether the last byte received was a CR.
         is_mid_line: Whether a line is in progress.
     """
@@ -27,12 +27,13 @@
 
 
 class RelayState(msgspec.Struct, rename={"server": "instance", "unanswered_since_us": "asked"}):
-    """A relay, without its descriptors.
+    """The state of a relay, without its file descriptors.
 
     Attributes:
         client: The client's side.
         server: The server's side.
-        unanswered_since_us: When each line of the client came that has no answer yet.
+        unanswered_since_us: When the client's unanswered lines were forwarded, oldest first, on the
+            event loop's clock in microseconds.
     """
 
     client: SideState
--- a/larchhaven/net/text_protocol/upstream_attempt.py
+++ b/larchhaven/net/text_protocol/upstream_attempt.py
@@ -14,29 +14,32 @@
 
 
 class _Phase(Enum):
-    """How far an attempt has come."""
+    """The state of an attempt."""
 
-    NOT_SENT = auto()  # the server cannot have run anything
-    SENT = auto()  # the last byte of the request line is written: it may have run
+    NOT_SENT = auto()  # the server cannot have executed the request
+    SENT = auto()  # the request line is written completely: the request may have been executed
     ENDED = auto()
 
 
 class TextUpstreamAttempt:
-    """One attempt; its observer is notified exactly once how it ended, unless it is cancelled.
+    """One attempt of a request at a server.
+
+    The observer is notified of its outcome exactly once, unless the attempt is cancelled.
 
     Args:
         loop: The event loop.
-        pool: The buffers and streams of clients.
-        observer: What is notified of the progress.
-        request_id: The request.
-        request_line: Its line, without its end.
+        pool: The buffer pool of client connections.
+        observer: Is notified of the progress.
+        request_id: The id of the request.
+        request_line: The client's request line without its CRLF.
         address: The server's host and port.
-        connect_timeout_us: The time for the connect.
-        budget_us: The time for the whole attempt.
+        connect_timeout_us: The connect timeout in microseconds.
+        budget_us: The timeout of the whole attempt in microseconds.
 
     Attributes:
-        stream: The connection to the server; None if it failed at once.
-        acceptance_line: The line by which the server accepted the connection, without its end.
+        stream: The stream to the server; None if the connect failed at once.
+        acceptance_line: The line with which the server accepted the connection, without its CRLF;
+            empty until then.
     """
 
     def __init__(
@@ -66,13 +69,17 @@
             self.stream = Stream.connect(loop, pool, address, self)
         except OSError as error:
             result = _result_of_connect_error(error.errno)
-            # Reported later: the observer is still at work on the action that began this.
+            # Reported by a timer, as the observer is still handling the action that starts this
+            # attempt.
             loop.call_later(0, lambda: self._fail(result))
 
-    # The stream's protocol
+    # Stream callbacks
 
     def connection_made(self) -> None:
-        """Send the request line, unless the server began to drain during the connect."""
+        """Send the request line, unless the observer no longer allows it.
+
+        During the connect, the server may have started to drain, or the client may have left.
+        """
         self._loop.cancel(self._connect_timeout)
         stream = self.stream
         if stream is None or self._phase is _Phase.ENDED:
@@ -82,13 +89,13 @@
             return
         line = codec.encode_request_line(self._request_line, self._expires_us - self._loop.now_us)
         if stream.write(line) < len(line):
-            self._fail(AttemptResult.NOT_SENT)  # no buffer is left for the rest
+            self._fail(AttemptResult.NOT_SENT)  # no buffer is available for the rest
             return
         if not stream.pending_bytes:
             self.write_buffer_drained()
 
     def write_buffer_drained(self) -> None:
-        """Take notice that the request line is sent completely."""
+        """Record that the request line was sent completely."""
         if self._phase is _Phase.NOT_SENT:
             self._phase = _Phase.SENT
             self._observer.on_request_sent(self._request_id)
@@ -116,11 +123,11 @@
         self._fail(ending.result, ending.report)
 
     def eof_received(self) -> None:
-        """Fail: the server has ended the connection without an answer."""
+        """Fail: the server closed the connection without an answer."""
         self._fail(self._result_of_lost_connection())
 
     def connection_lost(self, code: int) -> None:
-        """Fail: only before its last byte was written can the request not have run."""
+        """Fail: the request may have been executed if its last byte was written."""
         if code in RESOURCE_EXHAUSTION_ERRNOS and code != errno.ENOBUFS:
             self._fail(AttemptResult.NOT_SENT)
         else:
@@ -136,7 +143,7 @@
         self._fail(AttemptResult.UNREACHABLE)
 
     def _on_timeout(self) -> None:
-        """Fail; an answer that has just come still counts."""
+        """Fail, unless the answer has just arrived."""
         if self._phase is _Phase.SENT and self.stream is not None:
             self.stream.read_available()
         is_sent = self._phase is _Phase.SENT
@@ -146,10 +153,10 @@
         self._loop.cancel(self._connect_timeout)
         self._loop.cancel(self._timeout)
 
-    # Ending
+    # Closing
 
     def cancel(self) -> None:
-        """Give up; the observer is not notified."""
+        """Cancel the attempt; the observer is not notified."""
         if self._phase is not _Phase.ENDED:
             self._phase = _Phase.ENDED
             self._cancel_timeouts()
@@ -158,7 +165,7 @@
 
     def _fail(self, result: AttemptResult, report: LoadReport | None = None) -> None:
         if self._phase is not _Phase.ENDED:
-            # Closed before the observer is notified: the next attempt must not overlap.
+            # Close before notifying the observer: the next attempt must not overlap this one.
             self.cancel()
             self._observer.on_attempt_failed(self._request_id, result, report)
 
