--- a/larchhaven/net/core/__init__.py
+++ b/larchhaven/net/core/__init__.py
@@ -1,1 +1,1 @@
-"""I/O without a protocol: the event loop, buffered streams, handle tables, the log."""
+"""Protocol-independent I/O: the event loop, buffered streams, slot tables, log and metrics."""
--- a/larchhaven/net/core/buffer_pool.py
+++ b/larchhaven/net/core/buffer_pool.py
@@ -1,4 +1,4 @@
-"""Buffers of one size from a bounded pool."""
+"""A bounded pool of buffers of one size."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from larchhaven.memory.item_costs import BUFFER_BYTES, BUFFER_OVERHEAD_BYTES
 from larchhaven.memory.purposes import MemoryPurpose
 
-# Released buffers that are kept for reuse; the others go back to the allocator.
+# Released buffers kept for reuse. Further ones are freed.
 MAX_SPARE_BUFFERS = 32
 _CHARGE_BYTES = BUFFER_BYTES + BUFFER_OVERHEAD_BYTES
 
 
 class Buffer:
-    """The bytes between ``start`` and ``end`` of a block of fixed size."""
+    """A block of fixed size that holds data between ``start`` and ``end``."""
 
     __slots__ = ("data", "end", "start", "view")
 
@@ -26,15 +26,15 @@
         self.end = 0
 
     def __len__(self) -> int:
-        """Count the bytes held."""
+        """Return the number of bytes held."""
         return self.end - self.start
 
     def readable(self) -> memoryview:
-        """Return the bytes held."""
+        """Return a view of the bytes held."""
         return self.view[self.start : self.end]
 
     def writable(self) -> memoryview:
-        """Return the free bytes, after moving what is held to the front."""
+        """Move the bytes held to the front, and return a view of the free space after them."""
         if self.start:
             held = bytes(self.readable())
             self.view[: len(held)] = held
@@ -44,33 +44,34 @@
 
 
 class SheddableStream(Protocol):
-    """A stream, as seen by those who shed load."""
+    """The interface of a stream that load shedding uses."""
 
     def kernel_bytes(self) -> int:
-        """Return the bytes that the kernel buffers for the stream, both ways."""
+        """Return the number of bytes that the kernel buffers for the stream in both directions."""
 
     def shed(self) -> None:
-        """Reset a connection whose other side does not read."""
+        """Reset a connection whose remote end does not read."""
 
     def close_without_reset(self) -> None:
-        """Close before the other side has ended."""
+        """Close without waiting for the remote end, and without a reset."""
 
 
 class BufferPool:
-    """Buffers that are reused; when the account grants no more, those who want one wait.
+    """A pool of reusable buffers, limited by a memory account.
 
-    A pool also has what its streams share: their account, and which of them can be shed.
+    A stream that gets no buffer waits until one is released. The pool also holds the state that
+    its streams share: their memory account, and which of them can be shed.
 
     Attributes:
-        account: The account that buffers and streams are charged to.
-        stream_purpose: What streams are charged as.
-        socket_buffer_bytes: The size for SO_SNDBUF and SO_RCVBUF of streams; 0 leaves it to the
-            system.
-        on_exhausted: Called when no buffer is granted: whoever holds one and makes no progress may
-            release it.
-        lingering: Streams in lingering close, the oldest first: the cheapest to lose.
-        unread_since_us: Streams of clients that have not read what was sent, and since when, the
-            longest first.
+        account: The memory account that buffers and streams are charged to.
+        stream_purpose: The purpose that streams are charged under.
+        socket_buffer_bytes: The value of SO_SNDBUF and SO_RCVBUF of streams; 0 keeps the system's
+            default.
+        on_exhausted: Called when no buffer is granted. It may release the buffer of a client that
+            makes no progress.
+        lingering: Streams in lingering close, oldest first. They are the cheapest to shed.
+        unread_since_us: Client streams with unread data, and since when in microseconds, longest
+            first.
     """
 
     def __init__(
@@ -98,16 +99,19 @@
             return Buffer()
         on_exhausted = self.on_exhausted
         if on_exhausted is not None:
-            self.on_exhausted = None  # not again from within
+            self.on_exhausted = None  # no recursion
             on_exhausted()
             self.on_exhausted = on_exhausted
         return self._spares.pop() if self._spares else None
 
     def release(self, buffer: Buffer) -> None:
-        """Take a buffer back and call all that wait: one of them may have been closed since."""
+        """Take back a buffer and call all waiting callbacks.
+
+        Calling only the first is not enough, as its stream may have been closed meanwhile.
+        """
         buffer.start = 0
         buffer.end = 0
-        # After a reload that lowered the cap, buffers go until the others are under it.
+        # After a reload has lowered the cap, buffers are freed until usage is within it.
         is_under_cap = self.account.available_bytes(self._buffer_purpose) >= 0
         if len(self._spares) < MAX_SPARE_BUFFERS and is_under_cap:
             self._spares.append(buffer)
@@ -120,10 +124,10 @@
                 callback()
 
     def release_spares(self) -> None:
-        """Return the buffers kept for reuse to the allocator."""
+        """Free the buffers kept for reuse."""
         self.account.release(self._buffer_purpose, _CHARGE_BYTES * len(self._spares))
         self._spares.clear()
 
     def call_when_available(self, callback: Callable[[], None]) -> None:
-        """Call a function once a buffer has been released."""
+        """Call a function when a buffer is next released."""
         self._waiting.append(callback)
--- a/larchhaven/net/core/buffered_socket.py
+++ b/larchhaven/net/core/buffered_socket.py
@@ -1,4 +1,4 @@
-"""A non-blocking socket in the event loop, with at most one pooled buffer each way."""
+"""A non-blocking socket in the event loop, with at most one pooled buffer per direction."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 class BufferedSocket:
-    """A socket, its buffers, and what it is watched for.
+    """A socket with its buffers.
 
-    It is watched for input unless reading is paused, and for output while something is pending.
+    It is watched for input unless reading is paused, and for output while data is pending.
 
     Attributes:
-        inbox: Input that has not been consumed; None if there is none.
-        at_eof: Whether the other side sends no more.
+        inbox: Received data that has not been consumed; None if there is none.
+        at_eof: Whether the remote end has ended its stream.
         is_closed: Whether the socket is closed.
     """
 
@@ -45,7 +45,7 @@
 
         Args:
             loop: The event loop.
-            pool: Where buffers come from.
+            pool: The pool that provides the buffers.
             sock: The socket.
             on_ready: Called with the events that the socket is ready for.
         """
@@ -72,30 +72,33 @@
         return self._sock.fileno()
 
     def kernel_bytes(self) -> int:
-        """Return the bytes that the kernel buffers for this connection, both ways."""
+        """Return the number of bytes that the kernel buffers for the socket in both directions."""
         return self._loop.kernel_bytes(self._channel)
 
     # Input
 
     def prefill(self, data: bytes) -> None:
-        """Put input that another process has read before any of our own."""
+        """Fill the inbox with data that another process has read from the socket."""
         if data and (buffer := self._pool.acquire()) is not None:
             buffer.writable()[: len(data)] = data
             buffer.end = len(data)
             self.inbox = buffer
 
     def pause_reading(self) -> None:
-        """Read no more until resumed: the backpressure on the other side."""
+        """Stop reading until resumed, as backpressure on the remote end."""
         self._is_reading = False
         self._update_events()
 
     def resume_reading(self) -> None:
-        """Read again."""
+        """Resume reading."""
         self._is_reading = True
         self._update_events()
 
     def consume(self, count: int) -> None:
-        """Drop bytes from the front of the inbox; an empty one goes back to the pool."""
+        """Drop bytes from the front of the inbox, and resume reading if it is paused.
+
+        An empty inbox is returned to the pool.
+        """
         if self.inbox is not None:
             self.inbox.start += count
             if not len(self.inbox):
@@ -108,22 +111,22 @@
 
     @property
     def pending_bytes(self) -> int:
-        """The bytes written that the kernel has not taken yet."""
+        """The number of bytes written that the kernel has not accepted yet."""
         return len(self._outbox) if self._outbox is not None else 0
 
     def pending_data(self) -> bytes:
-        """Return what was written and the kernel has not taken yet."""
+        """Return the data written that the kernel has not accepted yet."""
         return bytes(self._outbox.readable()) if self._outbox is not None else b""
 
     def can_buffer(self, count: int) -> bool:
-        """Return whether so many more bytes would be taken completely."""
+        """Return whether ``count`` more bytes fit into the output buffer."""
         return self.pending_bytes + count <= BUFFER_BYTES
 
     def _buffer_output(self, data: bytes | memoryview, start: int) -> int:
-        """Buffer what fits of the data from ``start`` on.
+        """Buffer as much of the data from ``start`` on as fits.
 
         Returns:
-            The number of bytes; 0 if the pool is exhausted.
+            The number of bytes buffered; 0 if the pool is exhausted.
         """
         if self._outbox is None:
             self._outbox = self._pool.acquire()
@@ -137,13 +140,13 @@
         return count
 
     def _send_pending(self) -> int:
-        """Send what the kernel takes of what is pending.
+        """Send as much of the pending data as the kernel accepts.
 
         Returns:
             The number of bytes sent.
 
         Raises:
-            BlockingIOError: The kernel takes nothing now.
+            BlockingIOError: The kernel accepts no data now.
             OSError: The connection is lost.
         """
         if self._outbox is None:
@@ -155,7 +158,7 @@
             self._pool.release(outbox)
         return sent
 
-    # The event loop
+    # Events
 
     def _update_events(self) -> None:
         if self.is_closed:
--- a/larchhaven/net/core/event_loop.py
+++ b/larchhaven/net/core/event_loop.py
@@ -1,4 +1,4 @@
-"""The event loop: one selector, one clock reading an iteration, timers, signals as events."""
+"""The event loop: one selector, one clock reading per iteration, timers, signals as events."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 
 READ = selectors.EVENT_READ
 WRITE = selectors.EVENT_WRITE
-# A timer that is so late was not delayed by this process: it was stopped, or its machine was.
+# A timer that is this late shows that the process or its machine was paused.
 PAUSE_THRESHOLD_US = 1_000_000
-# Cancelled timers are dropped when they come due; at once if they are more than this and than a
-# quarter of all.
+# Cancelled timers are dropped when they come due. All are dropped at once if there are more than
+# this and they exceed a quarter of all timers.
 _MAX_CANCELLED_TIMERS = 250
 _CANCELLED_TIMERS_DIVISOR = 4
-# Tracebacks of failed callbacks are logged at most once in this time.
+# At most one failed callback is logged in this time.
 _TRACEBACK_INTERVAL_US = 1_000_000
 _SIGNALS_PER_READ = 64
 
-# getsockopt's SO_MEMINFO: rmem_alloc, rcvbuf, wmem_alloc, sndbuf, fwd_alloc, wmem_queued, ...
+# SO_MEMINFO of getsockopt: rmem_alloc, rcvbuf, wmem_alloc, sndbuf, fwd_alloc, wmem_queued, ...
 _SO_MEMINFO = 55
 _MEMINFO = struct.Struct("9I")
 _MEMINFO_RECEIVED = 0
@@ -35,11 +35,11 @@
 
 
 class TimerHandle:
-    """A callback due at a time, unless it is cancelled first.
+    """A callback that is called at a given time unless it is cancelled first.
 
     Attributes:
-        due_us: When it is due, on the loop's clock.
-        callback: What is called then; None once it was cancelled.
+        due_us: The time on the loop's clock, in microseconds.
+        callback: The function to call; None once the timer is cancelled.
     """
 
     __slots__ = ("callback", "due_us")
@@ -50,7 +50,7 @@
 
 
 class _Channel:
-    """One registered socket."""
+    """A registered socket."""
 
     __slots__ = ("events", "on_ready", "sock")
 
@@ -61,16 +61,22 @@
 
 
 def _read_kernel_bytes(sock: socket.socket) -> int:
-    """Return the bytes that the kernel buffers for a socket: received, and queued to be sent."""
+    """Return the number of bytes that the kernel buffers for a socket: unread, and queued to send.
+
+    It is 0 if the system or this kind of socket does not support the query.
+    """
     try:
         info = _MEMINFO.unpack(sock.getsockopt(socket.SOL_SOCKET, _SO_MEMINFO, _MEMINFO.size))
     except (OSError, struct.error):
-        return 0  # not a socket of that kind, or a system without it
+        return 0
     return int(info[_MEMINFO_RECEIVED]) + int(info[_MEMINFO_SEND_QUEUED])
 
 
 def unix_offset_us() -> int:
-    """Return the offset from the loop's clock to Unix time: the one place where the two meet."""
+    """Return the offset from the loop's clock to Unix time, in microseconds.
+
+    All conversions between the two clocks use this function.
+    """
     return time.time_ns() // 1000 - time.monotonic_ns() // 1000
 
 
@@ -78,10 +84,11 @@
     """Runs callbacks for ready sockets, due timers and signals.
 
     Attributes:
-        now_us: The time at which the iteration began; it stands still until the next one.
+        now_us: The time when the iteration began, on the monotonic clock in microseconds. It does
+            not change within an iteration.
         on_iteration_end: Called at the end of each iteration.
-        on_process_resumed: Called before anything else with how late an iteration is, in
-            microseconds, if that is PAUSE_THRESHOLD_US or more.
+        on_process_resumed: Called with the delay of an iteration in microseconds, before any other
+            callback, if the delay is at least PAUSE_THRESHOLD_US.
     """
 
     def __init__(self) -> None:
@@ -104,7 +111,7 @@
     # Sockets
 
     def register(self, sock: socket.socket, events: int, on_ready: Callable[[int], None]) -> int:
-        """Watch a socket.
+        """Register a socket and watch it for events.
 
         Args:
             sock: The socket.
@@ -119,12 +126,12 @@
         return token
 
     def unregister(self, token: int) -> None:
-        """Stop watching; events of this iteration that still wait for the channel are dropped."""
+        """Stop watching a socket; its events not yet handled in this iteration are dropped."""
         self.set_events(token, 0)
         self._channels.remove(token)
 
     def set_events(self, token: int, events: int) -> None:
-        """Change what a socket is watched for; 0 pauses it. A stale token changes nothing."""
+        """Set the events that a socket is watched for; 0 pauses it. A stale token has no effect."""
         channel = self._channels.get(token)
         if channel is None or channel.events == events:
             return
@@ -137,14 +144,14 @@
         channel.events = events
 
     def socket_count(self) -> int:
-        """Count the registered sockets, paused ones included."""
+        """Return the number of registered sockets, including paused ones."""
         return len(self._channels)
 
     def kernel_bytes(self, token: int | None = None) -> int:
-        """Return the bytes that the kernel buffers, unread or not sent yet.
+        """Return the number of bytes that the kernel buffers, unread or not sent yet.
 
         Args:
-            token: The channel of the socket; None for all registered sockets.
+            token: The token of a socket's channel; None for all registered sockets.
         """
         if token is None:
             return sum(_read_kernel_bytes(channel.sock) for _, channel in self._channels.items())
@@ -154,14 +161,14 @@
     # Timers
 
     def call_later(self, delay_us: int, callback: Callable[[], None]) -> TimerHandle:
-        """Call a function once, after a delay that counts from the begin of the iteration."""
+        """Call a function once, after a delay measured from the start of the iteration."""
         timer = TimerHandle(self.now_us + delay_us, callback)
         self._timers_created += 1
         heapq.heappush(self._timers, (timer.due_us, self._timers_created, timer))
         return timer
 
     def cancel(self, timer: TimerHandle | None) -> None:
-        """Cancel a timer; one that has been called or cancelled, or None, does no harm."""
+        """Cancel a timer; no effect on one already called or cancelled, or on None."""
         if timer is None or timer.callback is None:
             return
         timer.callback = None
@@ -175,17 +182,17 @@
             self._timers_cancelled = 0
 
     def timer_count(self) -> int:
-        """Count the timers held, cancelled ones that have not been dropped yet included."""
+        """Return the number of timers held, including cancelled ones not dropped yet."""
         return len(self._timers)
 
     def skip_next_wait(self) -> None:
-        """Begin the next iteration at once: there is something left to do."""
+        """Start the next iteration without waiting, as there is work left."""
         self._skips_next_wait = True
 
     # Signals
 
     def add_signal_handler(self, number: int, handler: Callable[[], None]) -> None:
-        """Call a function within an iteration after the signal came."""
+        """Call a function from the loop after each arrival of a signal."""
         if self._signal_sockets is None:
             wakeup, reader = socket.socketpair()
             wakeup.setblocking(False)
@@ -205,31 +212,32 @@
     # Iterations
 
     def run(self) -> None:
-        """Iterate until stopped."""
+        """Run iterations until ``stop`` is called."""
         self._is_running = True
         while self._is_running:
             self.run_once()
 
     def stop(self) -> None:
-        """Leave ``run`` at the end of this iteration."""
+        """Make ``run`` return at the end of the current iteration."""
         self._is_running = False
 
     def run_once(self) -> None:
-        """Wait for something to happen, and do all that is due."""
+        """Wait for events or due timers, and run their callbacks."""
         next_due_us = self._timers[0][0] if self._timers else None
         previous_us = self.now_us
         ready = self._selector.select(self._seconds_to_wait())
         self._skips_next_wait = False
         self.now_us = time.monotonic_ns() // 1000
         late_us = 0 if next_due_us is None else self.now_us - max(next_due_us, previous_us)
-        # What is ready was found before the pause; the rest is read in the next iteration, and
-        # timers run only then: else a request line would be read after its deadline.
+        # The ready events were found before the pause. Sockets that became ready during it are
+        # handled in the next iteration, and timers run only after them. Otherwise a request line
+        # that had arrived in time would be read after its deadline.
         self._is_resuming = late_us >= PAUSE_THRESHOLD_US and not self._is_resuming
         if self._is_resuming:
             self._skips_next_wait = True
             self._call(self.on_process_resumed, late_us)
         for key, events in ready:
-            # An earlier callback may have closed the channel, and its number may be in use again.
+            # An earlier callback may have closed the channel, and its slot may be in use again.
             channel = self._channels.get(key.data)
             if channel is not None:
                 self._call(channel.on_ready, events & channel.events)
@@ -248,13 +256,13 @@
                 self._call(callback)
 
     def _call(self, callback: Callable[..., None], *arguments: int) -> None:
-        """Keep a mistake in the handling of one connection from ending all the others."""
+        """Run a callback, so that an exception in one does not end all connections."""
         try:
             callback(*arguments)
         except Exception:
             if self.now_us >= self._no_traceback_until_us:
                 self._no_traceback_until_us = self.now_us + _TRACEBACK_INTERVAL_US
-                _log.exception("callback failed")
+                _log.exception("event loop callback failed")
 
     def _seconds_to_wait(self) -> float | None:
         if self._skips_next_wait:
--- a/larchhaven/net/core/lingering_close.py
+++ b/larchhaven/net/core/lingering_close.py
@@ -1,7 +1,7 @@
-"""Lingering close: input is discarded for a while, so that what was written last is delivered.
+"""Lingering close: discards input for a while before the close, so that all output is delivered.
 
-Closing a socket with unread input resets the connection, and the other side may then never read the
-last bytes that were written.
+Closing a socket with unread input resets the connection, and the remote end may then never read the
+last bytes that were sent.
 """
 
 from __future__ import annotations
@@ -12,29 +12,29 @@
 
 from larchhaven.net.core.event_loop import EventLoop
 
-# How long input is discarded after the last of it came.
+# A lingering close ends after this time without input.
 LINGER_US = 1_000_000
-# The most for one that goes on sending.
+# A lingering close ends after this time even if input keeps arriving.
 MAX_LINGER_US = 5_000_000
 _MAX_DISCARDS_ON_CLOSE = 16
-# All sockets share the block, as nobody reads what is discarded.
+# Shared by all sockets, as the discarded data is never used.
 _DISCARD_BLOCK = memoryview(bytearray(1 << 16))
 
 
 def discard_block(sock: socket.socket) -> int:
-    """Read once and discard what comes.
+    """Read once and discard the data.
 
     Returns:
-        The number of bytes; 0 at the end of the stream.
+        The number of bytes read; 0 at the end of the stream.
 
     Raises:
-        OSError: Nothing has come, or the connection is lost.
+        OSError: No data is available, or the connection is lost.
     """
     return sock.recv_into(_DISCARD_BLOCK)
 
 
 def discard_received(sock: socket.socket) -> None:
-    """Discard what has been received, up to a limit."""
+    """Discard the data received so far, up to a limit."""
     with contextlib.suppress(OSError):
         for _ in range(_MAX_DISCARDS_ON_CLOSE):
             if not discard_block(sock):
@@ -42,7 +42,7 @@
 
 
 class LingerTimer:
-    """Ends a lingering close some time after the last input."""
+    """Ends a lingering close after a time without input, or after a maximum time."""
 
     __slots__ = ("_handle", "_last_input_us", "_loop", "_on_expired", "_started_us")
 
@@ -54,11 +54,11 @@
         self._handle = loop.call_later(LINGER_US, self._check)
 
     def note_input(self) -> None:
-        """Count the time anew, within the limit."""
+        """Restart the timeout, within the maximum time."""
         self._last_input_us = self._loop.now_us
 
     def cancel(self) -> None:
-        """Do not end it by time any more."""
+        """Stop the timer."""
         self._loop.cancel(self._handle)
 
     def _check(self) -> None:
--- a/larchhaven/net/core/log_setup.py
+++ b/larchhaven/net/core/log_setup.py
@@ -1,4 +1,4 @@
-"""The form of the log: lines for people, or one JSON object a line with fixed keys."""
+"""The log format: plain text, or one JSON object per line with fixed keys."""
 
 from __future__ import annotations
 
@@ -6,14 +6,18 @@
 import sys
 
 TEXT_FORMAT = "%(asctime)s %(message)s"
-# The keys of a JSON line; ``held`` counts the suppressed repeats of a rate-limited event.
+# The keys of a JSON line. ``held`` is the number of suppressed repeats of a rate-limited event.
 JSON_KEYS = ("time", "level", "event", "detail", "held")
-# The event of lines that name none.
+# The ``event`` of log records without one.
 DEFAULT_EVENT = "note"
 
 
 def configure_logging(as_json: bool) -> None:
-    """Begin to log to standard error, or go on in the other form."""
+    """Start logging to standard error, or change the format if logging has started.
+
+    Args:
+        as_json: Whether to write JSON lines instead of plain text.
+    """
     root = logging.getLogger()
     if not root.handlers:
         logging.basicConfig(level=logging.INFO, stream=sys.stderr)
@@ -23,14 +27,14 @@
 
 
 def _make_json_formatter() -> logging.Formatter:
-    # Loaded only where it is wanted: 0.4 MB (structlog needs 17 MB more than logging alone).
+    # Imported only for JSON lines, as it takes 0.4 MB (structlog would take 17 MB).
     from pythonjsonlogger.msgspec import MsgspecFormatter
 
     class FixedKeysFormatter(MsgspecFormatter):
-        """One object a line, with the same keys in the same order for every event."""
+        """Writes one JSON object per line, with the same keys in the same order for all events."""
 
         def process_log_record(self, log_data: dict[str, object]) -> dict[str, object]:
-            """Fill in missing keys, and keep nothing else but a traceback."""
+            """Return the fixed keys, with defaults for missing ones, and the traceback if any."""
             message = log_data.pop("message", "")
             line = {
                 "time": log_data["asctime"],
--- a/larchhaven/net/core/metrics.py
+++ b/larchhaven/net/core/metrics.py
@@ -1,4 +1,4 @@
-"""The proxy's metrics: whole numbers, counted where things happen, from the process's start."""
+"""The proxy's metrics: integer gauges, and counters since the start of the process."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 class RequestOutcomes(msgspec.Struct):
-    """What became of the requests of one class.
+    """The outcomes of the requests of one class.
 
-    A request has one outcome, or none if its client left.
+    A request has one outcome, or none if its client disconnected first.
     """
 
     completed: int = 0
@@ -27,17 +27,17 @@
         "invalid_peer_messages": "strange_messages",
     },
 ):
-    """What operators read, under the names in which they read it.
+    """The metrics of a proxy, encoded under the names that operators read.
 
     Attributes:
-        downstream_requests: The outcomes of requests by the name of their class.
+        downstream_requests: The outcomes of requests by class name.
         upstream_requests: Attempts whose request line was sent completely.
-        active_requests: Requests accepted whose connection has not ended.
+        active_requests: Accepted requests whose connection has not ended.
         listed_servers: Servers on the endpoint list.
-        unavailable_servers: Those of them that get no new requests at present.
+        unavailable_servers: Listed servers that get no new requests at present.
         config_reloads: Reloads of the configuration or of the operators' file.
         config_reload_errors: Reloads that failed and changed nothing.
-        invalid_peer_messages: Messages of other proxies, or entries in them, that were unusable.
+        invalid_peer_messages: Unusable messages of peers, or unusable entries in them.
     """
 
     downstream_requests: dict[str, RequestOutcomes]
@@ -51,11 +51,11 @@
 
     @classmethod
     def for_classes(cls, class_names: Sequence[str]) -> Metrics:
-        """Return metrics at zero, with every request class."""
+        """Return metrics at zero, with an entry for each request class."""
         return cls({name: RequestOutcomes() for name in class_names})
 
     def outcomes_by_class(self) -> list[RequestOutcomes]:
-        """Return the outcomes by the numbers of the classes."""
+        """Return the outcomes in the order of the request class indexes."""
         return list(self.downstream_requests.values())
 
     def encode(self) -> bytes:
--- a/larchhaven/net/core/rate_limited_log.py
+++ b/larchhaven/net/core/rate_limited_log.py
@@ -1,4 +1,4 @@
-"""Log lines for operators that no outside party can turn into a flood."""
+"""A rate-limited log for operators, which clients and servers cannot flood."""
 
 from __future__ import annotations
 
@@ -6,18 +6,23 @@
 
 from larchhaven.net.core.event_loop import EventLoop
 
-# The same event is logged at most once in this time; the others are counted.
+# The same event is logged at most once in this time. Repeats are counted.
 REPEAT_INTERVAL_US = 10_000_000
-# Events that are remembered; beyond, the oldest is forgotten.
+# Number of events whose rate is tracked. A further event replaces the oldest.
 MAX_REMEMBERED_EVENTS = 200
-# Details may quote what clients sent.
+# Limit in characters, as details may quote data sent by clients.
 MAX_DETAIL_LENGTH = 200
 
 _log = logging.getLogger("larchhaven")
 
 
 class _EventRecord:
-    """When an event may be logged again, and how often it was suppressed since it was."""
+    """The rate limit of one event.
+
+    Attributes:
+        quiet_until_us: The time until which repeats are suppressed, on the event loop's clock.
+        suppressed: The number of repeats suppressed since the event was last logged.
+    """
 
     __slots__ = ("quiet_until_us", "suppressed")
 
@@ -30,8 +35,8 @@
     """Logs each event at most once in an interval.
 
     Attributes:
-        max_events: How many events are remembered.
-        repeat_interval_us: The interval.
+        max_events: The maximum number of events whose rate is tracked.
+        repeat_interval_us: The interval in microseconds.
     """
 
     def __init__(self, loop: EventLoop, max_events: int = MAX_REMEMBERED_EVENTS) -> None:
@@ -41,15 +46,15 @@
         self._records: dict[str, _EventRecord] = {}
 
     def event_count(self) -> int:
-        """Count the events that are remembered."""
+        """Return the number of events whose rate is tracked."""
         return len(self._records)
 
     def warning(self, event: str, detail: str) -> None:
-        """Log an event, unless it was logged a moment ago.
+        """Log an event, unless it was logged within the interval.
 
         Args:
-            event: The fact, which the rate is limited by.
-            detail: Its values; escaped and truncated, as they may come from outside.
+            event: The event. The rate is limited per event.
+            detail: The details, escaped and truncated, as they may come from outside.
         """
         now_us = self._loop.now_us
         record = self._records.get(event)
@@ -60,11 +65,11 @@
             del self._records[next(iter(self._records))]
         self._records[event] = _EventRecord(now_us + self.repeat_interval_us)
         suppressed = 0 if record is None else record.suppressed
-        plain = detail[:MAX_DETAIL_LENGTH].encode("unicode_escape").decode()
+        escaped_detail = detail[:MAX_DETAIL_LENGTH].encode("unicode_escape").decode()
         _log.warning(
             "%s: %s%s",
             event,
-            plain,
+            escaped_detail,
             f" suppressed={suppressed}" if suppressed else "",
-            extra={"event": event, "detail": plain, "held": suppressed},
+            extra={"event": event, "detail": escaped_detail, "held": suppressed},
         )
--- a/larchhaven/net/core/stream.py
+++ b/larchhaven/net/core/stream.py
@@ -14,27 +14,28 @@
 from larchhaven.net.core.lingering_close import LingerTimer, discard_block, discard_received
 from larchhaven.net.core.stream_protocol import NULL_PROTOCOL, StreamProtocol
 
-# Conditions of the process, not of the connection: no descriptors or no memory left for one more.
+# Errors of the process rather than of the connection: no descriptors or no memory left.
 RESOURCE_EXHAUSTION_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
-# A side that sends without a pause does not keep the loop.
+# Limits the time that a remote end which sends without a pause can occupy the event loop.
 _MAX_READS_PER_CALL = 16
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 _NO_SPACE = memoryview(b"")
 
 
 class Stream(BufferedSocket):
-    """A TCP connection that calls its protocol when something happens.
+    """A TCP connection that reports its events to a protocol.
 
-    Each direction ends by itself: ``at_eof`` is set when the other side sends no more, and
-    ``write_eof`` ends this side once all is sent. A lingering close ends both, ``close`` at once.
+    The two directions end independently: ``at_eof`` is set when the remote end has ended its
+    stream, and ``write_eof`` ends this side once all data is sent. ``start_lingering_close`` and
+    ``close`` end both directions, the latter immediately.
 
     Attributes:
-        protocol: What is called when something happens.
-        on_shed: Called when the connection is shed because its other side does not read; None if it
-            must not be shed.
-        on_inbox_full: Called when there is no space for more input; None to read no more until
-            there is.
+        protocol: Receives the events.
+        on_shed: Called when the connection is shed because its remote end does not read; None if
+            it must not be shed.
+        on_inbox_full: Called when input arrives and there is no space for it; None to pause reading
+            until there is.
         on_closed: Called once when the stream is closed.
     """
 
@@ -61,15 +62,15 @@
 
         Args:
             loop: The event loop.
-            pool: Where buffers come from, and what the stream is charged to.
+            pool: The pool that provides the buffers, and whose account the stream is charged to.
             sock: The socket.
-            protocol: What is called when something happens; if None, it is set before the next
-                iteration of the loop.
+            protocol: Receives the events; if None, the caller must set it before the next iteration
+                of the loop.
         """
         super().__init__(loop, pool, sock, self._on_ready)
         if protocol is not None:
             self.protocol = protocol
-        self._is_ending = False  # our side ends, at once or when nothing is pending
+        self._is_ending = False  # whether this side ends once no data is pending
         self._linger_timer: LingerTimer | None = None
         self.on_shed: Callable[[], None] | None = None
         self.on_inbox_full: Callable[[], None] | None = None
@@ -79,10 +80,10 @@
     def connect(
         cls, loop: EventLoop, pool: BufferPool, address: tuple[str, int], protocol: StreamProtocol
     ) -> Stream:
-        """Begin to connect.
+        """Start to connect.
 
         Raises:
-            OSError: It failed at once.
+            OSError: The connect failed at once.
         """
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
         code = sock.connect_ex(address)
@@ -97,13 +98,13 @@
     # Reading
 
     def read_available(self) -> None:
-        """Read what may have come since the iteration began, up to the end of the stream."""
+        """Read data, or the end of the stream, that may have arrived since the iteration began."""
         for _ in range(_MAX_READS_PER_CALL):
             if not self._is_reading or self.is_closed or self.at_eof or not self._read():
                 return
 
     def _read(self) -> bool:
-        """Read once; return False if nothing has come."""
+        """Read once; return False if no data was available."""
         if self._linger_timer is not None:
             return self._discard(self._linger_timer)
         if self.inbox is None:
@@ -115,7 +116,7 @@
                 self._pool.call_when_available(self.resume_reading)
             return False
         try:
-            # Without space one byte is peeked at, to tell the end of the stream from more input.
+            # Without space, peek at one byte to tell the end of the stream from more input.
             count = (
                 self._sock.recv_into(space)
                 if len(space)
@@ -125,7 +126,7 @@
             self.consume(0)
             return False
         except OSError as error:
-            self._lose(error.errno or errno.ECONNRESET)
+            self._close_on_error(error.errno or errno.ECONNRESET)
             return True
         if not count:
             self.consume(0)
@@ -140,13 +141,13 @@
         return True
 
     def _discard(self, linger_timer: LingerTimer) -> bool:
-        """Read once in a lingering close; return False if nothing has come."""
+        """Read once in a lingering close; return False if no data was available."""
         try:
             count = discard_block(self._sock)
         except (BlockingIOError, InterruptedError):
             return False
         except OSError as error:
-            self._lose(error.errno or errno.ECONNRESET)
+            self._close_on_error(error.errno or errno.ECONNRESET)
             return True
         if count:
             linger_timer.note_input()
@@ -161,7 +162,7 @@
     # Writing
 
     def write(self, data: bytes | memoryview) -> int:
-        """Send what the kernel takes at once, and buffer what fits of the rest.
+        """Send as much as the kernel accepts at once, and buffer as much of the rest as fits.
 
         Returns:
             The number of bytes sent or buffered.
@@ -175,9 +176,9 @@
             except (BlockingIOError, InterruptedError):
                 taken = 0
             except OSError as error:
-                # Reported later: the protocol may be in the midst of something.
+                # Reported by a timer, as the protocol may be the caller.
                 code = error.errno or errno.EPIPE
-                self._loop.call_later(0, lambda: self._lose(code))
+                self._loop.call_later(0, lambda: self._close_on_error(code))
                 return 0
         if taken < len(data):
             taken += self._buffer_output(data, taken)
@@ -197,12 +198,12 @@
         except (BlockingIOError, InterruptedError):
             return
         except OSError as error:
-            self._lose(error.errno or errno.EPIPE)
+            self._close_on_error(error.errno or errno.EPIPE)
             return
         was_unread = self._pool.unread_since_us.pop(self, None) is not None
         if self.pending_bytes:
             if was_unread and sent:
-                self._pool.unread_since_us[self] = self._loop.now_us  # slow, but it reads
+                self._pool.unread_since_us[self] = self._loop.now_us  # slow, but still reading
             return
         self._update_events()
         if self._is_ending:
@@ -210,17 +211,17 @@
         else:
             self.protocol.write_buffer_drained()
 
-    # Ending
+    # Closing
 
     def write_eof(self) -> None:
-        """End our side once all that was written is sent; the other side may go on."""
+        """End this side once all written data is sent; the remote end may continue to send."""
         if not self._is_ending and not self.is_closed:
             self._is_ending = True
             if not self.pending_bytes and not self._is_connecting:
                 self._shut_down_writing()
 
     def start_lingering_close(self) -> None:
-        """End our side, discard input, and close when the other side has ended or time is up."""
+        """End this side, discard input, and close when the remote end has ended or on timeout."""
         if self.is_closed:
             return
         self._pool.unread_since_us.pop(self, None)
@@ -238,10 +239,10 @@
         self.resume_reading()
 
     def close(self, reset: bool = False) -> None:
-        """Close at once.
+        """Close immediately.
 
         Args:
-            reset: Whether the other side sees the connection reset.
+            reset: Whether to reset the connection.
         """
         if self.is_closed:
             return
@@ -261,25 +262,28 @@
             on_closed()
 
     def close_without_reset(self) -> None:
-        """Close before the other side has ended; what it has sent is read, as it would reset."""
+        """Close without waiting for the remote end.
+
+        Received data is discarded first, as a close with unread data would reset the connection.
+        """
         if not self.is_closed and not self.at_eof:
             discard_received(self._sock)
         self.close()
 
     def shed(self) -> None:
-        """Reset a connection whose other side does not read, so that others get its capacity."""
+        """Reset a connection whose remote end does not read, to free its capacity."""
         on_shed, self.on_shed = self.on_shed, None
         if on_shed is not None:
             on_shed()
         self.close(reset=True)
 
     def _shut_down_writing(self) -> None:
-        with contextlib.suppress(OSError):  # lost already: the next read reports it
+        with contextlib.suppress(OSError):  # already lost; the next read reports it
             self._sock.shutdown(socket.SHUT_WR)
         if self._linger_timer is not None and self.at_eof:
             self.close()
 
-    def _lose(self, code: int) -> None:
+    def _close_on_error(self, code: int) -> None:
         """Close after an error, and report it unless the stream was in lingering close."""
         if self.is_closed:
             return
@@ -287,7 +291,7 @@
         self.close()
         protocol.connection_lost(code)
 
-    # The event loop
+    # Events
 
     def _on_ready(self, events: int) -> None:
         if self._is_connecting:
@@ -301,7 +305,7 @@
     def _finish_connecting(self) -> None:
         code = self._sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if code:
-            self._lose(code)
+            self._close_on_error(code)
             return
         self._is_connecting = False
         self._update_events()
--- a/larchhaven/net/core/stream_protocol.py
+++ b/larchhaven/net/core/stream_protocol.py
@@ -1,4 +1,4 @@
-"""What a stream calls when something happens, as in asyncio's protocols."""
+"""The callbacks of a stream, named as in asyncio's protocols."""
 
 from __future__ import annotations
 
@@ -6,33 +6,34 @@
 
 
 class StreamProtocol(Protocol):
-    """The user of a stream; after ``connection_lost`` nothing more is called."""
+    """Receives the events of a stream; nothing is called after ``connection_lost``."""
 
     def connection_made(self) -> None:
-        """The connection is established (only for streams that connect)."""
+        """Handle an established connection; called only for streams that connect."""
 
     def data_received(self) -> None:
-        """The inbox holds more."""
+        """Handle new data in the inbox."""
 
     def write_buffer_drained(self) -> None:
-        """All that was written has been sent."""
+        """Continue to write; called when all written data has been sent."""
 
     def eof_received(self) -> None:
-        """The other side sends no more."""
+        """Handle the end of the remote end's stream."""
 
     def connection_lost(self, code: int) -> None:
-        """The connection is lost, or was never established; the stream is closed already.
+        """Handle a lost connection or a failed connect; the stream is already closed.
 
         Args:
-            code: The errno.
+            code: The errno of the failure.
         """
 
 
 class NullProtocol:
-    """The protocol of a closed stream.
+    """The protocol of a closed stream, which ignores all events.
 
-    A stream and its protocol refer to each other. Without this, closed connections would wait for
-    the garbage collector: megabytes in a busy minute that no purpose explained.
+    A stream and its protocol refer to each other. This class replaces the protocol to break that
+    cycle. Otherwise closed connections would stay in memory until a garbage collection: megabytes
+    per minute under load that are not accounted to any memory purpose.
     """
 
     def connection_made(self) -> None:
