--- a/tests/in_process_proxy.py
+++ b/tests/in_process_proxy.py
@@ -1,7 +1,7 @@
-"""The parts of the proxy in this process on real sockets, with a clock that the test advances.
+"""A proxy in the test process, on real sockets and with a clock that the test advances.
 
-What would take seconds takes none. An iteration of the event loop runs when a test says so, and
-what the other sides do between two iterations has arrived by the next.
+Tests do not wait for timeouts. They run each iteration of the event loop themselves, and whatever
+clients and servers do between two iterations has arrived by the next one.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 
 class InProcessProxy:
-    """The proxy's parts, with its clients and its servers, in one process."""
+    """The components of a proxy in one process with its clients and servers."""
 
     def __init__(
         self, settings: RoutingSettings = BASIC_SETTINGS, servers: tuple[Endpoint, ...] = SERVERS
@@ -84,18 +84,18 @@
             limits,
         )
         self.listener.open()
-        self.list_endpoints(servers)
+        self.publish_endpoints(servers)
         self.loop.on_iteration_end = self.dispatcher.dispatch_events
         self.request_number = 0
         self.client_sockets: list[socket.socket] = []
         self.server_sockets: list[socket.socket] = []
         self.run()
 
-    def list_endpoints(self, servers: tuple[Endpoint, ...]) -> None:
+    def publish_endpoints(self, servers: tuple[Endpoint, ...]) -> None:
         self.dispatcher.queue_event(EndpointListUpdate(EndpointListKind.COMPLETE, 1, servers))
 
     def connect_client(self, data: bytes) -> socket.socket:
-        """Connect, and send something, without an iteration of the loop."""
+        """Connect a client and send its data, without running an iteration of the loop."""
         sock = socket.create_connection(self.listener.address)
         sock.sendall(data)
         sock.setblocking(False)
@@ -103,12 +103,16 @@
         return sock
 
     def ready_events(self) -> list[Any]:
-        """Return what is ready now, for ``hide_ready_events``."""
+        """Return the events that are ready now, for ``hide_ready_events``."""
         ready: list[Any] = vars(self.loop)["_selector"].select(1)
         return ready
 
     def hide_ready_events(self, visible: Sequence[Any] = ()) -> None:
-        """Have the next iteration find only this: the rest has come just after it looked."""
+        """Limit the events of the next iteration, as if the others arrived just after its select.
+
+        Args:
+            visible: The events that the iteration sees.
+        """
         selector = vars(self.loop)["_selector"]
 
         def select(timeout: float | None) -> Sequence[Any]:
@@ -139,7 +143,12 @@
         )
 
     def run(self, iterations: int = 6, step_us: int = 100) -> None:
-        """Run iterations of the loop, each after a step of the clock; accept what connects."""
+        """Advance the clock and run the loop repeatedly, then accept connections to the servers.
+
+        Args:
+            iterations: The number of iterations.
+            step_us: How far the clock advances before each iteration, in microseconds.
+        """
         for _ in range(iterations):
             self.clock.ns += step_us * 1000
             self.loop.skip_next_wait()
@@ -163,7 +172,7 @@
         assert self.listener.count_awaiting_request() == 0
 
     def disconnect_all(self) -> None:
-        """Disconnect all clients and servers, and let all timers run out."""
+        """Disconnect all clients and servers, and let all timers expire."""
         for sock in (*self.client_sockets, *self.server_sockets):
             sock.close()
         self.client_sockets, self.server_sockets = [], []
--- a/tests/net/core/test_buffer_pool.py
+++ b/tests/net/core/test_buffer_pool.py
@@ -8,8 +8,11 @@
 from larchhaven.net.core.buffer_pool import Buffer, BufferPool
 
 
-def test_released_buffer_calls_all_that_wait() -> None:
-    """Guards against a stream that waits for ever behind one that was closed while it waited."""
+def test_release_of_a_buffer_calls_all_waiting_callbacks() -> None:
+    """If only the first were called and its stream had been closed, the others would wait forever.
+
+    The closed stream would not acquire the buffer, so no later release would call them.
+    """
     pool = BufferPool(
         MemoryAccount(
             {
--- a/tests/net/core/test_lingering_close.py
+++ b/tests/net/core/test_lingering_close.py
@@ -1,4 +1,4 @@
-"""The timer of a lingering close, with a clock that the test sets."""
+"""The timer of a lingering close, with a clock set by the test."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class SettableClock:
-    """Stands in for the ``time`` module of the event loop."""
+    """Replaces the ``time`` module in the event loop."""
 
     def __init__(self) -> None:
         self.now_us = 0
@@ -27,7 +27,7 @@
 
 
 def advance(loop: EventLoop, clock: SettableClock, duration_us: int) -> None:
-    """Advance the clock in steps that the loop does not take for a pause of the process."""
+    """Advance the clock in steps too short to count as a pause of the process."""
     end_us = clock.now_us + duration_us
     while clock.now_us < end_us:
         clock.now_us = min(clock.now_us + LINGER_US // 10, end_us)
@@ -35,7 +35,7 @@
         loop.run_once()
 
 
-def test_timer_expires_some_time_after_the_last_input(clock: SettableClock) -> None:
+def test_timer_expires_after_a_time_without_input(clock: SettableClock) -> None:
     loop = EventLoop()
     expired: list[int] = []
     timer = LingerTimer(loop, lambda: expired.append(loop.now_us))
--- a/tests/net/core/test_rate_limited_log.py
+++ b/tests/net/core/test_rate_limited_log.py
@@ -8,7 +8,7 @@
 from larchhaven.net.core.rate_limited_log import RateLimitedLog
 
 
-def test_no_more_events_are_remembered_than_the_cap() -> None:
+def test_number_of_tracked_events_is_capped() -> None:
     events = RateLimitedLog(EventLoop(), 3)
     for number in range(50):
         events.warning(f"event {number}", "x")
--- a/tests/net/races/__init__.py
+++ b/tests/net/races/__init__.py
@@ -1,6 +1,6 @@
-"""Races: each test forces two events into one moment, on real sockets.
+"""Race conditions: each test forces two events into one iteration of the event loop.
 
-The test advances the clock. An iteration of the event loop runs when the test says so, and what the
-other sides do between two iterations has arrived by the next: a connect takes as long as the test
-wants, and closes, answers and deadlines fall into one iteration.
+The tests use real sockets, advance the clock and run each iteration themselves. Whatever clients
+and servers do between two iterations has arrived by the next one. A connect can thus take any time,
+and closes, answers and deadlines can fall into the same iteration.
 """
--- a/tests/net/races/conftest.py
+++ b/tests/net/races/conftest.py
@@ -1,4 +1,4 @@
-"""The proxy in the test process, shared by the tests of races."""
+"""The fixture of the race tests: a proxy in the test process."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @pytest.fixture
 def harness(request: pytest.FixtureRequest) -> Iterator[InProcessProxy]:
-    """Make the proxy's parts, and assert at the end that everything is released."""
+    """Create a proxy, and assert after the test that all its resources are released."""
     harness = InProcessProxy(**getattr(request, "param", {}))
     try:
         yield harness
--- a/tests/net/races/sockets.py
+++ b/tests/net/races/sockets.py
@@ -1,4 +1,4 @@
-"""What a test does with the sockets of clients and servers."""
+"""Helpers for the client and server sockets of the race tests."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def read(sock: socket.socket) -> bytes:
-    """Read all that has come; ``!`` stands for a reset, ``.`` for an end."""
+    """Read all available data, followed by ``!`` for a reset or ``.`` for the end of the stream."""
     received = b""
     with contextlib.suppress(BlockingIOError):
         while True:
@@ -32,13 +32,13 @@
 
 
 def forwarded_requests(harness: InProcessProxy) -> list[bytes]:
-    """Return the request lines that servers have received."""
+    """Return the request lines received by servers."""
     return [line for line in map(read, harness.server_sockets) if line.startswith(b"OPEN ")]
 
 
 def fill_buffers(sock: socket.socket, harness: InProcessProxy) -> None:
-    """Send more than a buffer holds, as far as it goes."""
-    with contextlib.suppress(OSError):  # answered meanwhile, as it should be
+    """Send more data than a buffer holds, unless the proxy closes the connection first."""
+    with contextlib.suppress(OSError):  # the proxy answers and closes when its buffer is full
         for _ in range(8):
             with contextlib.suppress(BlockingIOError):
                 sock.send(b"z" * 2_000 + b"\r\n")
@@ -46,19 +46,19 @@
 
 
 END: Callable[[socket.socket], object] = socket.socket.close
-WAYS_TO_LEAVE: dict[
+DISCONNECT_KINDS: dict[
     str, tuple[Callable[[socket.socket, InProcessProxy], object], Callable[[socket.socket], object]]
 ] = {
     "end": (lambda sock, harness: None, END),
     "half-close": (lambda sock, harness: None, lambda sock: sock.shutdown(socket.SHUT_WR)),
     "reset": (lambda sock, harness: None, reset),
-    "end behind a line": (lambda sock, harness: sock.send(b"early\r\n"), END),
-    "end behind much": (fill_buffers, END),
-    "reset behind much": (fill_buffers, reset),
+    "end after a line": (lambda sock, harness: sock.send(b"early\r\n"), END),
+    "end after full buffers": (fill_buffers, END),
+    "reset after full buffers": (fill_buffers, reset),
 }
 
 
-def leave(sock: socket.socket, harness: InProcessProxy, way: str) -> None:
-    before, end = WAYS_TO_LEAVE[way]
+def disconnect(sock: socket.socket, harness: InProcessProxy, kind: str) -> None:
+    before, end = DISCONNECT_KINDS[kind]
     before(sock, harness)
     end(sock)
--- a/tests/net/races/test_client_disconnects.py
+++ b/tests/net/races/test_client_disconnects.py
@@ -1,4 +1,4 @@
-"""A client that disconnects while its request waits, or as its attempt connects."""
+"""Clients that disconnect while their request waits, or while its attempt connects."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 from larchhaven.routing.events import Endpoint
 from tests.in_process_proxy import REQUEST_LINE, InProcessProxy
 from tests.net.races.sockets import (
-    WAYS_TO_LEAVE,
+    DISCONNECT_KINDS,
+    disconnect,
     fill_buffers,
     forwarded_requests,
-    leave,
     read,
 )
 
@@ -23,37 +23,44 @@
 
 
 @pytest.mark.parametrize("buffers", ["free", "none left"])
-@pytest.mark.parametrize("way", WAYS_TO_LEAVE)
+@pytest.mark.parametrize("kind", DISCONNECT_KINDS)
 @pytest.mark.parametrize("harness", [{"servers": ()}], indirect=True)
-def test_request_of_a_client_that_left_while_it_waited_is_not_forwarded(
-    harness: InProcessProxy, way: str, buffers: str
+def test_request_of_a_client_that_disconnected_while_it_waited_is_not_forwarded(
+    harness: InProcessProxy, kind: str, buffers: str
 ) -> None:
-    """Guards servers: a client with a full buffer, or none, left unseen and its request ran."""
+    """A server must not execute a request whose client has disconnected.
+
+    Without space in the client's buffer, or without any buffer, the proxy did not see the
+    disconnect and forwarded the request.
+    """
     clients = [harness.connect_client(REQUEST_LINE % number) for number in range(3)]
     harness.run(3)
     assert harness.dispatcher.requests.count_requests() == 3
     taken = acquire_all_buffers(harness) if buffers == "none left" else []
     for sock in clients:
-        leave(sock, harness, way)
+        disconnect(sock, harness, kind)
     harness.run(4)
     for buffer in taken:
         harness.pool.release(buffer)
-    harness.list_endpoints(PAIR)
+    harness.publish_endpoints(PAIR)
     for _ in range(6):
         harness.run(4, 30_000)
     assert forwarded_requests(harness) == []
     assert harness.dispatcher.requests.count_requests() == 0
 
 
-@pytest.mark.parametrize("way", ["end", "reset", "end behind a line"])
-def test_request_of_a_client_that_leaves_as_the_connect_succeeds_is_not_forwarded(
-    harness: InProcessProxy, way: str
+@pytest.mark.parametrize("kind", ["end", "reset", "end after a line"])
+def test_request_of_a_client_that_disconnects_as_the_connect_succeeds_is_not_forwarded(
+    harness: InProcessProxy, kind: str
 ) -> None:
-    """Guards the last moment: the client ends in the iteration that finds the connect ready."""
+    """The client disconnects just after the iteration found the attempt's connect ready.
+
+    The proxy must check the client once more before it sends the request line.
+    """
     sock = harness.connect_client(REQUEST_LINE % 1)
     harness.run(2)
-    ready = harness.ready_events()  # the connect is up; nobody has left yet
-    leave(sock, harness, way)
+    ready = harness.ready_events()  # the connect has succeeded; the client is still connected
+    disconnect(sock, harness, kind)
     harness.hide_ready_events(ready)
     harness.run()
     assert forwarded_requests(harness) == []
--- a/tests/net/races/test_connection_ends.py
+++ b/tests/net/races/test_connection_ends.py
@@ -1,4 +1,4 @@
-"""Two events that both end a connection, and a migration within a line."""
+"""Coinciding events that both end a connection, and migrations in the middle of a line."""
 
 from __future__ import annotations
 
@@ -9,14 +9,18 @@
 from larchhaven.net.graceful_shutdown import POLL_INTERVAL_US, GracefulShutdown
 from tests.in_process_proxy import REQUEST_LINE, InProcessProxy
 from tests.net.races.sockets import (
-    leave,
+    disconnect,
     read,
 )
 from tests.routing.builders import BASIC_SETTINGS
 
 
 def test_answer_is_delivered_despite_unread_input_at_the_close(harness: InProcessProxy) -> None:
-    """Guards an answer on the small-descriptor days: what was unread at the close reset it away."""
+    """A client must get its answer even if its lingering connection is shed.
+
+    Descriptors run out here. A close with unread input would reset the connection, and the client
+    would lose the answer.
+    """
     sock = harness.connect_client(b"HELLO\r\n")
     harness.run(3)
     assert list(harness.pool.lingering)
@@ -28,7 +32,7 @@
 
 
 def establish(harness: InProcessProxy, sent: bytes = b"") -> tuple[socket.socket, socket.socket]:
-    """Establish a connection whose server has sent this much more; return both ends."""
+    """Establish a connection whose server sends more data at once; return both ends."""
     sock = harness.connect_client(REQUEST_LINE % 1)
     harness.run(4)
     server = harness.server_sockets[0]
@@ -39,7 +43,7 @@
 
 
 @pytest.mark.parametrize("first", ["move", "BYE"])
-def test_migration_and_final_line_in_one_iteration_are_one_end(
+def test_migration_and_final_line_in_one_iteration_end_the_connection_once(
     harness: InProcessProxy, first: str
 ) -> None:
     sock, server = establish(harness)
@@ -48,7 +52,7 @@
         harness.run(1)
     harness.dispatcher.connections.migrate_all_connections()
     harness.run()
-    harness.run(4, 100_000)  # a server is given a moment to end by itself
+    harness.run(4, 100_000)  # the time that a server has to close by itself
     assert read(sock) == (b"MOVE\r\n." if first == "move" else b"BYE\r\n.")
     assert harness.dispatcher.requests.count_requests() == 0
 
@@ -71,7 +75,7 @@
 def test_second_stop_signal_waits_for_the_end_of_a_line_within_a_limit(
     harness: InProcessProxy, rest: bytes
 ) -> None:
-    """Guards a connection that ends here: the process exited within a line, without MOVE."""
+    """The process must not exit in the middle of a line: the client would get no MOVE."""
     sock, server = establish(harness, b"half ")
     shutdown = GracefulShutdown(
         harness.loop,
@@ -96,10 +100,10 @@
     assert not vars(harness.loop)["_is_running"]
 
 
-@pytest.mark.parametrize("way", ["end", "reset"])
-def test_both_sides_end_in_one_iteration(harness: InProcessProxy, way: str) -> None:
+@pytest.mark.parametrize("kind", ["end", "reset"])
+def test_both_sides_end_in_one_iteration(harness: InProcessProxy, kind: str) -> None:
     sock, server = establish(harness)
     for end in (sock, server):
-        leave(end, harness, way)
+        disconnect(end, harness, kind)
     harness.run()
     assert harness.dispatcher.requests.count_requests() == 0
--- a/tests/net/races/test_deadlines.py
+++ b/tests/net/races/test_deadlines.py
@@ -1,4 +1,4 @@
-"""Input that arrives in the iteration of its time-out, and after a pause."""
+"""Input that arrives in the iteration of its timeout, or during a pause of the process."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     sock.send(REQUEST_LINE % 1)
     harness.clock.ns += 1_999_000_000
     harness.hide_ready_events()
-    harness.loop.run_once()  # a pause: no timer runs yet
+    harness.loop.run_once()  # counts as a pause of the process: no timer runs yet
     harness.hide_ready_events()
     harness.run(1, 2_000)
     harness.run()
@@ -24,7 +24,10 @@
 
 
 def test_after_a_pause_everything_is_read_before_timers_run(harness: InProcessProxy) -> None:
-    """Guards clients whose line had arrived: those not found ready before the pause failed."""
+    """A client whose request line arrived during the pause must not time out.
+
+    Only one socket is found ready before the pause; the other requests failed.
+    """
     socks = [harness.connect_client(b"") for _ in range(4)]
     harness.run(3)
     socks[0].send(REQUEST_LINE % 0)
@@ -33,7 +36,7 @@
         sock.send(REQUEST_LINE % number)
     harness.hide_ready_events(ready)
     harness.run(1, 3_000_000)
-    harness.dispatcher._events._gather_until_us = 0  # the list has been received
+    harness.dispatcher._events._gather_until_us = 0  # as if the endpoint list had arrived
     harness.run()
     assert [read(sock) for sock in socks] == [b""] * 4
     assert len(forwarded_requests(harness)) == 4
@@ -46,7 +49,8 @@
     harness.run(4)
     assert len(forwarded_requests(harness)) == 1
     harness.server_sockets[0].send(b"UP 5\r\n")
-    # Up to the set-up objective before its deadline, which is 2 s; one iteration would be a pause.
+    # The attempt times out before the deadline of 2 s, by the set-up objective. The clock advances
+    # in two steps, as one would count as a pause of the process.
     for _ in range(2):
         harness.hide_ready_events()
         harness.run(1, 860_000)
--- a/tests/net/races/test_retries.py
+++ b/tests/net/races/test_retries.py
@@ -1,4 +1,4 @@
-"""Retries: whether one is allowed when its connect outlasts the deduplication window."""
+"""Retries whose connect may outlast the deduplication window."""
 
 from __future__ import annotations
 
@@ -32,10 +32,13 @@
 @pytest.mark.parametrize("other", ["same cell", "other cell", "other zone"])
 @pytest.mark.parametrize("first", [b"ERR\r\n", b"BUSY\r\n", b"MOVE\r\n", b"reset"])
 @pytest.mark.parametrize(("idempotency", "scope"), list(idempotency_cases()))
-def test_whether_a_retry_is_allowed_is_decided_when_its_bytes_are_sent(
+def test_retry_is_checked_again_when_its_request_line_is_sent(
     idempotency: Idempotency, scope: DeduplicationScope, first: bytes, other: str, late: bool
 ) -> None:
-    """Guards effects that happen once: the window ended during a connect, the retry was sent."""
+    """A request must not be executed twice.
+
+    If the deduplication window ended while a retry connected, the retry was sent all the same.
+    """
     request_class = replace(
         BASIC_SETTINGS.classes[0],
         idempotency=idempotency,
@@ -55,25 +58,25 @@
             harness.server_sockets.clear()
         else:
             server.send(first)
-        harness.run(1)  # the second attempt, if there is one, begins to connect
+        harness.run(1)  # the second attempt, if there is one, starts to connect
         harness.run(1, WINDOW_US + 10_000 if late else 10_000)
         harness.run(4)
         ran = first != b"BUSY\r\n"
-        keyed = idempotency is Idempotency.WITH_KEY
-        near = (
+        has_key = idempotency is Idempotency.WITH_KEY
+        is_in_scope = (
             scope is DeduplicationScope.ALL
             or other == "same cell"
             or (scope is DeduplicationScope.ZONE and other == "other cell")
         )
-        if not ran or idempotency is Idempotency.ALWAYS or (keyed and near and not late):
+        if not ran or idempotency is Idempotency.ALWAYS or (has_key and is_in_scope and not late):
             assert len(forwarded_requests(harness)) == 1
             assert read(sock) == b""
         else:
-            # A retry that no server may get waits for one that may, as long as that helps.
+            # A keyed retry without a server in its scope waits for one until the window ends.
             harness.run(4, WINDOW_US)
             assert forwarded_requests(harness) == []
             assert read(sock) == (
-                b"BUSY\r\n." if keyed and scope is DeduplicationScope.ALL else b"ERR\r\n."
+                b"BUSY\r\n." if has_key and scope is DeduplicationScope.ALL else b"ERR\r\n."
             )
         harness.assert_everything_released()
     finally:
--- a/tests/net/races/test_unusual_answers.py
+++ b/tests/net/races/test_unusual_answers.py
@@ -1,4 +1,4 @@
-"""Answers of a server that are split, repeated, malformed or incomplete."""
+"""Server answers that are split, repeated, malformed or incomplete."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from larchhaven.routing.events import Endpoint
 from tests.in_process_proxy import REQUEST_LINE, InProcessProxy
 from tests.net.races.sockets import (
-    leave,
+    disconnect,
     read,
 )
 
@@ -17,13 +17,13 @@
 
 
 UNUSUAL_ANSWERS = {
-    "cut in two": [b"U", b"P 5\r", b"\nrest\r\n"],
+    "split": [b"U", b"P 5\r", b"\nrest\r\n"],
     "two at once": [b"UP 5\r\nUP 6\r\n"],
-    "failed and then taken": [b"ERR\r\nUP 5\r\n"],
-    "a second one later": [b"BUSY\r\n", b"UP 5\r\n"],
-    "without an end": [b"UP 5"],
+    "failed, then accepted": [b"ERR\r\nUP 5\r\n"],
+    "rejected, accepted later": [b"BUSY\r\n", b"UP 5\r\n"],
+    "no line end": [b"UP 5"],
     "binary": [b"\x00\xff\xfe\r\n"],
-    "without an end, too long": [b"UP " + b"x" * 3_000, b"x" * 3_000],
+    "no line end, too long": [b"UP " + b"x" * 3_000, b"x" * 3_000],
 }
 
 
@@ -33,27 +33,30 @@
 def test_unusual_answers_are_forwarded_unchanged_or_not_at_all(
     harness: InProcessProxy, answer: str, ends: str
 ) -> None:
-    """Guards against a partial line taken as complete, a concurrent attempt, and a crash."""
+    """A partial line must not count as an answer, nor an attempt start before the last has ended.
+
+    Binary and oversized answers must not crash the proxy.
+    """
     sock = harness.connect_client(REQUEST_LINE % 1)
     harness.run(4)
     server = harness.server_sockets[0]
     read(server)
-    for part in UNUSUAL_ANSWERS[answer]:
-        with contextlib.suppress(OSError):  # it was ended already
-            server.send(part)
+    for piece in UNUSUAL_ANSWERS[answer]:
+        with contextlib.suppress(OSError):  # the proxy may have closed the connection
+            server.send(piece)
         harness.run(2)
     if ends != "stays":
-        leave(server, harness, ends)
+        disconnect(server, harness, ends)
         harness.server_sockets.remove(server)
     harness.run()
     complete_answer = b"".join(UNUSUAL_ANSWERS[answer])
-    if answer in ("cut in two", "two at once"):
+    if answer in ("split", "two at once"):
         received = read(sock)
         assert received.rstrip(b".!") == complete_answer
         assert received.endswith({"stays": b"\n", "end": b".", "reset": b"!"}[ends])
         return
     second = harness.server_sockets[-1]
-    if answer == "without an end" and ends == "stays":
+    if answer == "no line end" and ends == "stays":
         assert second is server
         assert read(sock) == b""
         return
--- a/tests/net/test_forwarding.py
+++ b/tests/net/test_forwarding.py
@@ -44,7 +44,7 @@
 
 
 def test_request_that_all_servers_reject_is_rejected_at_once(proxy: ProxyProcess) -> None:
-    """Guards against a request that is held until its deadline, here a minute away."""
+    """The request must not wait until its deadline, here 60 s."""
     client = proxy.connect_client(make_request_line("c=chat,d=60000,g=ab"))
     for _ in proxy.servers:
         server = proxy.accept()
@@ -69,13 +69,16 @@
     assert server.read_line() == ""
 
 
-@pytest.mark.parametrize("wait", [3_600_001, 4_294_967, 99_999_999_999])
-def test_client_with_a_deadline_of_over_an_hour_is_served(proxy: ProxyProcess, wait: int) -> None:
-    """Guards connections older than the run where they end at the proxy: each sends d=4294967.
+@pytest.mark.parametrize("deadline_ms", [3_600_001, 4_294_967, 99_999_999_999])
+def test_client_with_a_deadline_of_over_an_hour_is_served(
+    proxy: ProxyProcess, deadline_ms: int
+) -> None:
+    """A long deadline must be reduced, not rejected.
 
-    In such a deployment all of them were answered ``ERR``, and each counted as lost.
+    In deployments whose connections end at the proxy, those older than the run send d=4294967. All
+    of them were answered ``ERR``, and each counted as lost.
     """
-    client = proxy.connect_client(make_request_line(f"c=chat,d={wait},g=ab,at=s1"))
+    client = proxy.connect_client(make_request_line(f"c=chat,d={deadline_ms},g=ab,at=s1"))
     server = proxy.accept(proxy.servers[1])
     forwarded_deadline_ms = server.read_line().partition(",d=")[2].partition(",")[0]
     assert 0 < int(forwarded_deadline_ms) <= 3_600_000
--- a/tests/net/test_request_lines.py
+++ b/tests/net/test_request_lines.py
@@ -1,4 +1,4 @@
-"""Request lines: what a client sends first, and what it is answered when that is invalid."""
+"""Request lines, and the answers to invalid ones."""
 
 from __future__ import annotations
 
@@ -104,10 +104,10 @@
     return int(status.split("VmRSS:")[1].split()[0]) / 1024
 
 
-def test_answer_reaches_a_client_that_sends_much_before_it_reads(proxy: ProxyProcess) -> None:
-    """Guards the answer to a request line of many megabytes, which a TCP reset would discard."""
+def test_answer_reaches_a_client_that_sends_megabytes_before_it_reads(proxy: ProxyProcess) -> None:
+    """Closing with unread input would cause a TCP reset, which discards the answer."""
     client = proxy.connect_client()
-    for _ in range(10):  # over the second that a quiet client has to read its answer
+    for _ in range(10):  # longer than the second after which a lingering close without input ends
         client.sock.sendall(b"x" * 6_000_000)
         time.sleep(0.15)
     assert [client.read_line(), client.read_line()] == ["ERR", ""]
@@ -115,7 +115,7 @@
 
 
 def test_duplicate_identity_is_rejected_and_reaches_no_server(proxy: ProxyProcess) -> None:
-    """Guards servers: they answer ERR to a duplicate request, and would be counted as failing."""
+    """A server answers ERR to a duplicate request, and would be counted as failing."""
     request_line = make_request_line(REQUEST_FIELDS)
     client = proxy.connect_client(request_line)
     server = proxy.accept()
@@ -136,7 +136,7 @@
 @pytest.mark.parametrize("proxy", [{"max_sockets": 160}], indirect=True)
 @pytest.mark.parametrize("data", ["", "PING\r\n", "OPEN half", "HELLO\r\n"])
 def test_idle_clients_do_not_keep_other_clients_out(proxy: ProxyProcess, data: str) -> None:
-    """Guards normal clients, which waited behind silent ones until these timed out after 10 s."""
+    """Without load shedding, new clients waited until the idle ones timed out after 10 s."""
     idle_clients = [proxy.connect_client() for _ in range(300)]
     for idle_client in idle_clients:
         with contextlib.suppress(OSError):  # some are shed already
--- a/tests/net/test_sticky_connections.py
+++ b/tests/net/test_sticky_connections.py
@@ -25,7 +25,7 @@
 def test_connection_that_arrives_mid_flow_goes_to_its_server(
     proxy: ProxyProcess, number: int
 ) -> None:
-    """Guards a connection whose packets were rerouted and return: others would reset it."""
+    """A connection that returns after its packets were rerouted would be reset by other servers."""
     client = proxy.connect_client(make_request_line(f"{REQUEST_FIELDS},at=s{number}"))
     server = proxy.accept(proxy.servers[number])
     for _ in range(5):
@@ -43,7 +43,7 @@
 def test_peers_are_notified_and_asked_which_server_holds_a_connection(
     proxy: ProxyProcess, number: int
 ) -> None:
-    """Guards connections whose proxy ends: their packets reach one that did not place them."""
+    """When a proxy exits, packets of its connections reach a proxy that did not place them."""
     assert proxy.peer.recv(300) == b"S"
     proxy.establish(f"{REQUEST_FIELDS},at=s{number}")
     notification, proxy_address = proxy.peer.recvfrom(300)
--- a/tests/net/text_protocol/test_codec.py
+++ b/tests/net/text_protocol/test_codec.py
@@ -1,4 +1,4 @@
-"""The text protocol's lines, without sockets."""
+"""Parsing and encoding of the text protocol."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     ("fields", "tenants", "tenant"),
     [
         (b"c=a,t=north", {"south": 0, "north": 1}, 1),
-        (b"c=a,t=east", {"south": 0, "north": 1}, 2),  # none of them
+        (b"c=a,t=east", {"south": 0, "north": 1}, 2),  # unknown tenant
         (b"c=a", {"south": 0, "north": 1}, 2),
         (b"c=a,t=north", {}, 0),
         (b"c=a,t=\xff\xfe", {"south": 0}, 1),
@@ -31,18 +31,18 @@
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(PIECES)
-def test_lines_are_counted_alike_however_they_are_split(pieces: list[bytes]) -> None:
-    """Guards the gap between two lines, where alone a MOVE may be written."""
+def test_lines_are_found_wherever_the_stream_is_split(pieces: list[bytes]) -> None:
+    """MOVE may only be sent between two lines, so a missed line end would corrupt a line."""
     whole = b"".join(pieces)
-    at_once, bit_by_bit = LineCounter(), LineCounter()
-    found = [head for piece in pieces for head in bit_by_bit.feed(piece)]
-    assert len(at_once.feed(whole)) == len(found) == whole.count(b"\r\n")
+    at_once, piecewise = LineCounter(), LineCounter()
+    heads = [head for piece in pieces for head in piecewise.feed(piece)]
+    assert len(at_once.feed(whole)) == len(heads) == whole.count(b"\r\n")
     assert (
         at_once.is_mid_line
-        == bit_by_bit.is_mid_line
+        == piecewise.is_mid_line
         == (not whole.endswith(b"\r\n") and bool(whole))
     )
-    assert [head[:200] for head in found] == [part[:200] for part in whole.split(b"\r\n")[:-1]]
+    assert [head[:200] for head in heads] == [line[:200] for line in whole.split(b"\r\n")[:-1]]
 
 
 @pytest.mark.parametrize(
@@ -53,7 +53,7 @@
         (b"OPEN 1 2 c=a,id=7,xd=8", b"OPEN 1 2 c=a,id=7,xd=8\r\n"),
     ],
 )
-def test_only_the_deadline_is_changed(line: bytes, sent: bytes) -> None:
+def test_only_the_deadline_of_a_request_line_is_changed(line: bytes, sent: bytes) -> None:
     assert codec.encode_request_line(line, 1_234_567) == sent
 
 
@@ -81,5 +81,5 @@
     ("line", "load"),
     [(b"LOAD 120000", 0.12), (b"LOAD", None), (b"LOAD x", None), (b"LOADS 1", None)],
 )
-def test_load_is_reported_in_microseconds_a_second(line: bytes, load: float | None) -> None:
+def test_load_is_reported_in_microseconds_per_second(line: bytes, load: float | None) -> None:
     assert codec.parse_load(line) == load
