--- a/larchhaven/net/admin/__init__.py
+++ b/larchhaven/net/admin/__init__.py
@@ -1,1 +1,1 @@
-"""What operators see and change: HTTP API, metrics, memory accounting, ejections."""
+"""Administration by operators: HTTP API, memory accounting, ejections, operators' file."""
--- a/larchhaven/net/admin/administrative_ejection.py
+++ b/larchhaven/net/admin/administrative_ejection.py
@@ -1,6 +1,6 @@
-"""The servers that operators have ejected, in a file that outlives the process.
+"""The set of servers ejected by operators, saved in a file that outlives the process.
 
-Both processes of a hot restart use the same file, so an ejection counts for both.
+Both processes of a hot restart use the same file, so an ejection applies to both.
 """
 
 from __future__ import annotations
@@ -19,21 +19,21 @@
 
 FILE_NAME = "larchhaven-suspended.json"
 FILE_VERSION = 1
-# A larger file is not ours; a list of servers is far shorter.
+# A larger file is ignored: a list of servers is far shorter, so the proxy did not write it.
 MAX_FILE_BYTES = 1 << 20
 LOCK_FILE_MODE = 0o600
-# Changes made by the other process of a hot restart apply within this time.
+# A change made by the other process of a hot restart is applied within this time.
 POLL_INTERVAL_US = 100_000
 
 _log = logging.getLogger("larchhaven")
 
 
 class EjectionNotSavedError(LarchhavenError):
-    """An ejection or its removal could not be written; nothing has changed.
+    """An ejection or its removal could not be saved and was not applied.
 
     Attributes:
-        server_id: The server that was to be ejected or reinstated.
-        reason: Why it could not be written.
+        server_id: The server to eject or reinstate.
+        reason: Why the change could not be saved.
     """
 
     def __init__(self, server_id: str, reason: str) -> None:
@@ -43,22 +43,22 @@
 
 
 class _EjectionFile(msgspec.Struct):
-    """The file as it is written."""
+    """The content of the file."""
 
     version: int = msgspec.field(name="v")
     server_ids: list[str] = msgspec.field(name="hosts")
 
 
 class AdministrativeEjections:
-    """The set of ejected servers, as the file says.
+    """The set of ejected servers, kept up to date with the file.
 
-    A file that is absent, of another version or broken changes nothing.
+    A file that is missing, malformed or of another version leaves the set unchanged.
 
     Args:
-        directory: Where the file is kept; empty to keep the set in memory only.
-        on_changed: Called with each server whose state has changed and whether it is ejected now,
-            whichever process made the change.
-        can_write_file: Tells whether a file may be written at a path with a size in bytes.
+        directory: The directory of the file; empty to keep the set in memory only.
+        on_changed: Called for each server that was ejected or reinstated, by either process of a
+            hot restart, with the server's id and whether it is now ejected.
+        can_write_file: Returns whether a file with this path and size in bytes may be written.
     """
 
     def __init__(
@@ -74,14 +74,14 @@
         self._last_read: tuple[int, int] | None = None  # inode and modification time
 
     def __contains__(self, server_id: str) -> bool:
-        """Tell whether the server is ejected."""
+        """Return whether the server is ejected."""
         return server_id in self._server_ids
 
     def set_ejected(self, server_id: str, is_ejected: bool) -> None:
         """Eject or reinstate a server: save the change, then apply it.
 
         Raises:
-            EjectionNotSavedError: If it cannot be saved; nothing has changed.
+            EjectionNotSavedError: The change cannot be saved and is not applied.
         """
         if self._path is None:
             self._apply(self._with_change(server_id, is_ejected))
@@ -95,12 +95,12 @@
             raise EjectionNotSavedError(server_id, str(error)) from error
 
     def start_polling(self, loop: EventLoop) -> None:
-        """Refresh now, and periodically from now on."""
+        """Refresh now and then periodically."""
         self.refresh()
         loop.call_later(POLL_INTERVAL_US, lambda: self.start_polling(loop))
 
     def refresh(self) -> None:
-        """Apply what the file says, if it has changed since it was last read."""
+        """Apply the content of the file if it has changed since it was last read."""
         try:
             if self._path is None:
                 return
@@ -123,9 +123,11 @@
     def _save(self, path: Path, server_id: str, is_ejected: bool) -> None:
         server_ids = sorted(self._with_change(server_id, is_ejected))
         data = msgspec.json.encode(_EjectionFile(FILE_VERSION, server_ids))
-        # A shorter list may always be written: it frees memory.
+        # Removing an ejection is always allowed, as it makes the file smaller.
         if is_ejected and not self._can_write_file(path, len(data)):
-            raise EjectionNotSavedError(server_id, "the memory for files is used up")
+            raise EjectionNotSavedError(
+                server_id, f"the memory cap for files is used up: {len(data)} bytes do not fit"
+            )
         temporary_path = path.with_suffix(".new")
         temporary_path.write_bytes(data)
         temporary_path.rename(path)
@@ -141,7 +143,10 @@
 
     @contextmanager
     def _locked(self, path: Path) -> Iterator[None]:
-        """Keep the other process of a hot restart from writing between our read and our write."""
+        """Hold the file lock that both processes of a hot restart take to change the file.
+
+        Without it, a change that one process makes between the other's read and write is lost.
+        """
         lock = os.open(
             path.with_suffix(".lock"), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, LOCK_FILE_MODE
         )
--- a/larchhaven/net/admin/http_api.py
+++ b/larchhaven/net/admin/http_api.py
@@ -1,4 +1,4 @@
-"""The operators' API: HTTP/1.1, one call a connection, answered at once from current state."""
+"""The admin HTTP API: HTTP/1.1, one call per connection, answered from the current state."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
 from larchhaven.net.core.event_loop import READ, EventLoop, TimerHandle
 from larchhaven.net.core.stream import RESOURCE_EXHAUSTION_ERRNOS, Stream
 
-# With one more, a caller that has its answer is closed, or the oldest incomplete one.
+# At the limit, a new caller replaces the oldest one that has its answer, or else the oldest one.
 MAX_CALLERS = 24
-# The callers, one just accepted, and the listener.
+# The callers, one more that has just been accepted, and the listening socket.
 ADMIN_DESCRIPTORS = MAX_CALLERS + 2
 ACCEPT_BACKLOG = 128
 MAX_ACCEPTS_PER_ITERATION = 32
-# Accepting pauses for so long when the process is out of descriptors all the same.
+# Pause of accepting after the process has run out of descriptors or memory.
 ACCEPT_PAUSE_US = 100_000
 CALL_TIMEOUT_US = 10_000_000
-# Of a whole call, with its body, which is ignored.
+# Limit for a whole call, including its body, which is ignored.
 MAX_CALL_BYTES = 16 << 10
 
 
 class EjectionOutcome(enum.Enum):
-    """What became of an operator's call to eject or reinstate a server."""
+    """The outcome of a call to eject or reinstate a server."""
 
     APPLIED = enum.auto()
     UNKNOWN_SERVER = enum.auto()
@@ -47,10 +47,10 @@
 
 
 class AdminBackend(Protocol):
-    """What operators may ask of the proxy."""
+    """The operations of the proxy that the API offers to operators."""
 
     def is_ready(self) -> bool:
-        """Tell whether this process takes clients."""
+        """Return whether this process is ready for clients."""
 
     def encode_metrics(self) -> bytes:
         """Return the metrics as JSON."""
@@ -59,18 +59,24 @@
         """Return the memory account as JSON."""
 
     def encode_members(self) -> bytes:
-        """Return what is known of the other proxies, as JSON."""
+        """Return the membership report as JSON."""
 
     def set_ejected(self, server_id: str, is_ejected: bool) -> EjectionOutcome:
-        """Eject a server, or reinstate it."""
+        """Eject or reinstate a server."""
 
     def set_draining(self, is_draining: bool) -> None:
-        """Drain the proxy, or activate it again."""
+        """Drain the proxy or activate it again."""
 
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """The answer to a call; a call with an empty body is answered with its status."""
+    """The response to a call.
+
+    Attributes:
+        status: The HTTP status.
+        body: The JSON text; if empty, an object with the status phrase is sent.
+        allowed_method: The value of the ``Allow`` header; empty to send none.
+    """
 
     status: HTTPStatus
     body: bytes = b""
@@ -79,14 +85,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """What a path stands for."""
+    """The method that a path accepts, and its handler."""
 
     method: str
     respond: Callable[[], Response]
 
 
 class _Caller:
-    """One connection: its call is read, answered and over."""
+    """One connection to the API, which carries one call."""
 
     def __init__(self, api: AdminHttpApi, sock: socket.socket) -> None:
         self._api = api
@@ -98,28 +104,28 @@
         self.stream = Stream(api.loop, api.pool, sock, self)
         self._timeout: TimerHandle | None = self._loop.call_later(CALL_TIMEOUT_US, self._on_timeout)
 
-    # Callbacks of the parser
+    # Parser callbacks
 
     def on_url(self, url: bytes) -> None:
-        """Keep a part of the URL."""
+        """Append a fragment of the URL."""
         self._url += url
 
     def on_message_complete(self) -> None:
-        """Answer the call; whatever follows it is dropped."""
+        """Answer the call; later calls on the connection are ignored."""
         if not self.is_answered:
             method = self._parser.get_method().decode("ascii", "replace")
             self._answer(self._api.respond(method, self._url))
 
-    # Callbacks of the stream
+    # Stream callbacks
 
     def connection_made(self) -> None:
-        """Do nothing: an accepted connection is established already."""
+        """Do nothing: an accepted connection is already established."""
 
     def write_buffer_drained(self) -> None:
-        """Do nothing: answers fit."""
+        """Do nothing: a response is written in one piece."""
 
     def data_received(self) -> None:
-        """Feed the parser."""
+        """Pass the received bytes to the parser."""
         inbox = self.stream.inbox
         if inbox is None:
             return
@@ -129,22 +135,22 @@
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            pass  # another protocol is not offered: the call is complete and has its answer
+            pass  # upgrades are not supported; the call is complete and has been answered
         except httptools.HttpParserError:
             self._answer(Response(HTTPStatus.BAD_REQUEST))
         if self._received_bytes > MAX_CALL_BYTES:
             self._answer(Response(HTTPStatus.REQUEST_ENTITY_TOO_LARGE))
 
     def eof_received(self) -> None:
-        """Close a caller that ends too early; an answered one is read to its end."""
+        """Close the connection if its call is incomplete; an answered one closes by itself."""
         if not self.is_answered:
             self.close()
 
     def connection_lost(self, code: int) -> None:
-        """Forget a caller whose connection broke."""
+        """Remove a caller whose connection was lost."""
         self.close()
 
-    # Answers
+    # Responses
 
     def _answer(self, response: Response) -> None:
         if self.is_answered:
@@ -164,10 +170,10 @@
         self._answer(Response(HTTPStatus.REQUEST_TIMEOUT))
 
     def close(self) -> None:
-        """Close now."""
+        """Close the connection at once."""
         self._loop.cancel(self._timeout)
         self.stream.close()
-        self._api.forget(self)
+        self._api.remove_caller(self)
 
 
 class AdminHttpApi:
@@ -175,10 +181,10 @@
 
     Args:
         loop: The event loop.
-        address: Where to listen.
+        address: The host and port to listen at.
         backend: Carries out the calls.
-        shares_address: Whether the other process of a hot restart may listen there too.
-        pool: The buffers of the callers; its own, so clients cannot use them up.
+        shares_address: Whether the other process of a hot restart may listen at the same address.
+        pool: The buffers of the callers; not shared with clients, who could use them up.
     """
 
     def __init__(
@@ -194,7 +200,7 @@
             stream_purpose=MemoryPurpose.MANAGEMENT, buffer_purpose=MemoryPurpose.MANAGEMENT
         )
         self._backend = backend
-        self._callers: dict[_Caller, None] = {}  # the oldest first
+        self._callers: dict[_Caller, None] = {}  # in order of arrival
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
         self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         if shares_address:
@@ -205,12 +211,12 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """The address in use; its port was chosen by the system if 0 was asked for."""
+        """The address in use, with the port chosen by the system if port 0 was configured."""
         host, port = self._sock.getsockname()
         return host, port
 
     def respond(self, method: str, url: bytes) -> Response:
-        """Carry out one call."""
+        """Carry out one call and return the response."""
         try:
             path = httptools.parse_url(url).path or b""
         except (httptools.HttpParserInvalidURLError, httptools.HttpParserError):
@@ -253,12 +259,12 @@
         self._backend.set_draining(is_draining)
         return Response(HTTPStatus.OK)
 
-    def forget(self, caller: _Caller) -> None:
-        """Remove a caller that is gone."""
+    def remove_caller(self, caller: _Caller) -> None:
+        """Remove a caller whose connection is closed."""
         self._callers.pop(caller, None)
 
-    def _on_readable(self, _: int) -> None:
-        for _turn in range(MAX_ACCEPTS_PER_ITERATION):
+    def _on_readable(self, _events: int) -> None:
+        for _ in range(MAX_ACCEPTS_PER_ITERATION):
             try:
                 sock, _address = self._sock.accept()
             except BlockingIOError:
@@ -267,7 +273,7 @@
                 if error.errno in RESOURCE_EXHAUSTION_ERRNOS:
                     self._pause_accepting()
                     return
-                continue  # that caller has gone again
+                continue  # the caller closed the connection before it was accepted
             self._make_room()
             self._callers[_Caller(self, sock)] = None
 
@@ -279,7 +285,7 @@
 
     def _make_room(self) -> None:
         for closed in [caller for caller in self._callers if caller.stream.is_closed]:
-            self.forget(closed)
+            self.remove_caller(closed)
         if len(self._callers) >= MAX_CALLERS:
             self.pool.account.count_rejection(MemoryPurpose.MANAGEMENT)
             answered = (caller for caller in self._callers if caller.is_answered)
--- a/larchhaven/net/admin/memory_accounting.py
+++ b/larchhaven/net/admin/memory_accounting.py
@@ -1,4 +1,4 @@
-"""Memory accounting of the running proxy: samples, caps put into effect, the account as JSON."""
+"""Memory accounting of the running proxy: periodic samples, caps, and the report to operators."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from larchhaven.net.core.rate_limited_log import RateLimitedLog
 
 SAMPLE_INTERVAL_US = 1_000_000
-# While clients do not read, kernel buffers are sampled more often.
+# Kernel buffers are sampled more often while there are clients that do not read.
 UNREAD_CHECK_INTERVAL_US = 250_000
 
 _KERNEL_SOURCE = "sockets"
@@ -33,7 +33,7 @@
     msgspec.Struct,
     rename={"cap_bytes": "cap", "used_bytes": "used", "peak_bytes": "high", "rejected": "refused"},
 ):
-    """The usage of one purpose as operators read it."""
+    """The memory usage of one purpose, as reported to operators."""
 
     cap_bytes: int
     used_bytes: int
@@ -50,9 +50,9 @@
     """The descriptors that clients and their attempts share.
 
     Attributes:
-        cap: The most that may be open.
-        used: How many are open.
-        rejected: Requests rejected for want of a descriptor.
+        cap: The maximum number of open descriptors.
+        used: The number of open descriptors.
+        rejected: The number of requests rejected because no descriptor was free.
     """
 
     cap: int
@@ -76,7 +76,7 @@
         "excess_releases": "errors",
     },
 ):
-    """The answer to ``GET /v1/memory``; ``docs/memory.md`` explains the keys."""
+    """The response to ``GET /v1/memory``; ``docs/memory.md`` explains the keys."""
 
     grant_bytes: int
     start_bytes: int
@@ -94,14 +94,14 @@
 
 
 class MemoryAccounting:
-    """Samples the process once a second and keeps the account near the truth.
+    """Samples the memory of the process once a second and updates the account.
 
     Attributes:
-        account: The account.
-        plan: The plan in effect.
-        resident_monitor: The comparison of the account with the resident size.
-        sampled_sources: What is counted as a whole at each sample: a function that returns bytes,
-            by purpose and name of the source.
+        account: The memory account.
+        plan: The memory plan in effect.
+        resident_monitor: Compares the account with the resident size.
+        sampled_sources: Functions called at each sample, which return the bytes in use, by purpose
+            and name of the source.
     """
 
     def __init__(
@@ -111,29 +111,29 @@
         account: MemoryAccount,
         plan: MemoryPlan,
         pool: BufferPool,
-        folder: str,
+        directory: str,
     ) -> None:
-        """Create the accounting; ``start`` begins to sample.
+        """Create the accounting; sampling begins with ``start``.
 
         Args:
             loop: The event loop.
             log: The log for operators.
-            account: The account to keep.
-            plan: The plan that the account was made from.
+            account: The account to update.
+            plan: The plan that the account's caps come from.
             pool: The buffers and streams of clients.
-            folder: The folder with the proxy's files; empty if there is none.
+            directory: The directory of the proxy's files; empty if there is none.
         """
         self._loop = loop
         self._log = log
         self._pool = pool
-        self._folder = folder
+        self._directory = directory
         self.account = account
         self.plan = plan
         self.resident_monitor = ResidentMemoryMonitor(plan.grant_bytes)
         self.sampled_sources: dict[tuple[MemoryPurpose, str], Callable[[], int]] = {}
 
     def start(self) -> None:
-        """Record the resident size at the start, and sample from here on."""
+        """Record the resident size at the start and begin to sample."""
         self._sample_sources()
         self.resident_monitor.start(read_resident_bytes(), self.account.resident_bytes())
         if self.plan.is_below_minimum:
@@ -146,7 +146,10 @@
         self._loop.call_later(UNREAD_CHECK_INTERVAL_US, self._check_unread_periodically)
 
     def apply_plan(self, plan: MemoryPlan) -> None:
-        """Put new caps into effect; usage above them stays until it ends by itself."""
+        """Apply the caps of a new plan.
+
+        Usage above a new cap falls as connections and requests end; only spare buffers are freed.
+        """
         self.plan = plan
         self._pool.socket_buffer_bytes = plan.socket_buffer_bytes
         self.account.set_caps(plan.caps)
@@ -154,18 +157,21 @@
             self._pool.release_spares()
 
     def can_write_file(self, path: Path, size_bytes: int) -> bool:
-        """Return whether a file may be written anew; the old one stays beside it for a moment."""
-        self._sample_files(self._folder or str(path.parent))
+        """Return whether the cap for files leaves room to replace a file; count a rejection if not.
+
+        The new file is written before the old one is removed, so it needs its whole size.
+        """
+        self._sample_files(self._directory or str(path.parent))
         if self.account.available_bytes(MemoryPurpose.FILES) >= size_bytes:
             return True
         self.account.count_rejection(MemoryPurpose.FILES)
         return False
 
     def state(self, descriptors: DescriptorState) -> MemoryState:
-        """Return the account, sampled just now.
+        """Take a sample and return the state of the account.
 
         Args:
-            descriptors: The descriptors in use, which the account does not know.
+            descriptors: The state of the descriptors, which the account does not track.
         """
         self._sample()
         monitor = self.resident_monitor
@@ -202,9 +208,9 @@
         self._sample()
 
     def _sample(self) -> None:
-        """Sample all sources, compare with the resident size, and act on the advice.
+        """Sample all sources, compare the account with the resident size and act on the advice.
 
-        A sample taken for an operator's call acts on it too: the same advice does not come again.
+        Samples for operators' calls must act on it too, as the monitor does not repeat its advice.
         """
         self._sample_sources()
         resident_bytes = read_resident_bytes()
@@ -228,17 +234,17 @@
         for (purpose, source), count_bytes in self.sampled_sources.items():
             self.account.set_sampled_bytes(purpose, source, count_bytes())
         self._sample_kernel_buffers()
-        if self._folder:
-            self._sample_files(self._folder)
+        if self._directory:
+            self._sample_files(self._directory)
 
     def _sample_kernel_buffers(self) -> None:
         self.account.set_sampled_bytes(
             MemoryPurpose.KERNEL, _KERNEL_SOURCE, self._loop.kernel_bytes()
         )
 
-    def _sample_files(self, folder: str) -> None:
+    def _sample_files(self, directory: str) -> None:
         self.account.set_sampled_bytes(
-            MemoryPurpose.FILES, _FILES_SOURCE, measure_files_bytes(folder)
+            MemoryPurpose.FILES, _FILES_SOURCE, measure_files_bytes(directory)
         )
 
     # Clients that do not read
@@ -249,7 +255,7 @@
             self._shed_unread_streams()
 
     def _shed_unread_streams(self) -> None:
-        """Shed clients that do not read, longest unread first, while kernel buffers are high."""
+        """Shed clients that do not read, longest unread first, if kernel buffers are too full."""
         self._sample_kernel_buffers()
         kernel_bytes = self.account.used_bytes(MemoryPurpose.KERNEL)
         cap_bytes = self.account.cap_bytes(MemoryPurpose.KERNEL)
--- a/tests/net/admin/__init__.py
+++ b/tests/net/admin/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of what operators see and set."""
+"""Tests of the operators' interfaces: HTTP API, ejections, memory accounting, their file."""
--- a/tests/net/admin/metrics_reader.py
+++ b/tests/net/admin/metrics_reader.py
@@ -18,8 +18,8 @@
 
 
 def wait_for_metric(proxy: ProxyProcess, name: str, value: object) -> dict[str, Any]:
-    """Read the metrics until one of them has its value."""
+    """Poll the metrics until the named one has the expected value, and return all of them."""
     until = time.monotonic() + TIMEOUT_S
     while (metrics := read_metrics(proxy))[name] != value:
-        assert time.monotonic() < until, f"{name} stays at {metrics[name]}, not {value}"
+        assert time.monotonic() < until, f"metric {name} is {metrics[name]}, expected {value}"
     return metrics
--- a/tests/net/admin/test_administrative_ejection.py
+++ b/tests/net/admin/test_administrative_ejection.py
@@ -1,4 +1,4 @@
-"""Administrative ejection: calls of operators, their effect, and what is saved of them."""
+"""Administrative ejection: the operators' calls, their effect on clients, and the saved file."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def establish_at(proxy: ProxyProcess, number: int) -> tuple[LineConnection, LineConnection]:
-    """Establish a connection at one of the servers."""
+    """Establish a connection to the given server; return the client's and the server's end."""
     client = proxy.connect_client(make_request_line(f"{REQUEST_FIELDS},at=s{number}"))
     server = proxy.accept(proxy.servers[number])
     assert server.read_line()
@@ -32,19 +32,22 @@
     return client, server
 
 
-def test_ejected_server_loses_its_clients_and_gets_nothing_until_it_is_reinstated(
+def test_ejected_server_loses_its_clients_and_gets_no_requests_until_it_is_reinstated(
     proxy: ProxyProcess,
 ) -> None:
-    """Guards a server before its restart: once ejected it gets no request, its clients migrate."""
+    """Operators eject a server before they restart it, so that no client loses its connection.
+
+    New requests go to the other servers, and the clients of the ejected one migrate.
+    """
     client, server = establish_at(proxy, 0)
-    stays = establish_at(proxy, 1)
+    unaffected = establish_at(proxy, 1)
     for _ in range(2):
         assert proxy.call("POST", "/v1/exam-servers/s0/suspend")[0] == 200
     new_clients = [proxy.connect_client(make_request_line(REQUEST_FIELDS)) for _ in range(8)]
-    taken = [proxy.accept(proxy.servers[1]) for _ in new_clients]
-    for end in taken:
-        assert end.read_line()
-        end.send_line("UP 1")
+    attempts = [proxy.accept(proxy.servers[1]) for _ in new_clients]
+    for attempt in attempts:
+        assert attempt.read_line()
+        attempt.send_line("UP 1")
     assert read_metrics(proxy)["members_unavailable"] == 1
     assert [client.read_line(), client.read_line(), server.read_line()] == ["MOVE", "", ""]
     for _ in range(2):
@@ -52,12 +55,12 @@
     assert read_metrics(proxy)["members_unavailable"] == 0
     until = time.monotonic() + TIMEOUT_S
     while not select.select([proxy.servers[0]], [], [], 0.1)[0]:
-        assert time.monotonic() < until, "it is not used again"
+        assert time.monotonic() < until, "no request reached the reinstated server"
         new_clients.append(proxy.connect_client(make_request_line(REQUEST_FIELDS)))
-    stays[0].close()
+    unaffected[0].close()
 
 
-def test_all_servers_ejected_means_a_rejection_at_once(proxy: ProxyProcess) -> None:
+def test_request_is_rejected_at_once_if_all_servers_are_ejected(proxy: ProxyProcess) -> None:
     for number in range(2):
         assert proxy.call("POST", f"/v1/exam-servers/s{number}/suspend")[0] == 200
     assert (
@@ -68,7 +71,7 @@
 
 
 @pytest.mark.parametrize("proxy", [{"discovery": "subscribe"}], indirect=True)
-def test_server_that_is_gone_may_be_ejected_and_stays_so_when_it_returns(
+def test_ejection_of_a_removed_server_applies_when_it_is_listed_again(
     proxy: ProxyProcess,
 ) -> None:
     discovery = LineConnection(proxy.discovery.accept()[0])
@@ -86,22 +89,22 @@
     client.close()
 
 
-@pytest.mark.parametrize("broken", [None, b"{", b'{"v":9,"hosts":["s0"]}', b"\x00" * 2_000_000])
-def test_next_process_knows_the_ejections_unless_their_file_is_broken(
-    tmp_path: Path, broken: bytes | None
+@pytest.mark.parametrize("invalid", [None, b"{", b'{"v":9,"hosts":["s0"]}', b"\x00" * 2_000_000])
+def test_ejections_survive_a_restart_unless_their_file_is_invalid(
+    tmp_path: Path, invalid: bytes | None
 ) -> None:
-    """Guards ejections across a hot restart, and the start from whatever the file holds."""
+    """A restarted proxy applies the saved ejections, and starts whatever the file contains."""
     proxy = ProxyProcess(tmp_path)
     assert proxy.call("POST", "/v1/exam-servers/s0/suspend")[0] == 200
     proxy.close()
     saved = tmp_path / "larchhaven-suspended.json"
     assert b"s0" in saved.read_bytes()
-    if broken is not None:
-        saved.write_bytes(broken)
+    if invalid is not None:
+        saved.write_bytes(invalid)
     proxy = ProxyProcess(tmp_path)
-    assert read_metrics(proxy)["members_unavailable"] == (broken is None)
+    assert read_metrics(proxy)["members_unavailable"] == (invalid is None)
     assert proxy.call("POST", "/v1/exam-servers/s1/suspend")[0] == 200
-    assert (b"s0" in saved.read_bytes()) == (broken is None)
+    assert (b"s0" in saved.read_bytes()) == (invalid is None)
     proxy.close()
 
 
--- a/tests/net/admin/test_http_api.py
+++ b/tests/net/admin/test_http_api.py
@@ -1,4 +1,4 @@
-"""The admin HTTP API of the running program, and what its calls change for clients."""
+"""The admin HTTP API of the running program, and the effect of its calls on clients."""
 
 from __future__ import annotations
 
@@ -23,19 +23,19 @@
 REQUEST_FIELDS = "c=chat,d=2000,g=ab"
 
 
-def call_raw(proxy: ProxyProcess, *parts: bytes) -> bytes:
-    """Send a call in parts and read all that is answered."""
+def call_raw(proxy: ProxyProcess, *segments: bytes) -> bytes:
+    """Send the segments on one connection and return all that is received until it ends."""
     with socket.create_connection(proxy.management, timeout=TIMEOUT_S) as caller:
         caller.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        got = b""
+        received = b""
         try:
-            for part in parts:
-                caller.sendall(part)
-            while more := caller.recv(65536):
-                got += more
+            for segment in segments:
+                caller.sendall(segment)
+            while block := caller.recv(65536):
+                received += block
         except (ConnectionResetError, BrokenPipeError):
             pass
-        return got
+        return received
 
 
 @pytest.mark.parametrize(
@@ -55,7 +55,7 @@
         ("POST", "/v1/proxy/stop", 404),
     ],
 )
-def test_each_call_has_its_path_and_method(
+def test_path_and_method_determine_the_status(
     proxy: ProxyProcess, method: str, path: str, status: int
 ) -> None:
     assert proxy.call(method, path)[0] == status
@@ -67,7 +67,7 @@
 
 
 @pytest.mark.parametrize(
-    "parts",
+    "segments",
     [
         [b"GARBAGE\r\n\r\n"],
         [b"GET\r\n\r\n"],
@@ -78,27 +78,32 @@
     ],
 )
 def test_malformed_or_oversized_call_is_rejected_and_changes_nothing(
-    proxy: ProxyProcess, parts: list[bytes]
+    proxy: ProxyProcess, segments: list[bytes]
 ) -> None:
-    assert call_raw(proxy, *parts)[:10] in (b"", b"HTTP/1.1 4")
+    assert call_raw(proxy, *segments)[:10] in (b"", b"HTTP/1.1 4")
     assert proxy.connect_client("PING").read_line() == "PONG"
     assert proxy.call("GET", "/v1/readyz")[0] == 200
 
 
-def test_call_in_pieces_and_another_behind_it_gets_one_answer(proxy: ProxyProcess) -> None:
+def test_only_the_first_call_is_answered_even_if_sent_in_pieces(
+    proxy: ProxyProcess,
+) -> None:
     text = b"GET /v1/readyz HTTP/1.1\r\nHost: x\r\nConnection: Upgrade\r\nUpgrade: h2c\r\n\r\n"
-    parts = [text[i : i + 7] for i in range(0, len(text), 7)]
-    got = call_raw(proxy, *parts, b"POST /v1/proxy/drain HTTP/1.1\r\n\r\n")
-    assert got.startswith(b"HTTP/1.1 200 ")
-    assert got.count(b"HTTP/1.1") == 1
+    segments = [text[i : i + 7] for i in range(0, len(text), 7)]
+    received = call_raw(proxy, *segments, b"POST /v1/proxy/drain HTTP/1.1\r\n\r\n")
+    assert received.startswith(b"HTTP/1.1 200 ")
+    assert received.count(b"HTTP/1.1") == 1
     assert proxy.connect_client("PING").read_line() == "PONG"
 
 
 @pytest.mark.parametrize("proxy", [{"max_sockets": 128}], indirect=True)
-def test_incomplete_calls_and_idle_clients_keep_no_operator_waiting(
+def test_call_is_answered_despite_many_incomplete_calls_and_idle_clients(
     proxy: ProxyProcess,
 ) -> None:
-    """Guards calls at full load: their descriptors and buffers are not for clients to use up."""
+    """Operators can call at full load: the API has descriptors and buffers of its own.
+
+    If it shared them with clients, idle clients could use them up and lock operators out.
+    """
     idle_clients = [proxy.connect_client() for _ in range(200)]
     callers = [socket.create_connection(proxy.management) for _ in range(2 * MAX_CALLERS)]
     for caller in callers:
@@ -106,7 +111,7 @@
     assert proxy.call("GET", "/v1/readyz")[0] == 200
     callers[0].settimeout(TIMEOUT_S)
     with contextlib.suppress(ConnectionResetError):
-        assert callers[0].recv(1) == b""  # the oldest gave way
+        assert callers[0].recv(1) == b""  # the oldest call was closed to make room
     for sock in (*callers, *(client.sock for client in idle_clients)):
         sock.close()
 
@@ -115,19 +120,19 @@
     ("proxy", "migrates"),
     [({}, False), ({"family_info": {"mode": "proxy", "park": 0}}, True)],
     indirect=["proxy"],
-    ids=["passes", "ends"],
+    ids=["pass_through", "ends_at_proxy"],
 )
-def test_draining_proxy_answers_no_to_ping_and_serves_late_clients(
+def test_draining_proxy_fails_ping_and_still_serves_new_clients(
     proxy: ProxyProcess, migrates: bool
 ) -> None:
-    """Guards a drain: PING says so at once, and connections migrate only where they end here."""
-    front = proxy.connect_client("PING")
-    assert front.read_line() == "PONG"
+    """A drain shows in PING at once; connections migrate only if they end at the proxy."""
+    ping_client = proxy.connect_client("PING")
+    assert ping_client.read_line() == "PONG"
     client, server = proxy.establish()
-    for _ in range(2):  # a repeat is harmless
+    for _ in range(2):  # a repeated call changes nothing
         assert proxy.call("POST", "/v1/proxy/drain")[0] == 200
-    front.send_line("PING")
-    assert front.read_line() not in ("PONG", "")
+    ping_client.send_line("PING")
+    assert ping_client.read_line() not in ("PONG", "")
     assert proxy.connect_client("PING").read_line() != "PONG"
     proxy.establish()
     if migrates:
@@ -139,60 +144,60 @@
         assert server.read_line() == "still here"
 
 
-def test_activation_cancels_the_migrations_still_to_come(tmp_path: Path) -> None:
+def test_activation_cancels_migrations_that_are_still_to_come(tmp_path: Path) -> None:
     proxy = ProxyProcess(tmp_path, family_info={"mode": "proxy"})
     pairs = [proxy.establish() for _ in range(6)]
     proxy.call("POST", "/v1/proxy/drain")
     proxy.call("POST", "/v1/proxy/activate")
     client = proxy.connect_client(make_request_line(REQUEST_FIELDS))
     assert proxy.accept().read_line()
-    stay = 0
-    for end, _ in pairs:
-        end.sock.settimeout(0.7)
+    remaining = 0
+    for established, _ in pairs:
+        established.sock.settimeout(0.7)
         try:
-            end.read_line()
+            established.read_line()
         except TimeoutError:
-            stay += 1
-    assert stay >= 4  # within these seconds a drain would have migrated them all
+            remaining += 1
+    assert remaining >= 4  # in the time waited, a drain would have migrated all of them
     client.close()
     proxy.close()
 
 
-def test_metrics_are_what_clients_and_servers_saw(proxy: ProxyProcess) -> None:
-    """Guards metrics that count twice, or not at all: each outcome of a request."""
-    nothing = {"completed": 0, "rejected": 0, "failed": 0}
+def test_metrics_count_every_outcome_and_attempt_once(proxy: ProxyProcess) -> None:
+    """The metrics agree with what clients and servers observe: nothing missed or counted twice."""
+    no_outcomes = {"completed": 0, "rejected": 0, "failed": 0}
     metrics = read_metrics(proxy)
-    assert metrics["downstream_requests"] == {"chat": nothing, "exam": nothing}
+    assert metrics["downstream_requests"] == {"chat": no_outcomes, "exam": no_outcomes}
     assert (metrics["upstream_requests"], metrics["pending"], metrics["members"]) == (0, 0, 2)
-    saw = {"chat": dict(nothing), "exam": dict(nothing)}
+    expected = {"chat": dict(no_outcomes), "exam": dict(no_outcomes)}
     attempts = 0
     established = [proxy.establish() for _ in range(3)]
-    saw["chat"]["completed"], attempts = 3, 3
-    leaver = proxy.connect_client(make_request_line("c=exam,d=60000,g=ab"))
+    expected["chat"]["completed"], attempts = 3, 3
+    leaving_client = proxy.connect_client(make_request_line("c=exam,d=60000,g=ab"))
     pending_server = proxy.accept()
     attempts += bool(pending_server.read_line())
-    for number in range(2):  # the second is rejected at once: all are full
+    for number in range(2):  # all servers are full by then, so the second is rejected at once
         client = proxy.connect_client(make_request_line(f"c=exam,d={60_000 + number},g=ab"))
         for _ in proxy.servers if number == 0 else ():
             server = proxy.accept()
             attempts += bool(server.read_line())
             server.send_line("BUSY")
         assert client.read_line().startswith("BUSY")
-        saw["exam"]["rejected"] += 1
+        expected["exam"]["rejected"] += 1
     assert wait_for_metric(proxy, "pending", 4)["upstream_requests"] == attempts
-    leaver.close()
+    leaving_client.close()
     for client, _ in established[:2]:
         client.close()
     metrics = wait_for_metric(proxy, "pending", 1)
-    assert metrics["downstream_requests"] == saw
+    assert metrics["downstream_requests"] == expected
     assert metrics["upstream_requests"] == attempts
 
 
-def test_duplicate_identity_and_reloads_are_counted(proxy: ProxyProcess) -> None:
-    first = make_request_line(REQUEST_FIELDS)
-    client = proxy.connect_client(first)
+def test_duplicate_identity_counts_as_failed_and_reloads_are_counted(proxy: ProxyProcess) -> None:
+    request_line = make_request_line(REQUEST_FIELDS)
+    client = proxy.connect_client(request_line)
     assert proxy.accept().read_line()
-    assert proxy.connect_client(first).read_line() == "ERR"
+    assert proxy.connect_client(request_line).read_line() == "ERR"
     proxy.reload("{}")
     wait_for_metric(proxy, "config_reload_errors", 1)
     proxy.reload(json.dumps(proxy.configuration))
@@ -202,7 +207,7 @@
 
 
 @pytest.mark.parametrize("proxy", [{"discovery": "subscribe"}], indirect=True)
-def test_members_are_the_listed_servers_and_the_unavailable_among_them(proxy: ProxyProcess) -> None:
+def test_metrics_count_listed_and_unavailable_servers(proxy: ProxyProcess) -> None:
     assert [read_metrics(proxy)[name] for name in ("members", "members_unavailable")] == [2, 0]
     discovery = LineConnection(proxy.discovery.accept()[0])
     changes = {"seq": 8, "hosts": [make_endpoint("s0", proxy.servers[0], "draining")]}
--- a/tests/net/admin/test_memory_accounting.py
+++ b/tests/net/admin/test_memory_accounting.py
@@ -17,10 +17,13 @@
 from larchhaven.net.core.rate_limited_log import RateLimitedLog
 
 
-def test_sample_for_an_operators_call_acts_on_its_advice(
+def test_sample_for_an_operators_call_acts_on_the_advice(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards a warning and a trim that a call to /v1/memory used up and nobody carried out."""
+    """A sample taken for ``GET /v1/memory`` logs the warning and trims as a periodic one does.
+
+    The monitor does not repeat its advice, so a sample that ignored it would lose both.
+    """
     loop, account, trims = EventLoop(), MemoryAccount.unbounded(), []
     memory_plan = plan.make_plan(32 << 20, 20 << 20, 1024)
     sizes = iter([20 << 20, 28 << 20])
@@ -37,15 +40,15 @@
     assert state.unaccounted_bytes == 8 << 20
 
 
-def test_operators_page_names_every_purpose_and_figure() -> None:
+def test_documentation_lists_every_purpose_and_figure() -> None:
     page = (Path(__file__).parents[3] / "docs" / "memory.md").read_text(encoding="utf-8")
     rows = re.findall(r"^\| (`.*?) \|", page.partition("## Setting caps")[0], re.MULTILINE)
-    named = {name for row in rows for name in re.findall(r"`(\w+)`", row)}
+    documented = {name for row in rows for name in re.findall(r"`(\w+)`", row)}
     figures = {field.encode_name for field in msgspec.structs.fields(accounting.MemoryState)}
-    assert named == {purpose.key for purpose in MemoryPurpose} | (figures - {"purposes"})
+    assert documented == {purpose.key for purpose in MemoryPurpose} | (figures - {"purposes"})
 
 
-def test_operators_page_quotes_log_events_that_exist() -> None:
+def test_documentation_quotes_existing_log_events() -> None:
     root = Path(__file__).parents[3]
     page = (root / "docs" / "memory.md").read_text(encoding="utf-8")
     events = re.findall(r"log says `([^`]+)`", page)
--- a/tests/net/admin/test_operator_file.py
+++ b/tests/net/admin/test_operator_file.py
@@ -1,4 +1,4 @@
-"""The operators' file as the proxy reads it."""
+"""How the proxy reads the operators' file."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from larchhaven.operator.settings import Reading
 
 
-def test_reading_needs_memory_and_a_compiled_file_does_not(tmp_path: Path) -> None:
-    """Guards a grant of 32 MB: the process that reads the file would pass it."""
+def test_text_file_needs_free_memory_and_a_compiled_file_does_not(tmp_path: Path) -> None:
+    """With a small grant, such as 32 MB, the reader process would exceed the memory granted."""
     readings: list[Reading] = []
     path = tmp_path / "operator.textproto"
     path.write_text("memory { }")
     OperatorFileReader(EventLoop(), str(path), readings.append).read(READER_BYTES - 1)
-    assert "write it as .json with 'larchhaven check --write'" in readings[0].complaints[0].text
+    assert "convert it to .json with 'larchhaven check --write'" in readings[0].complaints[0].text
     compiled = tmp_path / "operator.json"
     compiled.write_bytes(msgspec.json.encode(read_text("memory { log: 1 }")))
     OperatorFileReader(EventLoop(), str(compiled), readings.append).read(0)
