--- a/larchhaven/net/admin_backend.py
+++ b/larchhaven/net/admin_backend.py
@@ -1,4 +1,4 @@
-"""What the operators' API reads and changes in a running proxy."""
+"""The backend of the admin API: reads and changes the state of a running proxy."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 from larchhaven.net.core.metrics import Metrics
 from larchhaven.net.resources import ProxyResources
 
-# Where connections end at the proxy, all of them are migrated within this time of a drain.
-DRAIN_US = 4_000_000
+# Time within which a drain migrates all connections, if they end at the proxy.
+DRAIN_DURATION_US = 4_000_000
 
 _log = logging.getLogger("larchhaven")
 
 
 class ClientListener(Protocol):
-    """The listener that accepts the clients."""
+    """The listener that accepts clients."""
 
-    is_draining: bool  # whether PING is answered so that clients are sent elsewhere
+    is_draining: bool  # whether the answer to PING sends clients elsewhere
 
     @property
     def is_accepting(self) -> bool:
@@ -36,19 +36,19 @@
 
 
 class ProxyAdminBackend:
-    """Carries out the operators' calls.
+    """Carries out the calls of the admin API.
 
     Args:
-        resources: What the parts of the proxy share.
+        resources: The shared resources of the proxy.
         metrics: The metrics of the proxy.
         endpoints: The endpoint list.
-        limits: The limits of clients.
-        listener: Accepts the clients.
-        ejections: The servers that operators have ejected.
-        count_unavailable_servers: Counts the listed servers that get nothing new.
-        report_members: Returns what is known of the other proxies, as JSON.
-        migrate_connections: Has connections migrated within a time in microseconds, or with 0 has
-            those stay that are still here; does nothing where connections do not end at the proxy.
+        limits: The limits on clients and descriptors.
+        listener: Accepts clients.
+        ejections: The servers ejected by operators.
+        count_unavailable_servers: Returns the number of listed servers that get no new requests.
+        report_members: Returns the membership report as JSON.
+        migrate_connections: Migrates all connections within a time in microseconds; 0 cancels the
+            migrations that are still to come. Does nothing if connections do not end at the proxy.
     """
 
     def __init__(
@@ -76,7 +76,7 @@
         self._migrate_connections = migrate_connections
 
     def is_ready(self) -> bool:
-        """Tell whether this process accepts clients and knows servers for them."""
+        """Return whether this process accepts clients and at least one server is listed."""
         return self._listener.is_accepting and self._endpoints.count_listed() > 0
 
     def encode_metrics(self) -> bytes:
@@ -95,11 +95,11 @@
         return msgspec.json.encode(self._accounting.state(descriptors))
 
     def encode_members(self) -> bytes:
-        """Return what is known of the other proxies, as JSON."""
+        """Return the membership report as JSON."""
         return self._report_members()
 
     def set_ejected(self, server_id: str, is_ejected: bool) -> EjectionOutcome:
-        """Eject a server, or reinstate it; once this returns, the change is saved and applied."""
+        """Eject or reinstate a server; ``APPLIED`` means that the change is saved and in effect."""
         if not self._endpoints.was_listed(server_id) and server_id not in self._ejections:
             return EjectionOutcome.UNKNOWN_SERVER
         try:
@@ -110,9 +110,9 @@
         return EjectionOutcome.APPLIED
 
     def set_draining(self, is_draining: bool) -> None:
-        """Drain the proxy, or activate it again."""
+        """Drain the proxy or activate it again; a repeated call changes nothing."""
         if self._listener.is_draining == is_draining:
             return
         self._listener.is_draining = is_draining
         _log.info("proxy draining" if is_draining else "proxy activated")
-        self._migrate_connections(DRAIN_US if is_draining else 0)
+        self._migrate_connections(DRAIN_DURATION_US if is_draining else 0)
--- a/larchhaven/net/configuration.py
+++ b/larchhaven/net/configuration.py
@@ -1,6 +1,6 @@
-"""The proxy's configuration: one JSON file, whose keys are the platform's.
+"""The proxy's configuration: a JSON file whose keys are defined by the platform.
 
-The keys of its ``settings`` are those of the simulator's protocol.
+The keys under ``settings`` are those of the simulator's protocol.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 
 
 class ConfigurationError(LarchhavenError):
-    """A configuration that the proxy cannot start with."""
+    """The configuration is invalid, so the proxy cannot start with it."""
 
 
 class ConfigurationFileError(ConfigurationError):
-    """The file cannot be read, or is not a configuration.
+    """The configuration file cannot be read or decoded.
 
     Attributes:
-        reason: Why, for operators.
+        reason: The explanation for operators.
     """
 
     def __init__(self, reason: str) -> None:
@@ -36,11 +36,11 @@
 
 
 class InvalidSettingError(ConfigurationError):
-    """A setting has a value that cannot be used.
+    """A setting has an invalid value.
 
     Attributes:
         setting: The key in the file, or the name of the environment variable.
-        requirement: What the value must be, and what it is.
+        requirement: The requirement on the value, and the actual value.
     """
 
     def __init__(self, setting: str, requirement: str) -> None:
@@ -50,12 +50,12 @@
 
 
 class OperatorFileError(ConfigurationError):
-    """The operators' file asks for what the machine does not grant.
+    """The operators' file sets memory caps that do not fit the machine's grant.
 
     Attributes:
-        path: The file.
-        line: The line in it, from 1; 0 if no line is to blame.
-        reason: Why, for operators.
+        path: The path of the file.
+        line: The line that causes the error, from 1; 0 if no single line does.
+        reason: The explanation for operators.
     """
 
     def __init__(self, path: str, line: int, reason: str) -> None:
@@ -66,7 +66,13 @@
 
 
 class MachineLimits(msgspec.Struct):
-    """What the machine grants the proxy."""
+    """The resources that the machine grants to the proxy.
+
+    Attributes:
+        cores: Processor cores.
+        memory_mb: Memory in MB of 2**20 bytes.
+        sockets: Open descriptors.
+    """
 
     cores: float = 1.0
     memory_mb: float = 192
@@ -74,7 +80,7 @@
 
 
 class _ConfigurationFile(msgspec.Struct):
-    """The file as it is written."""
+    """The content of the configuration file."""
 
     settings: dict[str, Any]
     name: str = ""
@@ -91,25 +97,28 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyConfiguration:
-    """What a proxy is started with.
+    """The configuration of a proxy.
 
     Attributes:
         name: The proxy's name in its log; may be empty.
-        listen_address: The clients' address.
-        discovery_address: The address of discovery.
-        seed: The seed of the decisions' random draws.
-        limits: What the machine grants.
-        admin_address: The operators' address; None if there is no admin API.
-        socket_fd: The clients' listening socket, if the platform holds it.
-        peer_listen_address: The own address for datagrams of other proxies; None if there is none.
-        peer_addresses: The addresses of all proxies, by their index.
-        peer_broadcast_address: An address that reaches all proxies at once; None if there is none.
+        listen_address: Host and port at which clients connect.
+        discovery_address: Host and port of discovery.
+        seed: Seed of the random numbers in routing decisions.
+        limits: The resources that the machine grants.
+        admin_address: Host and port of the admin API; None if there is none.
+        socket_fd: Descriptor of the listening socket for clients, if it is inherited from the
+            platform.
+        peer_listen_address: Host and port at which this proxy receives datagrams of other proxies;
+            None if it receives none.
+        peer_addresses: Host and port of every proxy, by proxy index.
+        peer_broadcast_address: Host and port that reach all proxies at once; None if there is no
+            such address.
         initial_endpoints: The endpoint list to start with.
-        settings: The settings of the decisions.
+        settings: The routing settings.
         class_indexes: The index of each request class, by name.
         tenant_indexes: The index of each tenant, by name.
         zones: The names of the zones, by index.
-        hardware_kinds: The names of the server kinds, by index.
+        hardware_kinds: The names of the server hardware kinds, by index.
     """
 
     name: str
@@ -131,19 +140,22 @@
 
     @property
     def shares_socket(self) -> bool:
-        """Whether another process, of a hot restart, may hold the clients' socket too."""
+        """Whether the other process of a hot restart may share the listening socket for clients."""
         return self.socket_fd is not None
 
 
 def load_configuration(environment: Mapping[str, str]) -> ProxyConfiguration:
-    """Read the file that ``EDGE_CONFIG`` names; what it leaves out comes from the environment.
+    """Load the configuration from the file that ``EDGE_CONFIG`` names.
+
+    Args:
+        environment: The environment variables, which also supply settings missing from the file.
 
     Raises:
-        ConfigurationError: If the proxy cannot start with it.
+        ConfigurationError: The configuration is invalid.
     """
     path = environment.get("EDGE_CONFIG", "")
     if not path:
-        raise InvalidSettingError("EDGE_CONFIG", "is not set: it names the configuration file")
+        raise InvalidSettingError("EDGE_CONFIG", "is not set; it must name the configuration file")
     try:
         raw = Path(path).read_bytes()
     except OSError as error:
@@ -152,14 +164,14 @@
 
 
 def decode_configuration(raw: bytes, environment: Mapping[str, str]) -> ProxyConfiguration:
-    """Decode the text of a configuration file.
+    """Decode the content of a configuration file.
 
     Args:
-        raw: The text.
-        environment: Supplies what the file leaves out.
+        raw: The content of the file.
+        environment: The environment variables, which supply settings missing from the file.
 
     Raises:
-        ConfigurationError: If the proxy cannot start with it.
+        ConfigurationError: The configuration is invalid.
     """
     file = _decode_file(raw)
     settings = _decode_settings(file.settings)
@@ -185,7 +197,7 @@
         or EndpointListMessage(version=0, endpoints=[], is_complete=True),
         settings=settings,
         class_indexes=_index_by_name(file.settings, "services"),
-        # Clients that name no tenant must not be taken for one that has no name.
+        # A tenant without a name is left out: it would match every client that names no tenant.
         tenant_indexes={name: index for name, index in tenants.items() if name},
         zones=_list_names(file.settings, "zones"),
         hardware_kinds=_list_names(file.settings, "kinds"),
@@ -196,7 +208,7 @@
     try:
         return msgspec.json.decode(raw, type=_ConfigurationFile)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        reason = f"the configuration is not as it should be: {error}"
+        reason = f"invalid configuration file: {error}"
         raise ConfigurationFileError(reason) from None
 
 
@@ -219,7 +231,7 @@
     if not text:
         return None
     if not (text.isascii() and text.isdigit()):
-        raise InvalidSettingError("EDGE_SOCKET_FD", f"must be a descriptor's number, not {text!r}")
+        raise InvalidSettingError("EDGE_SOCKET_FD", f"must be a descriptor number, not {text!r}")
     return int(text)
 
 
@@ -237,12 +249,14 @@
 def _list_names(settings: Mapping[str, Any], setting: str) -> tuple[str, ...]:
     values = settings.get(setting) or []
     if not isinstance(values, list):
-        raise InvalidSettingError(f"settings.{setting}", "must be a list of names")
+        raise InvalidSettingError(
+            f"settings.{setting}", f"must be a list of names, not {type(values).__name__}"
+        )
     return tuple(str(value) for value in values)
 
 
 def _index_by_name(settings: Mapping[str, Any], setting: str) -> dict[str, int]:
-    """Map the names of the entries of a list to their indexes; no name is the empty one."""
+    """Map the name of each entry in a list to its index; a missing name is the empty string."""
     entries = settings.get(setting)
     indexes: dict[str, int] = {}
     for index, entry in enumerate(entries if isinstance(entries, list) else []):
--- a/larchhaven/net/graceful_shutdown.py
+++ b/larchhaven/net/graceful_shutdown.py
@@ -1,7 +1,8 @@
-"""The graceful shutdown: in stated phases from SIGTERM to the end of the process.
+"""Graceful shutdown: the phases from SIGTERM to the end of the process.
 
-The platform kills the process after the longest deadline of the request classes (limited by
-``MAX_AWAITED_DEADLINE_US``) and ``KILL_GRACE_US``. Every phase ends before that.
+After SIGTERM the platform waits for the longest deadline of the request classes, but at most
+``MAX_AWAITED_DEADLINE_US``, plus ``KILL_GRACE_US``; then it kills the process. Every phase ends
+before that.
 """
 
 from __future__ import annotations
@@ -17,40 +18,43 @@
 from larchhaven.routing.events import Event, ProxyDraining
 from larchhaven.routing.settings import RoutingSettings
 
-# The platform kills no earlier than the longest deadline, this at most, and the grace after it.
+# The platform waits for the longest deadline, but no longer than this, and then for the grace.
 MAX_AWAITED_DEADLINE_US = 3_000_000
 KILL_GRACE_US = 700_000
-# Every request has its final answer so long before the process ends.
+# Every request gets its final answer this long before the end of the process.
 ANSWER_MARGIN_US = 150_000
-# New connections come for 0.4 s after the signal, as others learn of it late; the rest is slack.
+# Clients still connect for up to 0.4 s after the signal, as they learn of it late; the rest is
+# margin.
 LAME_DUCK_US = 500_000
-# The clients accepted last have so long for their first line.
+# Time for the clients accepted last to send their first line.
 FIRST_LINE_GRACE_US = 100_000
 POLL_INTERVAL_US = 50_000
-# With a successor: the process ends so long after the longest deadline.
-SHARED_END_GRACE_US = 400_000
-# With a successor: connections that could not be transferred are migrated after this time.
+# If a successor may share the listening socket, the process ends this long after the longest
+# deadline, or after MAX_AWAITED_DEADLINE_US if that is longer.
+SHARED_SOCKET_END_GRACE_US = 400_000
+# With a successor, connections that have not been transferred to it by then are migrated.
 MIGRATION_DELAY_US = 500_000
 
 
 class ShutdownPhase(enum.Enum):
-    """How far the shutdown has come; it only moves down this list."""
+    """The phases of the shutdown, in order; a phase may be skipped but never repeated."""
 
     SERVING = "serving"
-    LAME_DUCK = "lame duck"  # new connections still come and are served
-    LISTENER_CLOSED = "listener closed"  # clients accepted before may still send their first line
-    LINGERING = "lingering"  # idle clients have their answer; requests in flight are finished
+    LAME_DUCK = "lame duck"  # new connections are still accepted and served
+    LISTENER_CLOSED = "listener closed"  # clients accepted earlier may still send their first line
+    LINGERING = "lingering"  # idle clients have been rejected; requests in flight are finished
     FINISHED = "finished"
 
 
 @dataclass(frozen=True, slots=True)
 class ShutdownDeadlines:
-    """What is finished when, in microseconds after the signal.
+    """The deadlines of the shutdown, in microseconds after the signal.
 
     Attributes:
-        answers_us: Every request has its final answer.
-        migrations_us: Every established connection is migrated, where connections have to be.
-        end_us: The process ends; None if it stays while it holds anything.
+        answers_us: By then, every request has its final answer.
+        migrations_us: By then, plus the migration delay if there is a successor, every connection
+            that ends at the proxy is migrated.
+        end_us: The process ends then; None if it runs until its last request has ended.
     """
 
     answers_us: int
@@ -62,13 +66,13 @@
     """Derive the deadlines of the shutdown from those of the request classes.
 
     Args:
-        settings: The settings of the decisions.
-        shares_socket: Whether another process may hold the clients' socket too.
+        settings: The routing settings, with the request classes.
+        shares_socket: Whether a successor may share the listening socket for clients.
     """
     longest_us = max(c.deadline_us for c in settings.classes)
     migrations_us = min(longest_us, MAX_AWAITED_DEADLINE_US)
     if shares_socket:
-        end_us = max(longest_us, MAX_AWAITED_DEADLINE_US) + SHARED_END_GRACE_US
+        end_us = max(longest_us, MAX_AWAITED_DEADLINE_US) + SHARED_SOCKET_END_GRACE_US
         return ShutdownDeadlines(end_us - ANSWER_MARGIN_US, migrations_us, end_us)
     answers_us = migrations_us + KILL_GRACE_US - ANSWER_MARGIN_US
     return ShutdownDeadlines(answers_us, migrations_us, None)
@@ -78,10 +82,10 @@
     """The requests of the proxy, established connections included."""
 
     def count_requests(self) -> int:
-        """Return how many there are."""
+        """Return the number of open requests."""
 
     def set_answer_deadline(self, deadline_us: int) -> None:
-        """Answer every request by this time, whatever its own deadline."""
+        """Answer every request by this time, even if its own deadline is later."""
 
 
 class MigratableConnections(Protocol):
@@ -92,20 +96,20 @@
 
 
 class ClosableListener(Protocol):
-    """The listener that accepts the clients."""
+    """The listener that accepts clients."""
 
     @property
     def is_accepting(self) -> bool:
         """Whether clients are accepted."""
 
     def stop(self) -> None:
-        """Accept no more clients."""
+        """Stop accepting clients."""
 
     def accept_backlog(self) -> bool:
-        """Accept all clients that wait; return whether none is left."""
+        """Accept the clients in the accept queue; return whether it is empty now."""
 
     def reject_awaiting_clients(self) -> None:
-        """Answer all idle clients, and half-close their connections."""
+        """Reject all clients that have sent no request, and half-close their connections."""
 
 
 class GracefulShutdown:
@@ -113,13 +117,16 @@
 
     Args:
         loop: The event loop, which is stopped at the end.
-        requests: The requests of the proxy.
-        connections: Its established connections.
-        listener: Accepts the clients.
-        pool: Knows the streams in a lingering close.
-        queue_event: Takes events for the decisions.
-        settings: The settings of the decisions.
-        shares_socket: Whether another process may hold the clients' socket too.
+        requests: The open requests.
+        connections: The established connections.
+        listener: Accepts clients.
+        pool: Lists the streams in lingering close.
+        queue_event: Queues an event for the balancer.
+        settings: The routing settings.
+        shares_socket: Whether a successor may share the listening socket for clients.
+
+    Attributes:
+        phase: The current phase.
     """
 
     def __init__(
@@ -146,20 +153,21 @@
 
     @property
     def is_shutting_down(self) -> bool:
-        """Tell whether the shutdown has begun."""
+        """Whether the shutdown has started."""
         return self.phase is not ShutdownPhase.SERVING
 
     def begin(self, migration_delay_us: int) -> None:
-        """Begin the shutdown.
+        """Start the shutdown.
 
         Args:
-            migration_delay_us: After this time the connections that have to migrate are migrated.
+            migration_delay_us: Delay in microseconds before connections that end at the proxy are
+                migrated, so that they can be transferred to a successor first.
         """
         self.phase = ShutdownPhase.LAME_DUCK
         loop, deadlines = self._loop, self._deadlines
         self._requests.set_answer_deadline(loop.now_us + deadlines.answers_us)
         if self._shares_socket:
-            self._listener.stop()  # newcomers wait in the socket for the process that holds it next
+            self._listener.stop()  # new clients wait in the accept queue for the successor
         if deadlines.end_us is not None:
             loop.call_later(deadlines.end_us, loop.stop)
         if migration_delay_us:
@@ -169,7 +177,7 @@
         loop.call_later(LAME_DUCK_US, self._close_listener)
 
     def finish_now(self) -> None:
-        """Answer all requests and migrate all connections now, and end once that was sent."""
+        """Answer all requests and migrate all connections now; end when the answers are sent."""
         if self.phase is ShutdownPhase.FINISHED:
             return
         self._listener.accept_backlog()
@@ -180,27 +188,28 @@
             self._connections.migrate_all_connections()
         self.phase = ShutdownPhase.FINISHED
         self._loop.call_later(LINGER_US, self._loop.stop)
-        # The answers are given at the end of this iteration.
+        # The answers are written at the end of this iteration.
         self._loop.call_later(POLL_INTERVAL_US, self._stop_when_sent)
 
     def migrate_connections(self, within_us: int) -> None:
-        """Have connections migrated on an operator's drain, or call that off.
+        """Migrate the connections for an operator's drain, or cancel the migrations.
 
-        Nothing happens where packets pass through, nor during the shutdown, which migrates too.
+        Does nothing in pass-through mode, or during the shutdown, which migrates them itself.
 
         Args:
-            within_us: All are migrated within this time; with 0 those stay that are still here.
+            within_us: Time within which all connections are migrated, in microseconds; 0 cancels
+                the migrations that are still to come.
         """
         if not self._passes_through and not self.is_shutting_down:
             self._queue_event(ProxyDraining(within_us))
 
     def _migrate_remaining(self) -> None:
-        """Migrate what is left; where packets pass through, others take it over at our end."""
+        """Migrate the remaining connections, except in pass-through mode, where they survive."""
         if not self._passes_through:
             self._queue_event(ProxyDraining(self._deadlines.migrations_us))
 
     def _close_listener(self) -> None:
-        """Close the listener once its queue is empty: who waits there would be reset."""
+        """Close the listener once its accept queue is empty; clients left in it would be reset."""
         if self.phase is not ShutdownPhase.LAME_DUCK:
             return
         if self._listener.is_accepting and not self._listener.accept_backlog():
@@ -211,7 +220,7 @@
         self._loop.call_later(FIRST_LINE_GRACE_US, self._close_idle_clients)
 
     def _close_idle_clients(self) -> None:
-        """Answer and half-close idle clients: a line read before is served, one after never is."""
+        """Reject and half-close idle clients; lines read before are served, later ones are not."""
         if self.phase in (ShutdownPhase.LINGERING, ShutdownPhase.FINISHED):
             return
         self.phase = ShutdownPhase.LINGERING
@@ -228,7 +237,7 @@
             self._loop.stop()
 
     def _stop_when_sent(self) -> None:
-        # Where connections end here, one whose server is in the middle of a line migrates after it.
+        # A connection whose server is in the middle of a line is migrated only after that line.
         if self._pool.lingering or (self._requests.count_requests() and not self._passes_through):
             self._loop.call_later(POLL_INTERVAL_US, self._stop_when_sent)
         else:
--- a/larchhaven/net/lifecycle.py
+++ b/larchhaven/net/lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of a proxy: its start, its signals, and the begin of its shutdown."""
+"""The lifecycle of a proxy: its start, reload and stop signals, and the start of its shutdown."""
 
 from __future__ import annotations
 
@@ -20,28 +20,28 @@
 
 
 class EventDispatcher(Protocol):
-    """Runs the decisions."""
+    """Passes events to the balancer and carries out its actions."""
 
     def dispatch_events(self) -> None:
-        """Have the queued events handled, and carry out the actions."""
+        """Pass the queued events to the balancer and carry out the resulting actions."""
 
     def on_process_resumed(self) -> None:
-        """Decide nothing until pending input is read."""
+        """Hold events back until all input that arrived during a process pause has been read."""
 
 
 class OpenableListener(Protocol):
-    """Accepts the clients, from its opening on."""
+    """Accepts clients once it has been opened."""
 
     @property
     def address(self) -> tuple[str, int]:
         """The address in use."""
 
     def open(self) -> None:
-        """Begin to accept clients."""
+        """Start accepting clients."""
 
 
 class AdminListener(Protocol):
-    """Accepts the operators' calls."""
+    """Accepts calls to the admin API."""
 
     @property
     def address(self) -> tuple[str, int]:
@@ -49,21 +49,21 @@
 
 
 class ProxyLifecycle:
-    """Starts the parts of a proxy, and takes it through reloads and its shutdown.
+    """Starts the components of a proxy and handles its reload and stop signals.
 
     Args:
-        resources: What the parts of the proxy share.
+        resources: The shared resources of the proxy.
         config: The configuration.
-        dispatcher: Runs the decisions.
-        servers: What is known of the servers.
-        listener: Accepts the clients.
-        admin_api: Accepts the operators' calls; None if there is no such place.
-        membership: The membership among the other proxies.
-        ejections: The servers that operators have ejected.
+        dispatcher: Passes events to the balancer and carries out its actions.
+        servers: Watches the endpoint list and checks the health of the servers.
+        listener: Accepts clients.
+        admin_api: Accepts calls to the admin API; None if no address is configured for it.
+        membership: This proxy's membership among the proxies.
+        ejections: The servers ejected by operators.
         transfer: Shares state and connections with the other process of a hot restart.
         shutdown: Shuts the proxy down.
-        configuration_reload: Reads the configuration again.
-        operator_file_reload: Reads the operators' file again.
+        configuration_reload: Reloads the configuration.
+        operator_file_reload: Reloads the operators' file.
     """
 
     def __init__(
@@ -99,28 +99,29 @@
         resources.loop.on_process_resumed = self._on_process_resumed
 
     def run(self) -> None:
-        """Serve until the end of the shutdown."""
+        """Serve until the shutdown is finished."""
         self._servers.start()
         if self._config.shares_socket:
             self._ejections.start_polling(self._loop)
-            self._transfer.start(self._open)
+            self._transfer.start(self._start_serving)
         else:
             self._ejections.refresh()
-            self._open()
+            self._start_serving()
         self._dispatcher.dispatch_events()
         self._loop.run()
         _log.info("proxy stopped")
 
     def on_reload_signal(self) -> None:
-        """Read the operators' file and the configuration again."""
+        """Reload the operators' file and the configuration."""
         self._operator_file_reload.start()
         self._configuration_reload.run()
 
     def on_stop_signal(self) -> None:
-        """Begin the shutdown; at a second signal, finish it at once.
+        """Start the shutdown; a second signal finishes it at once.
 
-        Where packets pass through, established connections go on until the process ends: others
-        take them over then. Elsewhere they would be lost, and the decisions migrate them.
+        In pass-through mode, established connections continue until the process ends; then another
+        proxy takes them over. If connections end at the proxy, they would be lost with it, so the
+        balancer migrates them.
         """
         if self._shutdown.is_shutting_down:
             self._shutdown.finish_now()
@@ -130,7 +131,7 @@
         has_successor = self._transfer.hot_restart.has_successor
         self._shutdown.begin(MIGRATION_DELAY_US if has_successor else 0)
 
-    def _open(self) -> None:
+    def _start_serving(self) -> None:
         self._accounting.start()
         self._listener.open()
         self._membership.start()
@@ -146,6 +147,6 @@
         self._transfer.resume_membership()
 
     def _on_process_resumed(self, paused_us: int) -> None:
-        """Decide nothing until pending input is read; the membership doubts what it knew."""
+        """Log the pause and hold events back until the input that arrived meanwhile is read."""
         self._log.warning("process paused, resumed", f"paused_s={paused_us / _US_PER_S:.1f}")
         self._dispatcher.on_process_resumed()
--- a/larchhaven/net/reload.py
+++ b/larchhaven/net/reload.py
@@ -1,6 +1,6 @@
-"""What SIGHUP reads again: the platform's configuration, and the operators' file.
+"""Reload on SIGHUP: of the platform's configuration and of the operators' file.
 
-Connections, the endpoint list and the loads known stay. A file that cannot be used changes nothing.
+A reload keeps connections, the endpoint list and load reports. An invalid file changes nothing.
 """
 
 from __future__ import annotations
@@ -23,34 +23,34 @@
 from larchhaven.net.resources import ProxyResources, grant_bytes, plan_memory
 from larchhaven.operator.settings import Complaint, Reading, Settings
 
-# Of one reading.
+# Limit for one reload; further complaints are not logged.
 MAX_LOGGED_COMPLAINTS = 20
 
 _log = logging.getLogger("larchhaven")
 
 
-class UnreadClientLimit(Protocol):
-    """Closes clients that do not read what is sent to them."""
+class UnreadClientShedder(Protocol):
+    """Sheds clients that do not read what is sent to them."""
 
-    unread_us: int
+    unread_us: int  # a client may be shed after this time without reading
 
 
 class OperatorSettings:
-    """Applies the operators' settings, but for the caps of memory.
+    """Applies the operators' settings, except for the memory caps.
 
     Args:
-        log: The log, whose repetitions they limit.
-        limits: The limits of clients.
-        listener: Closes clients that do not read.
-        membership: Is enabled and disabled by them.
-        is_log_json: Whether the log is in JSON already.
+        log: The log whose rate the settings limit.
+        limits: The limits on clients, with the admission reserve.
+        listener: Sheds clients that do not read.
+        membership: Is enabled, disabled or given new keys.
+        is_log_json: Whether the log is currently in JSON.
     """
 
     def __init__(
         self,
         log: RateLimitedLog,
         limits: ConnectionLimits,
-        listener: UnreadClientLimit,
+        listener: UnreadClientShedder,
         membership: MembershipSwitch,
         is_log_json: bool,
     ) -> None:
@@ -61,7 +61,7 @@
         self._is_log_json = is_log_json
 
     def apply(self, settings: Settings) -> None:
-        """Apply settings in place of the earlier ones."""
+        """Replace the settings in effect."""
         self._limits.admission.reserve_ratio = settings.reserve_ratio
         self._listener.unread_us = settings.unread_us
         self._log.repeat_interval_us = settings.log_repeat_interval_us
@@ -72,14 +72,14 @@
 
 
 class OperatorFileReload:
-    """Reads the operators' file again, and applies all of it or nothing.
+    """Reloads the operators' file and applies it completely or, if it is invalid, not at all.
 
     Args:
-        path: The file; empty if there is none.
-        resources: What the parts of the proxy share.
-        config: The configuration, which says what the machine grants.
-        metrics: Counts the reloads.
-        settings: Applies what was read.
+        path: The path of the file; empty if there is none.
+        resources: The shared resources of the proxy.
+        config: The configuration with the machine's grant.
+        metrics: Counts successful and failed reloads.
+        settings: Applies the settings other than memory caps.
     """
 
     def __init__(
@@ -99,7 +99,7 @@
         self._reader = OperatorFileReader(resources.loop, path, self._on_read)
 
     def start(self) -> None:
-        """Begin to read the file, if there is one; it is applied once it is read."""
+        """Start to read the file, if there is one; its settings are applied afterwards."""
         if self._path:
             self._reader.read(grant_bytes(self._limits) - read_resident_bytes())
 
@@ -127,14 +127,14 @@
 
 
 class ConfigurationReload:
-    """Reads the configuration again, and follows discovery to its new address.
+    """Reloads the configuration and switches to a new address of discovery.
 
-    Whatever else has changed takes effect at the next start.
+    All other changes take effect at the next start of the proxy.
 
     Args:
-        config: The configuration at the start.
-        metrics: Counts the reloads.
-        change_discovery_address: Has discovery called at another host and port.
+        config: The configuration that the proxy was started with.
+        metrics: Counts successful and failed reloads.
+        change_discovery_address: Switches the watch of discovery to another host and port.
     """
 
     def __init__(
@@ -148,7 +148,7 @@
         self._change_discovery_address = change_discovery_address
 
     def run(self) -> None:
-        """Read the configuration, and apply it if it can be used."""
+        """Load the configuration; apply it if it is valid, else log the error."""
         try:
             config = load_configuration(os.environ)
         except ConfigurationError as error:
@@ -156,14 +156,18 @@
             _log.warning("configuration not reloaded: %s", error)
             return
         self._metrics.config_reloads += 1
-        note = "; other changes take effect at the next start" if self._differs(config) else ""
+        note = (
+            "; other changes take effect at the next start"
+            if self._has_other_changes(config)
+            else ""
+        )
         _log.info("configuration reloaded: discovery=%s:%d%s", *config.discovery_address, note)
         if config.discovery_address != self._config.discovery_address:
             self._config = replace(self._config, discovery_address=config.discovery_address)
             self._change_discovery_address(config.discovery_address)
 
-    def _differs(self, config: ProxyConfiguration) -> bool:
-        """Tell whether anything differs but discovery's address and the list to start with."""
+    def _has_other_changes(self, config: ProxyConfiguration) -> bool:
+        """Return whether anything but discovery's address and the initial endpoint list differs."""
         comparable = replace(
             config,
             discovery_address=self._config.discovery_address,
--- a/larchhaven/net/resources.py
+++ b/larchhaven/net/resources.py
@@ -1,4 +1,4 @@
-"""What the parts of a proxy share: event loop, log, memory account, buffers and descriptors."""
+"""Shared resources of a proxy: event loop, log, memory account, buffers and descriptors."""
 
 from __future__ import annotations
 
@@ -22,18 +22,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyResources:
-    """What the parts of a proxy share.
+    """The resources that the components of a proxy share.
 
     Attributes:
         loop: The event loop.
-        log: The log of what outside parties bring about.
+        log: The rate-limited log for events that outside parties can cause.
         account: The memory account.
-        accounting: Samples the process and puts caps to use.
+        accounting: Samples the memory of the process and applies memory plans.
         pool: The buffers and streams of clients and their attempts.
-        admin_pool: Those of operators' calls and of discovery.
-        health_check_pool: Those of health checks.
-        directory: Where files are kept; empty if they are not.
-        program_bytes: The resident size of the program before anything was made.
+        admin_pool: The buffers and streams of admin API calls and of discovery.
+        health_check_pool: The buffers and streams of health checks.
+        directory: The directory of the proxy's files; empty if there is none.
+        program_bytes: The resident size of the process after imports, before resources are built.
     """
 
     loop: EventLoop
@@ -48,15 +48,15 @@
 
 
 def build_resources(loop: EventLoop, limits: MachineLimits, settings: Settings) -> ProxyResources:
-    """Build what the parts of a proxy share.
+    """Build the shared resources of a proxy.
 
     Args:
         loop: The event loop.
-        limits: What the machine grants.
+        limits: The resources that the machine grants.
         settings: The operators' settings.
 
     Raises:
-        MemoryPlanError: If the operators' caps do not fit the grant.
+        MemoryPlanError: The operators' caps do not fit the memory grant.
     """
     program_bytes = measure_program_bytes(settings)
     memory_plan = plan_memory(limits, program_bytes, settings)
@@ -79,15 +79,15 @@
 
 
 def measure_program_bytes(settings: Settings) -> int:
-    """Return the resident size of the program, with all that these settings need loaded."""
+    """Return the resident size after importing all modules that the settings need."""
     if settings.membership_enabled:
-        # What is loaded for the membership is part of the program, not for clients to use.
+        # The membership's modules count as program memory, so it is not planned for clients.
         importlib.import_module("larchhaven.net.control.membership_transport")
     return read_resident_bytes()
 
 
 def grant_bytes(limits: MachineLimits) -> int:
-    """Return the memory that the machine grants, in bytes."""
+    """Return the memory grant of the machine in bytes."""
     return int(limits.memory_mb * plan.BYTES_PER_MB)
 
 
@@ -95,17 +95,20 @@
     """Divide the granted memory among its purposes.
 
     Raises:
-        MemoryPlanError: If the operators' caps do not fit the grant.
+        MemoryPlanError: The operators' caps do not fit the memory grant.
     """
     caps = caps_by_purpose(settings.caps)
     return plan.make_plan(grant_bytes(limits), program_bytes, limits.sockets, caps)
 
 
 def raise_descriptor_limit(wanted: int) -> int:
-    """Raise the system's limit of descriptors as far as it lets us.
+    """Raise the process's soft limit on open descriptors, up to the hard limit.
+
+    Args:
+        wanted: The number of descriptors to allow.
 
     Returns:
-        How many of the wanted descriptors there may be.
+        The number of descriptors that the process may use, at most ``wanted``.
     """
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if hard != resource.RLIM_INFINITY:
--- a/tests/net/test_configuration_errors.py
+++ b/tests/net/test_configuration_errors.py
@@ -1,4 +1,4 @@
-"""Configuration errors: the program ends with one line and status 2 at the start."""
+"""Configuration errors: at the start, the program prints one line and exits with status 2."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
     [
         (None, "EDGE_CONFIG is not set"),
         ("missing", "cannot be read"),
-        ("{", "not as it should be"),
+        ("{", "invalid configuration file"),
         ('{"listen":"127.0.0.1:0"}', "settings"),
         ('{"settings":{},"seed":"1"}', "settings"),
     ],
 )
-def test_invalid_configuration_is_one_plain_line(
+def test_invalid_configuration_is_reported_in_one_line(
     tmp_path: Path, config: str | None, message: str
 ) -> None:
     path = tmp_path / "config.json"
@@ -39,11 +39,11 @@
 
 
 def assert_rejected_in_one_line(path: Path | None, message: str) -> None:
-    """Start the program with this configuration; it ends at once with one line and status 2."""
+    """Run the program, and check that it exits with status 2 and one line with the message."""
     environment = {k: v for k, v in os.environ.items() if not k.startswith("EDGE_")}
     if path is not None:
         environment["EDGE_CONFIG"] = str(path)
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "larchhaven"],
         cwd=ROOT,
         env=environment,
@@ -51,9 +51,9 @@
         capture_output=True,
         text=True,
     )
-    assert done.returncode == 2
-    assert message in done.stderr
-    assert done.stderr.count("\n") == 1
+    assert completed.returncode == 2
+    assert message in completed.stderr
+    assert completed.stderr.count("\n") == 1
 
 
 @pytest.mark.parametrize(
@@ -65,10 +65,10 @@
         ([{"name": "a", "share": "half"}], [10], "expected"),
     ],
 )
-def test_invalid_tenant_quotas_are_one_plain_line(
+def test_invalid_tenant_quota_is_reported_in_one_line(
     tmp_path: Path, tenants: list[dict[str, Any]], quotas: list[Any], message: str
 ) -> None:
-    """Guards the settings of tenants, which were not checked: invalid values must not start."""
+    """Shares and quotas of tenants are validated; the proxy does not start with invalid ones."""
     settings = copy.deepcopy(SETTINGS)
     settings["parties"] = tenants
     settings["family_info"]["tenant_quota_connections"] = quotas
@@ -84,8 +84,12 @@
 
 
 @pytest.mark.parametrize("parties", [["a", 3], [{"share": 0.5}], [{"name": "a"}, None], {}, None])
-def test_malformed_tenant_lists_name_no_tenant_and_start(parties: Any) -> None:
-    """Guards the start: a non-object entry ended it, and one without a name matched all."""
+def test_malformed_tenant_entries_are_ignored(parties: Any) -> None:
+    """The proxy starts despite malformed entries, and no entry without a name becomes a tenant.
+
+    An entry that is not an object would otherwise end the start with an error, and a tenant without
+    a name would match every client that names none.
+    """
     raw = {
         "listen": "127.0.0.1:1",
         "discovery": "127.0.0.1:1",
--- a/tests/net/test_graceful_shutdown.py
+++ b/tests/net/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""The graceful shutdown of the real program: every request is answered before it ends."""
+"""Graceful shutdown of the running program: every request is answered before it ends."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 from tests.proxy_harness import ROOT, TIMEOUT_S, LineConnection, ProxyProcess, make_request_line
 
 REQUEST_FIELDS = "c=chat,d=2000,g=ab"
-LONG_DEADLINE_FIELDS = "c=chat,d=60000,g=ab"  # far beyond the moment at which the platform may kill
+LONG_DEADLINE_FIELDS = "c=chat,d=60000,g=ab"  # long after the platform may kill the process
 ENDS_AT_PROXY = {"family_info": {"mode": "proxy", "park": 0}}
 
 
 def start_shutdown(proxy: ProxyProcess) -> None:
-    """Send SIGTERM, and wait until the shutdown has started."""
+    """Send SIGTERM and wait until the shutdown has started."""
     proxy.process.send_signal(signal.SIGTERM)
     while "shutdown started" not in (line := proxy.read_log_line()):
-        assert line, "the program ended"
+        assert line, "the program ended before it logged 'shutdown started'"
 
 
 def send_pending_request(proxy: ProxyProcess, fields: str) -> tuple[LineConnection, LineConnection]:
-    """Send a request to a server that does not answer."""
+    """Send a request that its server leaves unanswered; return the client's and server's ends."""
     client = proxy.connect_client(make_request_line(fields))
     server = proxy.accept()
     assert server.read_line().startswith("OPEN ")
@@ -35,10 +35,14 @@
 
 
 @pytest.mark.parametrize("proxy", [{}, ENDS_AT_PROXY], indirect=True)
-def test_idle_client_is_answered_and_what_it_sends_after_that_is_not_forwarded(
+def test_idle_client_is_rejected_and_its_later_request_is_not_forwarded(
     proxy: ProxyProcess,
 ) -> None:
-    """Guards a request that crosses the end of an idle connection: it was forwarded, and lost."""
+    """A request may cross the rejection of its idle client on the wire.
+
+    If it were forwarded, it would be lost when the process ends, and its client, which has been
+    told BUSY, may have sent it elsewhere already.
+    """
     client = proxy.connect_client("PING")
     assert client.read_line() == "PONG"
     start_shutdown(proxy)
@@ -52,7 +56,11 @@
 def test_request_that_arrives_before_the_lingering_phase_is_served(
     proxy: ProxyProcess, arrives_in: str
 ) -> None:
-    """Guards what waits in the accept queue, or in an idle connection, when its phase is over."""
+    """A pause of the process may outlast the phases in which clients are accepted.
+
+    Requests that arrived meanwhile, in the accept queue or on an idle connection, must still be
+    read and served when it resumes.
+    """
     idle = proxy.connect_client("PING")
     assert idle.read_line() == "PONG"
     start_shutdown(proxy)
@@ -60,7 +68,7 @@
     os.waitid(os.P_PID, proxy.process.pid, os.WSTOPPED | os.WNOWAIT)
     client = proxy.connect_client() if arrives_in == "queue" else idle
     client.send_line(make_request_line(REQUEST_FIELDS))
-    select.select([], [], [], 0.8)  # the phases that accept clients are over when it resumes
+    select.select([], [], [], 0.8)  # paused until the phases that accept clients are over
     proxy.process.send_signal(signal.SIGCONT)
     server = proxy.accept()
     assert server.read_line().startswith("OPEN ")
@@ -73,18 +81,21 @@
 
 @pytest.mark.parametrize("proxy", [{}, ENDS_AT_PROXY, {"inherits_socket": True}], indirect=True)
 def test_request_with_a_deadline_after_the_shutdown_is_answered(proxy: ProxyProcess) -> None:
-    """Guards deadlines over three seconds: the platform kills the process before they expire."""
+    """The platform kills the process before a deadline of more than three seconds expires.
+
+    A request with such a deadline must therefore be answered before its deadline.
+    """
     client, _server = send_pending_request(proxy, LONG_DEADLINE_FIELDS)
     start_shutdown(proxy)
     late = None if proxy.inherited_socket else send_pending_request(proxy, LONG_DEADLINE_FIELDS)[0]
-    for each in (client, late):
-        assert each is None or each.read_line().split()[0] in ("BUSY", "ERR")
+    for pending_client in (client, late):
+        assert pending_client is None or pending_client.read_line().split()[0] in ("BUSY", "ERR")
     assert proxy.process.wait(TIMEOUT_S) == 0
 
 
 @pytest.mark.parametrize("proxy", [{}, ENDS_AT_PROXY], indirect=True)
 def test_second_signal_answers_all_requests_and_ends(proxy: ProxyProcess) -> None:
-    """Guards requests at a second signal: the process ended at once, without their answers."""
+    """A second signal ends the process early, but not before every request has its answer."""
     client, _server = send_pending_request(proxy, LONG_DEADLINE_FIELDS)
     established, _ = proxy.establish()
     idle = proxy.connect_client("PING")
@@ -93,30 +104,34 @@
     proxy.process.send_signal(signal.SIGTERM)
     assert client.read_line() == "ERR"
     assert idle.read_line() == "BUSY"
-    ends_here = proxy.configuration["settings"]["family_info"]["mode"] == "proxy"
-    assert established.read_line() == ("MOVE" if ends_here else "")
+    ends_at_proxy = proxy.configuration["settings"]["family_info"]["mode"] == "proxy"
+    assert established.read_line() == ("MOVE" if ends_at_proxy else "")
     assert proxy.process.wait(TIMEOUT_S) == 0
 
 
-def test_signal_during_the_start_is_handled_once_clients_may_have_connected(
+def test_signal_that_arrives_after_the_socket_listens_is_handled_gracefully(
     proxy: ProxyProcess, tmp_path: Path
 ) -> None:
-    """Guards clients that connect as soon as the socket listens: the process died of the signal."""
+    """A signal during the start shuts the proxy down gracefully once the socket listens.
+
+    Clients may have connected by then. Without handlers installed before, the signal would kill the
+    process and with it their connections.
+    """
     path = tmp_path / "second.json"
     path.write_text(json.dumps(proxy.configuration))
     program = (
         "import os, signal, sys\n"
-        "from larchhaven.net import proxy as node\n"
-        "class Early(node.Listener):\n"
-        "    def __init__(self, *given):\n"
-        "        super().__init__(*given)\n"
+        "from larchhaven.net import proxy as proxy_module\n"
+        "class SignalledListener(proxy_module.Listener):\n"
+        "    def __init__(self, *arguments):\n"
+        "        super().__init__(*arguments)\n"
         "        os.kill(os.getpid(), signal.SIGTERM)\n"
-        "node.Listener = Early\n"
+        "proxy_module.Listener = SignalledListener\n"
         "from larchhaven.__main__ import serve\n"
         "sys.exit(serve())\n"
     )
     environment = {**os.environ, "EDGE_CONFIG": str(path), "TMPDIR": str(tmp_path)}
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", program],
         cwd=ROOT,
         env=environment,
@@ -124,8 +139,8 @@
         stderr=subprocess.PIPE,
         timeout=TIMEOUT_S,
     )
-    assert done.returncode == 0
-    assert b"shutdown started" in done.stderr
+    assert completed.returncode == 0
+    assert b"shutdown started" in completed.stderr
 
 
 def test_shutdown_serves_new_requests_and_keeps_established_connections(
@@ -136,8 +151,8 @@
     late, late_server = proxy.establish()
     client.send_line("still here")
     assert server.read_line() == "still here"
-    for end in (client, late):
-        end.close()
+    for established in (client, late):
+        established.close()
     assert [server.read_line(), late_server.read_line()] == ["", ""]
     server.close()
     late_server.close()
@@ -146,7 +161,7 @@
 
 @pytest.mark.parametrize("proxy", [{"family_info": {"mode": "proxy", "park": 0}}], indirect=True)
 def test_shutdown_migrates_connections_that_end_at_the_proxy(proxy: ProxyProcess) -> None:
-    ends = [proxy.establish() for _ in range(4)]
+    pairs = [proxy.establish() for _ in range(4)]
     proxy.process.send_signal(signal.SIGTERM)
-    assert [[client.read_line(), client.read_line()] for client, _ in ends] == [["MOVE", ""]] * 4
+    assert [[client.read_line(), client.read_line()] for client, _ in pairs] == [["MOVE", ""]] * 4
     assert proxy.process.wait(TIMEOUT_S) == 0
