--- a/larchhaven/errors.py
+++ b/larchhaven/errors.py
@@ -1,7 +1,7 @@
-"""The base class of all errors that larchhaven raises on purpose."""
+"""The base class of the errors that larchhaven raises."""
 
 from __future__ import annotations
 
 
 class LarchhavenError(Exception):
-    """Base class of all errors of this package; subclasses carry what went wrong as fields."""
+    """Base class of all errors of this package; subclasses store the details as attributes."""
--- a/larchhaven/gossip/__init__.py
+++ b/larchhaven/gossip/__init__.py
@@ -1,1 +1,4 @@
-"""Load reports that the proxies of a large fleet share with each other. Pure: no I/O, no clock."""
+"""Gossip between proxies: the message codec and the shared health checks of large fleets.
+
+Pure: no I/O and no clock.
+"""
--- a/larchhaven/gossip/codec.py
+++ b/larchhaven/gossip/codec.py
@@ -1,4 +1,4 @@
-"""The bytes of messages between proxies: a kind byte, then the fields of the message.
+"""The codec of gossip messages: a kind byte, followed by the body of the message.
 
 =====  ==========================  =============================================================
 Kind   Message                     Body
@@ -6,7 +6,7 @@
 ``H``  ``StickyEntries``           entries of a key hash (4 bytes) and a server hash (2 bytes)
 ``Q``  ``StickyEntryQuery``        a key hash
 ``S``  ``ProxyStarted``            empty
-``L``  ``LearnedState``            doubles, little-endian: counts, then one load for each class
+``L``  ``LearnedState``            doubles (little-endian): three totals, then a load per class
 ``R``  ``SharedLoadReports``       entries of a server hash (2 bytes, big-endian) and a level (1)
 =====  ==========================  =============================================================
 """
@@ -42,7 +42,7 @@
 
 
 def encode(message: GossipMessage) -> bytes:
-    """Return the bytes of a message."""
+    """Encode a message."""
     if isinstance(message, StickyEntries):
         return STICKY_ENTRIES + b"".join(key + server for key, server in message.entries)
     if isinstance(message, SharedLoadReports):
@@ -57,10 +57,13 @@
 
 
 def decode(data: bytes) -> GossipMessage:
-    """Return the message that was sent as these bytes.
+    """Decode a message.
 
-    A load report of another length than whole entries has none; its receiver counts it as
-    malformed, as it does entries of servers that it does not know.
+    A load report whose length is not a multiple of the entry size is decoded as one without
+    entries. The receiver counts it as invalid, and likewise each entry for an unknown server.
+
+    Returns:
+        The message; ``UnrecognizedMessage`` if the kind is unknown or another body is malformed.
     """
     kind, body = data[:1], data[1:]
     if kind == STICKY_ENTRIES and body and len(body) % STICKY_ENTRY_BYTES == 0:
--- a/larchhaven/gossip/shared_health_checks.py
+++ b/larchhaven/gossip/shared_health_checks.py
@@ -1,13 +1,14 @@
-"""One health check of each server for the whole fleet of proxies: who checks, and who is notified.
+"""Shared health checks: one proxy checks each server and reports the result to the whole fleet.
 
-With forty proxies each sees few requests: were each to check servers for itself, as few proxies do,
-it would learn their loads seconds late. Here the servers are dealt out. The first proxy in the
-order of a server's partition checks it steadily and notifies the others of changes; the next one in
-the order steps in once nothing has been received for a while, so that nobody needs to know who is
-alive. A load report from a peer is a hint: it is accepted only for servers that the own endpoint
-list names as ready.
+In a fleet of forty proxies each proxy sees few requests. If each of them checked the servers on its
+own, as the proxies of small fleets do, it would learn their loads seconds late. Instead the servers
+are divided into partitions, and each partition has its own order of the proxies. The first proxy in
+the order checks the servers of the partition regularly and reports changes to its peers. The next
+proxy takes over if no report has arrived within a timeout, so no proxy needs to know which others
+are alive. A load report from a peer is only a hint: it is accepted only for servers that are listed
+as ready in this proxy's own endpoint list.
 
-Pure: events and a time in, actions out. Times and durations are microseconds.
+Pure: takes events and the current time, returns actions. Times and durations are in microseconds.
 """
 
 from __future__ import annotations
@@ -27,63 +28,68 @@
 from larchhaven.routing.gossip_messages import ServerLoad, SharedLoadReports
 from larchhaven.routing.settings import RoutingSettings
 
-# Load levels on the wire are load ratios in steps; the highest values stand for no load.
+# A load level on the wire is a load ratio in steps. Levels above MAX_LOAD_LEVEL encode no load.
 LOAD_RATIO_STEP = 0.02
 MAX_LOAD_LEVEL = 253
 FAILED_LEVEL = 255
-MAX_ENTRIES_PER_MESSAGE = 85  # in a datagram of 256 bytes
+MAX_ENTRIES_PER_MESSAGE = 85  # what fits into a datagram of 256 bytes
 
-# With fewer proxies each meets each server often enough by itself.
+# In smaller fleets each proxy learns the load of each server often enough on its own.
 MIN_PROXIES = 12
 
 CHECK_INTERVAL_US = 1_000_000  # servers refresh their reports about once a second
-SIGNIFICANT_CHANGE_RATIO = 0.1  # a smaller change is sent only when a refresh is due
-REFRESH_INTERVAL_US = 5_000_000  # of an unchanged load
-HEARTBEAT_INTERVAL_US = 2_000_000  # at least one report of each partition
-BATCHING_DELAY_US = 30_000  # results of checks that began together share a message
+SIGNIFICANT_CHANGE_RATIO = 0.1  # smaller changes are reported only when a refresh is due
+REFRESH_INTERVAL_US = 5_000_000  # between reports of an unchanged load
+HEARTBEAT_INTERVAL_US = 2_000_000  # maximum time between two reports of a partition
+BATCHING_DELAY_US = 30_000  # collects the results of concurrent checks in one message
 
-# The next proxy in a partition's order steps in after the timeout, each further one a bit later.
+# The second proxy in a partition's order takes over after the timeout plus one step, each further
+# proxy one step later.
 TAKEOVER_TIMEOUT_US = 2_600_000
 TAKEOVER_STEP_US = 100_000
 
-# A proxy that receives nothing is more likely cut off than the last one alive. As all may be cut
-# off, only the first ranks step in on time, each further one later by a growing factor, and checks
-# less often: what all proxies do together stays bounded, however many there are.
+# A proxy that receives nothing is more likely isolated than the only one alive, and all proxies may
+# be isolated at once. So only the first ranks take over on time. The delay grows by a constant
+# factor for each further rank, and isolated proxies check less often. This bounds the total number
+# of checks for any number of proxies.
 ISOLATED_RANKS = 4
 ISOLATED_DELAY_GROWTH = 1.5
 MAX_ISOLATED_DELAY_EXPONENT = 30
 
-# Servers are dealt out by partition: who checks several reports them in one message.
+# Servers are assigned to proxies by partition, so that one message reports several servers.
 PARTITIONS = 4
 SERVER_HASH_SHIFT_BITS = 16
 
 
 @dataclass(slots=True)
 class _CheckedServer:
-    """What is known of one server."""
+    """The check schedule and the last reported state of one server."""
 
     server_hash: int
     partition: int
-    rank: int  # this proxy's place in the order of the partition
+    rank: int  # this proxy's position in the order of the partition, from 0
     check_due_us: int
-    reported_ratio: float = -1.0  # as last sent by any proxy; negative before the first
+    reported_ratio: float = -1.0  # last load ratio reported by any proxy; negative if none
     reported_at_us: int = 0
     is_checking: bool = False
-    has_failed: bool = False  # as last sent
+    has_failed: bool = False  # according to the last report of any proxy
 
 
 def uses_shared_checks(settings: RoutingSettings) -> bool:
-    """Return whether proxies share health checks: they may check, may gossip, and are many."""
+    """Return whether health checks are shared.
+
+    They are if health checks and gossip are allowed and there are at least ``MIN_PROXIES`` proxies.
+    """
     may_share = settings.can_check_health and settings.can_gossip
     return may_share and settings.proxy_count >= MIN_PROXIES
 
 
 class SharedHealthChecks:
-    """One proxy's part in the shared health checks.
+    """The shared health checks as one proxy runs them.
 
     Attributes:
-        due_us: When ``run_due`` is to be called next; None while there is nothing to check.
-        invalid_entries: Entries and messages from peers that could not be used.
+        due_us: When to call ``run_due`` next; None while no check or report is scheduled.
+        invalid_entries: The number of empty messages and unusable entries received from peers.
     """
 
     def __init__(self, settings: RoutingSettings) -> None:
@@ -93,16 +99,21 @@
         self._live_peers = frozenset(range(settings.proxy_count))
         self._ranks = self._rank_partitions()
         self._servers: dict[str, _CheckedServer] = {}
-        # Servers that share a hash are neither reported nor accepted.
+        # Servers with the same hash are ambiguous: they are not reported, and reports of them are
+        # not accepted.
         self._servers_by_hash: dict[int, list[str]] = {}
         self._pending_levels: dict[int, int] = {}  # by server hash
         self._pending_due_us = 0
         self._partition_reported_us = [-TAKEOVER_TIMEOUT_US] * PARTITIONS
-        # When a peer was last heard from, or the first endpoint list came.
+        # When the last message from a peer or the first endpoint list was received.
         self._last_contact_us: int | None = None
 
     def try_begin_check(self, server_id: str) -> bool:
-        """Mark a check of a server as begun; False if one is under way or it is not ready."""
+        """Mark a server as being checked.
+
+        Returns:
+            Whether the check may start: the server is ready and no other check of it is running.
+        """
         server = self._servers.get(server_id)
         if server is None or server.is_checking:
             return False
@@ -110,18 +121,18 @@
         return True
 
     def is_ready(self, server_id: str) -> bool:
-        """Return whether the own endpoint list names the server as ready."""
+        """Return whether this proxy's endpoint list contains the server as ready."""
         return server_id in self._servers
 
     def update_endpoints(self, now_us: int, update: EndpointListUpdate) -> None:
-        """Take a watch event; only servers that are listed as ready are checked."""
+        """Apply an endpoint list update; only servers that are listed as ready are checked."""
         if update.kind is EndpointListKind.FAILED:
             return
         if self._last_contact_us is None:
             self._last_contact_us = now_us
         if update.kind is not EndpointListKind.CHANGES:
             listed = {endpoint.server_id for endpoint in update.endpoints}
-            for server_id in [known for known in self._servers if known not in listed]:
+            for server_id in [tracked for tracked in self._servers if tracked not in listed]:
                 self._remove(server_id)
         for endpoint in update.endpoints:
             if endpoint.state is not ServerState.READY:
@@ -131,7 +142,7 @@
         self._schedule()
 
     def update_live_peers(self, now_us: int, proxies: frozenset[int]) -> None:
-        """Go by these live proxies: whoever follows one that is gone moves up in the order."""
+        """Replace the set of live proxies; a dead proxy's successors move up in the order."""
         if proxies == self._live_peers:
             return
         self._live_peers = proxies
@@ -146,13 +157,13 @@
         self._schedule()
 
     def record_result(self, now_us: int, check: HealthCheckCompleted) -> None:
-        """Take the result of an own check; ``run_due`` reports it soon if that is due."""
+        """Record the result of a check by this proxy; ``run_due`` later reports it if needed."""
         server = self._servers.get(check.server_id)
         if server is None:
             return
         server.is_checking = False
         if len(self._servers_by_hash[server.server_hash]) > 1:
-            return  # peers could not tell which server is meant
+            return  # the hash would not identify the server to peers
         level = _load_level(check)
         if level is None or not self._is_report_due(now_us, server, level):
             return
@@ -169,7 +180,7 @@
     def receive_reports(
         self, now_us: int, message: SharedLoadReports
     ) -> list[HealthCheckCompleted]:
-        """Return what a peer's checks have found, as results; invalid entries are counted."""
+        """Convert a peer's load reports to check results, counting invalid entries."""
         if not message.entries:
             self.invalid_entries += 1
             return []
@@ -188,14 +199,14 @@
         return results
 
     def record_contact(self, now_us: int) -> None:
-        """Take note that a peer was heard from, whatever it sent."""
+        """Record that a message of any kind was received from a peer."""
         if self._is_isolated(now_us):
             self._postpone_checks(now_us)
             self._schedule()
         self._last_contact_us = now_us
 
     def run_due(self, now_us: int) -> list[Action]:
-        """Return the checks that are due and the reports of what the last ones have found."""
+        """Return the health checks and the load reports that are due."""
         actions: list[Action] = []
         if self._pending_levels and self._pending_due_us <= now_us:
             actions += self._take_pending_reports()
@@ -206,7 +217,7 @@
         return actions
 
     def _rank_partitions(self) -> list[int]:
-        """Return this proxy's place in the order of each partition, among the live proxies."""
+        """Return this proxy's position in the order of each partition, counting live proxies."""
         count = self._settings.proxy_count
         ranks = []
         for partition in range(PARTITIONS):
@@ -228,14 +239,15 @@
         server = self._servers.pop(server_id, None)
         if server is None:
             return
-        sharing_hash = self._servers_by_hash[server.server_hash]
-        sharing_hash.remove(server_id)
-        if not sharing_hash:
+        same_hash_ids = self._servers_by_hash[server.server_hash]
+        same_hash_ids.remove(server_id)
+        if not same_hash_ids:
             del self._servers_by_hash[server.server_hash]
 
     def _is_report_due(self, now_us: int, server: _CheckedServer, level: int) -> bool:
         if level == FAILED_LEVEL:
-            # Peers eject it for 1 to 3 s, and would all try it again before the next report.
+            # Peers eject a failed server for only 1 to 3 s. Without a repeated report all of them
+            # would try it again before the next refresh.
             is_repeat = server.has_failed and now_us < server.reported_at_us + HEARTBEAT_INTERVAL_US
         else:
             change = abs(level * LOAD_RATIO_STEP - server.reported_ratio)
@@ -248,7 +260,7 @@
     def _receive_entry(self, now_us: int, entry: ServerLoad) -> HealthCheckCompleted | None:
         server_ids = self._servers_by_hash.get(entry.server_hash, ())
         if len(server_ids) != 1 or MAX_LOAD_LEVEL < entry.level < FAILED_LEVEL:
-            return None  # not on the own list, perhaps not yet
+            return None  # unlisted (or not yet listed) or ambiguous server, or an invalid level
         server_id = server_ids[0]
         server = self._servers[server_id]
         server.reported_at_us = now_us
@@ -261,7 +273,11 @@
         return HealthCheckCompleted(server_id, AttemptResult.OK, 0, report)
 
     def _postpone_checks(self, now_us: int) -> None:
-        """Postpone checks of what was just reported; those put off in isolation are due again."""
+        """Postpone checks of partitions reported right now.
+
+        If this proxy was isolated until now, checks of the other partitions are brought forward to
+        the regular takeover time.
+        """
         was_isolated = self._is_isolated(now_us)
         self._last_contact_us = now_us
         for server in self._servers.values():
@@ -279,7 +295,7 @@
         return last_contact_us is not None and now_us >= last_contact_us + TAKEOVER_TIMEOUT_US
 
     def _isolated_due_us(self, now_us: int, rank: int) -> int:
-        """Return when a proxy of this rank steps in while isolated; 0 if it need not wait."""
+        """Return when an isolated proxy of this rank takes over; 0 if it need not wait."""
         last_contact_us = self._last_contact_us
         if rank <= ISOLATED_RANKS or last_contact_us is None or not self._is_isolated(now_us):
             return 0
@@ -313,7 +329,7 @@
 
 
 def _load_level(check: HealthCheckCompleted) -> int | None:
-    """Return the level to report for a check; None if it says nothing of the server."""
+    """Return the load level to report for a check; None if there is none to report."""
     if check.result in (AttemptResult.NOT_SENT, AttemptResult.CANCELLED):
         return None
     if check.result is not AttemptResult.OK:
--- a/larchhaven/simulator/__init__.py
+++ b/larchhaven/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's text protocol around the decisions."""
+"""The adapter that runs the balancer under the simulator's text protocol."""
--- a/larchhaven/simulator/codec.py
+++ b/larchhaven/simulator/codec.py
@@ -1,7 +1,7 @@
-"""The simulator's text lines: lines to events, actions to lines. No decisions.
+"""The codec of the simulator's text lines: decodes lines to events and encodes actions as lines.
 
-A line is a name and its fields, joined by single spaces; ``-`` stands for an absent field. The
-tables below are the one place where the simulator's words meet the program's own.
+A line is a name and its fields, separated by single spaces; ``-`` stands for an absent field. The
+tables in this module are the only place that maps the simulator's vocabulary to larchhaven's own.
 """
 
 from __future__ import annotations
@@ -79,29 +79,38 @@
 ABSENT = "-"
 CORES_PER_MICROCORE = 1e-6
 US_PER_MS = 1000
-LOAD_HINT = 1  # kinds of a hint_update line
+LOAD_HINT = 1  # values of the field "what" of a hint_update line
 DELAY_HINT = 2
 
 
 class UnexpectedLineError(FormatError):
-    """A line is not one that may stand there."""
+    """A line has the wrong name or the wrong number of fields for its position."""
 
 
 def check_field_count(line: Sequence[str], field_names: str) -> None:
-    """Check that a split line holds its name and exactly these fields.
+    """Check that a line has as many fields as expected.
+
+    Args:
+        line: The line, split at spaces.
+        field_names: The names of the expected fields, separated by spaces.
 
     Raises:
-        UnexpectedLineError: It does not.
+        UnexpectedLineError: The line has more or fewer fields.
     """
     if len(line) != len(field_names.split()) + 1:
         raise UnexpectedLineError(f"'{line[0]} {field_names}', found {len(line) - 1} fields")
 
 
 def decode_event(line: Sequence[str]) -> Event:
-    """Return the event of one split line; the lines that frame events are the host's.
+    """Decode one event line.
+
+    The host itself reads the lines that delimit batches and proxies, and ``view`` lines.
+
+    Args:
+        line: The line, split at spaces.
 
     Raises:
-        FormatError: The line is no event, or not in its form.
+        FormatError: The line is not an event, or one of its fields is invalid.
     """
     entry = _EVENT_DECODERS.get(line[0])
     if entry is None:
@@ -113,14 +122,14 @@
 
 
 def decode_endpoint_list(line: Sequence[str], take_line: Callable[[], str]) -> EndpointListUpdate:
-    """Return the endpoint list of a view line and the server lines after it.
+    """Decode an endpoint list: a ``view`` line and the ``server`` lines that follow it.
 
     Args:
-        line: The view line, split.
+        line: The ``view`` line, split at spaces.
         take_line: Returns the next line of the input.
 
     Raises:
-        FormatError: The lines are not in their form.
+        FormatError: One of the lines has the wrong name, or one of its fields is invalid.
     """
     check_field_count(line, "kind revision members_list")
     _, kind, revision, members_list = line
@@ -132,19 +141,27 @@
     return EndpointListUpdate(list_kind, _int_or_zero(revision, "revision"), endpoints)
 
 
-def decode_clock(text: str) -> int:
-    """Return a clock value or a batch number."""
-    return read_int(text, "a clock value or a batch number")
+def decode_integer(text: str) -> int:
+    """Decode a clock value, a batch number or a random seed.
+
+    Raises:
+        InvalidFieldError: The text is not an integer.
+    """
+    return read_int(text, "clock value, batch number or seed")
 
 
 def decode_proxy_index(line: Sequence[str]) -> int:
-    """Return the index of a context line."""
+    """Return the proxy index of a ``context`` line.
+
+    Raises:
+        FormatError: The line has the wrong number of fields, or the index is not an integer.
+    """
     check_field_count(line, "i")
     return read_int(line[1], "i")
 
 
 def encode_actions(actions: Iterable[Action]) -> list[str]:
-    """Return the lines of a reply for these actions."""
+    """Encode actions as the lines of a reply, one line for each action."""
     return [_ACTION_ENCODERS[type(action)](action) for action in actions]
 
 
@@ -171,7 +188,7 @@
     for pair in text.split(","):
         name, colon, value = pair.partition(":")
         if not colon:
-            raise FormatError(f"telemetry as name:value pairs, not {pair!r}")
+            raise FormatError(f"telemetry to be name:value pairs, not {pair!r}")
         field = REPORT_FIELDS.get(name)
         if field and value != ABSENT:
             values[field] = read_number(value, f"telemetry {name}")
@@ -184,7 +201,7 @@
     try:
         return base64.b64decode(text, validate=True)
     except binascii.Error:
-        raise FormatError(f"base64 data, not {text!r}") from None
+        raise FormatError(f"data to be base64, not {text!r}") from None
 
 
 def _decode_request_arrived(line: Sequence[str]) -> RequestArrived:
@@ -284,7 +301,7 @@
 
 def _decode_endpoint(line: Sequence[str]) -> Endpoint:
     if line[0] != "server":
-        raise UnexpectedLineError(f"a 'server' line of the view, not {line[0]!r}")
+        raise UnexpectedLineError(f"a 'server' line of the endpoint list, not {line[0]!r}")
     check_field_count(line, "cluster weight started_at dc readiness machine server")
     _, cluster, weight, started_at, zone, readiness, machine, server = line
     return Endpoint(
--- a/larchhaven/simulator/host.py
+++ b/larchhaven/simulator/host.py
@@ -1,7 +1,8 @@
-"""Hosts one balancer for each simulated proxy.
+"""The host of the simulated proxies: one balancer for each of them.
 
-The simulator sends batches: a clock line, lines that name a proxy and its events, and a line that
-ends the batch. The host answers each batch with the actions of all its proxies.
+The simulator sends batches. A batch is a ``clock`` line, then ``context`` lines, each of which
+selects a proxy and is followed by the events of that proxy, and a ``your_turn`` line at the end.
+The host replies to each batch with the actions of all proxies.
 """
 
 from __future__ import annotations
@@ -25,14 +26,14 @@
 
 @dataclass(slots=True)
 class _Batch:
-    """What is read of the current batch.
+    """The current batch, as far as it has been read.
 
     Attributes:
-        number: Its number, as text; ``-`` before the clock line is read.
-        line: The line read last.
-        line_count: How many lines were read.
-        proxy_index: The proxy that the next events are for; None before the first.
-        events: The events so far, by proxy.
+        number: The batch number as text; ``-`` until the clock line has been read.
+        line: The last line read, for error messages.
+        line_count: The number of lines read.
+        proxy_index: The proxy that the next events belong to; None until a proxy is selected.
+        events: The events read so far, by proxy index.
     """
 
     number: str = NO_BATCH
@@ -43,11 +44,11 @@
 
 
 class SimulatorHost:
-    """The proxies of one process; they share nothing but the pipe.
+    """Runs the simulated proxies of one process, which share nothing but its input and output.
 
     Args:
-        lines: The simulator's lines.
-        out: Where replies are written.
+        lines: The lines that the simulator sends.
+        out: The stream that replies are written to.
     """
 
     def __init__(self, lines: Iterable[str], out: TextIO) -> None:
@@ -57,7 +58,11 @@
         self._batch = _Batch()
 
     def run(self) -> int:
-        """Answer batches until the input ends; return the exit code."""
+        """Reply to batches until the input ends or a line is invalid.
+
+        Returns:
+            The exit code: 0 at the end of the input, ``FAULT_EXIT_CODE`` after an invalid line.
+        """
         for line in self._lines:
             self._batch = _Batch(line=line.rstrip("\n"), line_count=1)
             try:
@@ -72,7 +77,7 @@
     def _take_line(self) -> str:
         line = next(self._lines, None)
         if line is None:
-            raise codec.UnexpectedLineError(f"{END_OF_BATCH!r}, but the input ended")
+            raise codec.UnexpectedLineError(f"{END_OF_BATCH!r}, but the input ended inside a batch")
         batch = self._batch
         batch.line_count += 1
         batch.line = text = line.rstrip("\n")
@@ -97,26 +102,31 @@
         return reply
 
     def _read_clock(self, line: list[str]) -> int:
-        """Read the first line of a batch; return the time in microseconds."""
+        """Decode the clock line of a batch and return the simulated time in microseconds."""
         if line[0] != "clock":
             raise codec.UnexpectedLineError(f"'clock now batch', not {line[0]!r}")
         codec.check_field_count(line, "now batch")
         _, now, number = line
-        now_us = codec.decode_clock(now)
-        self._batch.number = str(codec.decode_clock(number))
+        now_us = codec.decode_integer(now)
+        self._batch.number = str(codec.decode_integer(number))
         return now_us
 
     def _read_line(self, line: list[str], text: str) -> None:
-        """Read a line for the current proxy: split, and as it came."""
+        """Process one line of the current proxy.
+
+        Args:
+            line: The line, split at spaces.
+            text: The same line as received.
+        """
         name = line[0]
         batch = self._batch
         proxy_index = batch.proxy_index
         if proxy_index is None:
-            raise codec.UnexpectedLineError("'context i' ahead of the first event")
+            raise codec.UnexpectedLineError(f"'context i' before {name!r}")
         if name == "open_instance":
             self._start_proxy(proxy_index, text)
         elif proxy_index not in self._balancers:
-            expectation = f"'open_instance' ahead of events for {proxy_index}"
+            expectation = f"'open_instance' before {name!r} for proxy {proxy_index}"
             raise codec.UnexpectedLineError(expectation)
         elif name == "teardown":
             self._stop_proxy(proxy_index, line)
@@ -132,7 +142,7 @@
         codec.check_field_count(line, "prng options")
         _, seed, options = line
         settings = decode_flat(options)
-        self._balancers[proxy_index] = Balancer(settings, codec.decode_clock(seed))
+        self._balancers[proxy_index] = Balancer(settings, codec.decode_integer(seed))
         self._batch.events[proxy_index] = []
 
     def _stop_proxy(self, proxy_index: int, line: list[str]) -> None:
@@ -142,10 +152,10 @@
 
     def _report_fault(self, error: FormatError) -> None:
         batch = self._batch
-        shown = batch.line
-        if len(shown) > MAX_SHOWN_LINE_LENGTH:
-            shown = shown[:MAX_SHOWN_LINE_LENGTH] + "..."
-        text = f"batch {batch.number}, line {batch.line_count} ({shown}): {error}"
+        shown_line = batch.line
+        if len(shown_line) > MAX_SHOWN_LINE_LENGTH:
+            shown_line = shown_line[:MAX_SHOWN_LINE_LENGTH] + "..."
+        text = f"batch {batch.number}, line {batch.line_count} ({shown_line}): {error}"
         print(f"larchhaven: {text}", file=sys.stderr)
         if batch.proxy_index is not None:
             self._out.write(f"on_behalf {batch.proxy_index}\n")
--- a/larchhaven/text_fields.py
+++ b/larchhaven/text_fields.py
@@ -1,4 +1,4 @@
-"""Typed reads of text fields, and the errors for a text that is not in the expected form."""
+"""Typed parsing of text fields, and the errors for malformed text."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class FormatError(LarchhavenError):
-    """A text is not in the expected form.
+    """A text does not have the expected format.
 
     Attributes:
-        expectation: What was expected, and what was found in its place.
+        expectation: The expected and the actual text; completes a sentence after "expected".
     """
 
     def __init__(self, expectation: str) -> None:
@@ -24,12 +24,12 @@
 
 
 class InvalidFieldError(FormatError):
-    """A field does not have a value that it may have.
+    """A field has an invalid value.
 
     Attributes:
-        field: Its name.
-        requirement: What it may be.
-        value: What it is.
+        field: The name of the field.
+        requirement: The valid values, in words.
+        value: The invalid value.
     """
 
     def __init__(self, field: str, requirement: str, value: object) -> None:
@@ -40,10 +40,15 @@
 
 
 def read_word(table: Mapping[str, ValueT], text: str, field: str) -> ValueT:
-    """Return what a word stands for.
+    """Parse a keyword.
+
+    Args:
+        table: The values, by keyword.
+        text: The text to parse.
+        field: The name of the field, for the error.
 
     Raises:
-        InvalidFieldError: It is not in the table.
+        InvalidFieldError: The text is not a keyword of the table.
     """
     try:
         return table[text]
@@ -52,27 +57,35 @@
 
 
 def read_int(text: str, field: str) -> int:
-    """Return a whole number.
+    """Parse an integer.
+
+    Args:
+        text: The text to parse.
+        field: The name of the field, for the error.
 
     Raises:
-        InvalidFieldError: It is none.
+        InvalidFieldError: The text is not an integer.
     """
     try:
         return int(text)
     except ValueError:
-        raise InvalidFieldError(field, "a whole number", text) from None
+        raise InvalidFieldError(field, "an integer", text) from None
 
 
 def read_number(text: str, field: str) -> float:
-    """Return a finite number.
+    """Parse a finite number.
+
+    Args:
+        text: The text to parse.
+        field: The name of the field, for the error.
 
     Raises:
-        InvalidFieldError: It is none.
+        InvalidFieldError: The text is not a finite number.
     """
     try:
         value = float(text)
     except ValueError:
         value = math.nan
     if not math.isfinite(value):
-        raise InvalidFieldError(field, "a number", text)
+        raise InvalidFieldError(field, "a finite number", text)
     return value
--- a/tests/gossip/__init__.py
+++ b/tests/gossip/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of what proxies share with each other."""
+"""Tests of the gossip between proxies."""
--- a/tests/gossip/test_shared_health_checks.py
+++ b/tests/gossip/test_shared_health_checks.py
@@ -1,4 +1,4 @@
-"""Shared health checks: each server of a large fleet is checked once for all proxies."""
+"""Tests of shared health checks: one proxy of a large fleet checks a server for all proxies."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def load_reports(entries: bytes) -> SharedLoadReports:
-    """Read load reports as they come from another proxy."""
+    """Decode load reports as received from another proxy."""
     message = decode(LOAD_REPORTS + entries)
     assert isinstance(message, SharedLoadReports)
     return message
@@ -43,7 +43,7 @@
 
 
 class ProxyFleet:
-    """Proxies whose messages arrive at once, and servers that answer at once."""
+    """Proxies and servers in simulated time; messages and health checks take no time."""
 
     def __init__(self, count: int, servers: Sequence[str]) -> None:
         self.members = [
@@ -52,7 +52,7 @@
         ]
         self.ratios = dict.fromkeys(servers, 0.5)
         self.dead: set[int] = set()
-        self.is_partitioned = False  # nobody hears anybody
+        self.is_partitioned = False  # no proxy receives messages from any other
         self.check_counts: Counter[str] = Counter()
         self.messages_sent = 0
         entries = tuple(Endpoint(s) for s in servers)
@@ -62,11 +62,11 @@
             )
         self.received: dict[int, list[HealthCheckCompleted]] = {i: [] for i in range(count)}
 
-    def play(self, since: int, until: int) -> None:
-        for now in range(since, until, 50_000):
+    def run(self, start_us: int, end_us: int) -> None:
+        for now in range(start_us, end_us, 50_000):
             for i, checks in enumerate(self.members):
                 if not self.is_partitioned and now % 1_000_000 == 0:
-                    checks.record_contact(now)  # of other kinds, as every placement brings some
+                    checks.record_contact(now)  # other gossip, which each placement causes
                 actions = checks.run_due(now) if i not in self.dead else []
                 for gossip in actions_of(SendGossip, actions):
                     self._send(now, i, gossip.message)
@@ -90,88 +90,89 @@
                 self.received[i] += other.receive_reports(now, message)
 
 
-def test_checks_do_not_grow_with_the_fleet_and_changes_reach_all() -> None:
-    """Checks and messages have a price, and each proxy alone would learn loads late."""
+def test_checks_do_not_grow_with_the_fleet_and_all_proxies_learn_of_changes() -> None:
+    """If each proxy checked for itself, checks would be costly and loads would be learned late."""
     servers = [f"s{i}" for i in range(12)]
-    proxies = ProxyFleet(40, servers)
-    proxies.play(START_US, START_US + 10_000_000)
+    fleet = ProxyFleet(40, servers)
+    fleet.run(START_US, START_US + 10_000_000)
     assert all(
-        count <= 12 for count in proxies.check_counts.values()
-    )  # about one a second, not forty
-    sent = proxies.messages_sent
-    assert sent <= 4 * 7  # steady loads are refreshed now and then, a partition in one message
-    proxies.ratios["s3"] = 1.5
-    proxies.ratios["s7"] = -1
-    proxies.play(START_US + 10_000_000, START_US + 11_100_000)
-    assert proxies.messages_sent <= sent + 4 + 2
-    for i, received in proxies.received.items():
+        count <= 12 for count in fleet.check_counts.values()
+    )  # about one per second in all, not one per second and proxy
+    sent = fleet.messages_sent
+    assert sent <= 4 * 7  # unchanged loads are only refreshed, with one message per partition
+    fleet.ratios["s3"] = 1.5
+    fleet.ratios["s7"] = -1
+    fleet.run(START_US + 10_000_000, START_US + 11_100_000)
+    assert fleet.messages_sent <= sent + 4 + 2
+    for i, received in fleet.received.items():
         last = {result.server_id: result for result in received}
-        if (i - (crc32(b"s3") >> 16) % 4 * 10) % 40:  # all but the one that checks it
+        if (i - (crc32(b"s3") >> 16) % 4 * 10) % 40:  # all but the proxy that checks s3
             assert last["s3"].report is not None
             assert last["s3"].report.load_ratio == 1.5
         if (i - (crc32(b"s7") >> 16) % 4 * 10) % 40:
             assert last["s7"].result is AttemptResult.RESET
 
 
-def test_next_proxies_take_over_from_those_that_are_gone() -> None:
-    """Seven of ten proxies are killed at once: no server may be left without checks."""
-    proxies = ProxyFleet(40, ["a", "b", "c"])
-    proxies.play(START_US, START_US + 3_000_000)
-    proxies.dead = {i for i in range(40) if i % 10 < 7}
-    proxies.check_counts.clear()
-    proxies.play(START_US + 3_000_000, START_US + 7_000_000)
-    # On the loss of a zone most servers once went unchecked for five seconds.
-    assert all(proxies.check_counts[s] >= 1 for s in ("a", "b", "c"))
-    proxies.play(START_US + 7_000_000, START_US + 14_000_000)
-    assert all(proxies.check_counts[s] >= 6 for s in ("a", "b", "c"))
-    assert sum(proxies.check_counts.values()) <= 3 * 14
+def test_other_proxies_take_over_from_killed_ones() -> None:
+    """When seven of ten proxies are killed at once, the live ones check all servers."""
+    fleet = ProxyFleet(40, ["a", "b", "c"])
+    fleet.run(START_US, START_US + 3_000_000)
+    fleet.dead = {i for i in range(40) if i % 10 < 7}
+    fleet.check_counts.clear()
+    fleet.run(START_US + 3_000_000, START_US + 7_000_000)
+    # The loss of a zone used to leave most servers unchecked for five seconds.
+    assert all(fleet.check_counts[s] >= 1 for s in ("a", "b", "c"))
+    fleet.run(START_US + 7_000_000, START_US + 14_000_000)
+    assert all(fleet.check_counts[s] >= 6 for s in ("a", "b", "c"))
+    assert sum(fleet.check_counts.values()) <= 3 * 14
 
 
 def test_isolated_proxies_do_not_all_check_and_report() -> None:
-    """Proxies are cut off from each other: 157 of 186 once made 2,180 checks a second.
+    """A network partition between the proxies must not cause a flood of checks.
 
-    Each took the silence for the death of all before it in the order. Once messages arrive again
-    the first of each partition checks alone, as before.
+    Each isolated proxy used to assume that all proxies before it in the order were dead: 157 of 186
+    proxies made 2,180 checks per second. Once messages arrive again, only the first proxy of each
+    partition checks, as before.
     """
-    proxies = ProxyFleet(200, [f"s{i}" for i in range(12)])
-    proxies.play(START_US, START_US + 5_000_000)
-    usual = sum(proxies.check_counts.values())
-    proxies.is_partitioned = True
-    proxies.check_counts.clear()
-    proxies.messages_sent = 0
-    proxies.play(START_US + 5_000_000, START_US + 11_000_000)
-    assert sum(proxies.check_counts.values()) <= 5 * usual
-    assert proxies.messages_sent <= 4 * 20
-    assert all(proxies.check_counts[f"s{i}"] >= 6 for i in range(12))
-    proxies.is_partitioned = False
-    proxies.play(START_US + 11_000_000, START_US + 12_000_000)
-    proxies.check_counts.clear()
-    proxies.play(START_US + 12_000_000, START_US + 17_000_000)
-    assert sum(proxies.check_counts.values()) <= 1.5 * usual
+    fleet = ProxyFleet(200, [f"s{i}" for i in range(12)])
+    fleet.run(START_US, START_US + 5_000_000)
+    normal_checks = sum(fleet.check_counts.values())
+    fleet.is_partitioned = True
+    fleet.check_counts.clear()
+    fleet.messages_sent = 0
+    fleet.run(START_US + 5_000_000, START_US + 11_000_000)
+    assert sum(fleet.check_counts.values()) <= 5 * normal_checks
+    assert fleet.messages_sent <= 4 * 20
+    assert all(fleet.check_counts[f"s{i}"] >= 6 for i in range(12))
+    fleet.is_partitioned = False
+    fleet.run(START_US + 11_000_000, START_US + 12_000_000)
+    fleet.check_counts.clear()
+    fleet.run(START_US + 12_000_000, START_US + 17_000_000)
+    assert sum(fleet.check_counts.values()) <= 1.5 * normal_checks
 
 
 @given(st.binary(max_size=300))
-def test_invalid_messages_are_counted_and_change_nothing(body: bytes) -> None:
-    """Malformed, foreign and forged messages: only listed servers are accepted."""
+def test_invalid_entries_are_counted_and_ignored(body: bytes) -> None:
+    """Malformed or forged messages must not produce results for servers that are not listed."""
     checks = SharedHealthChecks(large_fleet_settings())
     checks.update_endpoints(START_US, endpoint_list(3))
     before = checks.invalid_entries
-    found = checks.receive_reports(START_US + 1, load_reports(body))
+    results = checks.receive_reports(START_US + 1, load_reports(body))
     entries = len(body) // SERVER_LOAD.size if len(body) % SERVER_LOAD.size == 0 else 0
-    assert len(found) + checks.invalid_entries - before == max(entries, 1)
-    assert {result.server_id for result in found} <= {"s0", "s1", "s2"}
+    assert len(results) + checks.invalid_entries - before == max(entries, 1)
+    assert {result.server_id for result in results} <= {"s0", "s1", "s2"}
 
 
-def test_checks_are_shared_only_by_many_proxies_that_may_check_and_gossip() -> None:
-    """Nothing may be sent in small fleets, or where gossip is not allowed."""
+def test_checks_are_shared_only_in_large_fleets_that_may_check_and_gossip() -> None:
+    """Load reports must not be sent in small fleets or if gossip is not allowed."""
     assert uses_shared_checks(large_fleet_settings())
     assert not uses_shared_checks(large_fleet_settings(4))
     assert not uses_shared_checks(large_fleet_settings(can_gossip=False))
     assert not uses_shared_checks(large_fleet_settings(can_check_health=False))
 
 
-def test_server_that_left_the_list_is_neither_checked_nor_accepted() -> None:
-    """Only the own endpoint list names servers."""
+def test_draining_server_is_neither_checked_nor_accepted_in_reports() -> None:
+    """Only servers that the proxy's own endpoint list names as ready may be checked."""
     checks = SharedHealthChecks(large_fleet_settings(12))
     checks.update_endpoints(START_US, endpoint_list(2))
     draining = Endpoint("s0", ServerState.DRAINING)
@@ -187,44 +188,50 @@
     )
 
 
-def test_two_servers_with_one_hash_are_not_taken_for_each_other() -> None:
-    """Of 90 servers two share a hash in one fleet of 16.
+def test_servers_with_the_same_hash_are_not_confused() -> None:
+    """A hash collision must not eject the wrong server.
 
-    Reports of either once went to the one listed last, and all proxies ejected the wrong server.
+    With 90 servers, one fleet in 16 has two servers with the same hash. A report of either
+    used to be applied to the one that was listed last, and all proxies ejected that one.
     """
     by_hash: dict[int, str] = {}
-    twins: tuple[str, str] | None = None
+    colliding: tuple[str, str] | None = None
     for number in range(5000):
         name = f"s-{number * 2654435761 % 2**32:08x}"
         other = by_hash.setdefault(crc32(name.encode()) >> 16, name)
         if other != name:
-            twins = other, name
+            colliding = other, name
             break
-    assert twins is not None
+    assert colliding is not None
     checks = SharedHealthChecks(large_fleet_settings(12))
-    entries = tuple(Endpoint(server) for server in (*twins, "alone"))
+    entries = tuple(Endpoint(server) for server in (*colliding, "alone"))
     checks.update_endpoints(START_US, EndpointListUpdate(EndpointListKind.COMPLETE, 1, entries))
-    server_hash, alone = crc32(twins[0].encode()) >> 16, crc32(b"alone") >> 16
+    server_hash, alone = crc32(colliding[0].encode()) >> 16, crc32(b"alone") >> 16
     sent = load_reports(SERVER_LOAD.pack(server_hash, 255) + SERVER_LOAD.pack(alone, 10))
     assert [result.server_id for result in checks.receive_reports(START_US + 1, sent)] == ["alone"]
-    checks.record_result(START_US + 2, HealthCheckCompleted(twins[0], AttemptResult.TIMEOUT, 0))
+    checks.record_result(START_US + 2, HealthCheckCompleted(colliding[0], AttemptResult.TIMEOUT, 0))
     assert actions_of(SendGossip, checks.run_due(START_US + 100_000)) == []
-    # Once one of them has left the list, the other is reported like any.
-    gone = Endpoint(twins[1], ServerState.REMOVED)
-    checks.update_endpoints(START_US + 3, EndpointListUpdate(EndpointListKind.CHANGES, 2, (gone,)))
+    # After one of them has left the list, reports of the other are accepted.
+    removed = Endpoint(colliding[1], ServerState.REMOVED)
+    checks.update_endpoints(
+        START_US + 3, EndpointListUpdate(EndpointListKind.CHANGES, 2, (removed,))
+    )
     assert [result.server_id for result in checks.receive_reports(START_US + 4, sent)] == [
-        twins[0],
+        colliding[0],
         "alone",
     ]
 
 
-def test_report_of_unknown_servers_still_proves_contact() -> None:
-    """A proxy with an old list must not take itself for cut off, and check late."""
-    part = (crc32(b"s0") >> 16) % 4
+def test_report_of_unknown_servers_counts_as_contact() -> None:
+    """A proxy that receives reports, even of unlisted servers, must not consider itself isolated.
+
+    It would delay its checks; an outdated endpoint list causes such reports.
+    """
+    partition = (crc32(b"s0") >> 16) % 4
     for has_contact in (False, True):
         checks = SharedHealthChecks(
-            replace(large_fleet_settings(), proxy_index=(8 + 10 * part) % 40)
-        )  # the eighth to step in
+            replace(large_fleet_settings(), proxy_index=(8 + 10 * partition) % 40)
+        )  # rank 8, which waits longer while isolated
         checks.update_endpoints(START_US, endpoint_list(1))
         if has_contact:
             assert (
@@ -235,44 +242,52 @@
 
 
 def test_failing_server_is_reported_again_before_peers_retry_it() -> None:
-    """An ejection lasts 1 to 3 s: reported only every 5 s, the server was used in between."""
+    """A failing server must be reported again before its ejection by peers ends after 1 to 3 s.
+
+    When it was reported only every 5 s, peers used it between two reports.
+    """
     checks = SharedHealthChecks(large_fleet_settings(12))
     hashes = {f"x{i}": crc32(f"x{i}".encode()) >> 16 for i in range(40)}
-    part = hashes["x0"] % 4
-    well = next(
-        name for name, server_hash in hashes.items() if server_hash % 4 == part and name != "x0"
+    partition = hashes["x0"] % 4
+    healthy = next(
+        name
+        for name, server_hash in hashes.items()
+        if server_hash % 4 == partition and name != "x0"
     )
-    entries = (Endpoint("x0"), Endpoint(well))
+    entries = (Endpoint("x0"), Endpoint(healthy))
     checks.update_endpoints(START_US, EndpointListUpdate(EndpointListKind.COMPLETE, 1, entries))
     sent = []
     for second in range(5):
         now = START_US + second * 1_000_000
         checks.receive_reports(
-            now, load_reports(SERVER_LOAD.pack(hashes[well], 10))
-        )  # something of the partition is reported all the time
+            now, load_reports(SERVER_LOAD.pack(hashes[healthy], 10))
+        )  # the partition is reported all the time, so no heartbeat is due
         checks.record_result(now, HealthCheckCompleted("x0", AttemptResult.TIMEOUT, 500_000))
         sent.append(len(actions_of(SendGossip, checks.run_due(now + 100_000))))
     assert sent == [1, 0, 1, 0, 1]
 
 
-def test_next_proxy_checks_as_soon_as_the_first_ones_are_known_dead() -> None:
-    """With 28 of 40 gone the first remaining one waited for its old turn in the order, 2.8 s."""
-    late = {}
-    for knows in (False, True):
-        proxies = ProxyFleet(40, ["a", "b", "c", "d", "e"])
-        proxies.play(START_US, START_US + 3_000_000)
-        proxies.dead = {i for i in range(40) if i % 10 < 7}
-        proxies.check_counts.clear()
-        if knows:
-            for i, checks in enumerate(proxies.members):
-                if i not in proxies.dead:
+def test_next_proxy_checks_as_soon_as_membership_reports_the_first_ones_dead() -> None:
+    """Dead proxies that membership has reported must not delay the takeover.
+
+    With 28 of 40 proxies dead, the first live one used to wait 2.8 s, the delay of its old rank.
+    """
+    takeover_us = {}
+    for knows_deaths in (False, True):
+        fleet = ProxyFleet(40, ["a", "b", "c", "d", "e"])
+        fleet.run(START_US, START_US + 3_000_000)
+        fleet.dead = {i for i in range(40) if i % 10 < 7}
+        fleet.check_counts.clear()
+        if knows_deaths:
+            for i, checks in enumerate(fleet.members):
+                if i not in fleet.dead:
                     checks.update_live_peers(
-                        START_US + 3_000_000, frozenset(range(40)) - proxies.dead
+                        START_US + 3_000_000, frozenset(range(40)) - fleet.dead
                     )
         now = START_US + 3_000_000
-        while any(not proxies.check_counts[s] for s in "abcde"):
-            proxies.play(now, now + 20_000)
+        while any(not fleet.check_counts[s] for s in "abcde"):
+            fleet.run(now, now + 20_000)
             now += 20_000
-        late[knows] = now - START_US - 3_000_000
-    assert late[True] <= 3_000_000
-    assert late[True] + 200_000 <= late[False]
+        takeover_us[knows_deaths] = now - START_US - 3_000_000
+    assert takeover_us[True] <= 3_000_000
+    assert takeover_us[True] + 200_000 <= takeover_us[False]
--- a/tests/simulated_site.py
+++ b/tests/simulated_site.py
@@ -1,4 +1,7 @@
-"""Plays a drawn deployment in simulated time; no measure of service, as servers only count load."""
+"""A simulated site, which runs a generated deployment in simulated time.
+
+It does not measure the quality of service, because its servers only count load.
+"""
 
 from __future__ import annotations
 
@@ -45,7 +48,7 @@
 
 @dataclass
 class SimulatedServer:
-    """A server as it is."""
+    """The actual state of a server, which may differ from what proxies know."""
 
     entry: Endpoint
     load: float = 0.0
@@ -56,69 +59,71 @@
     connections: dict[tuple[int, int], float] = field(default_factory=dict)
 
     def capacity(self, now: int, settings: RoutingSettings) -> float:
-        """What it can do now, in cores; it warms up evenly."""
-        warm = min((now - self.started) / max(settings.slow_start_us, 1), 1.0)
+        """Return the current capacity in cores, which grows linearly during slow start."""
+        progress = min((now - self.started) / max(settings.slow_start_us, 1), 1.0)
         return self.entry.weight * (
             settings.slow_start_initial_fraction
-            + (1 - settings.slow_start_initial_fraction) * max(warm, 0.0)
+            + (1 - settings.slow_start_initial_fraction) * max(progress, 0.0)
         )
 
 
 class SimulatedSite:
-    """Plays a deployment in simulated time and judges each action as it comes."""
+    """Runs a deployment in simulated time and checks each action of its proxies."""
 
     def __init__(self, deployment: Deployment, seed: int) -> None:
         self.facts, self.settings = deployment.facts, deployment.settings
         self.rng = random.Random(seed)
         self.now = 1000 * SECOND_US
         self.queue: list[tuple[int, int, Callable[[], None]]] = []
-        self.count = itertools.count()
+        self.sequence = itertools.count()
         self.servers = {entry.server_id: SimulatedServer(entry) for entry in deployment.servers}
         self.proxies = [
             Balancer(replace(self.settings, proxy_index=i), seed + i)
             for i in range(self.settings.proxy_count)
         ]
-        # By proxy and server, when the list said that it drains or is gone.
+        # By proxy and server, when the endpoint list showed the server as draining or removed.
         self.unready_since_us: dict[tuple[int, str], int] = {}
         self.answer_due_us: dict[tuple[int, int], int] = {}  # by proxy and request
         self.attempt_counts: dict[tuple[int, int], int] = defaultdict(int)
-        # By proxy and request, the number of the attempt in flight and its server.
+        # By proxy and request, the index of the attempt in flight and its server.
         self.in_flight: dict[tuple[int, int], tuple[int, str]] = {}
         self.requests: dict[tuple[int, int], RequestArrived] = {}
         self.answers: dict[str, int] = defaultdict(int)
-        mean = 1 / self.facts["connections_per_core"]
-        room = sum(server.entry.weight for server in self.servers.values()) * self.facts["load"]
-        self.loads = [mean * self.rng.uniform(0.3, 2.0) for _ in self.settings.classes]
-        self.arrivals_per_s = min(room / mean / self.facts["lifetime_s"] + 5, 60.0)
+        mean_load = 1 / self.facts["connections_per_core"]
+        target_load = (
+            sum(server.entry.weight for server in self.servers.values()) * self.facts["load"]
+        )
+        self.loads = [mean_load * self.rng.uniform(0.3, 2.0) for _ in self.settings.classes]
+        self.arrivals_per_s = min(target_load / mean_load / self.facts["lifetime_s"] + 5, 60.0)
         self._update_endpoints(
             EndpointListKind.COMPLETE, [server.entry for server in self.servers.values()]
         )
 
-    # Time
+    # Simulated time
 
-    def after(self, delay_us: float, then: Callable[[], None]) -> None:
-        """Have something happen later."""
-        heapq.heappush(self.queue, (self.now + int(delay_us), next(self.count), then))
+    def after(self, delay_us: float, callback: Callable[[], None]) -> None:
+        """Schedule a callback."""
+        heapq.heappush(self.queue, (self.now + int(delay_us), next(self.sequence), callback))
 
     def play(self, seconds: float) -> None:
-        """Play on, clients arriving all the while; then let what is owed be answered."""
+        """Run for a time with arriving requests, then until every request must be answered."""
         end = self.now + int(seconds * SECOND_US)
         fault = self.facts["fault"]
         self.after(seconds / 3 * SECOND_US, lambda: self._inject_fault(fault))
         self._arrive(end)
-        last = end + max(c.deadline_us for c in self.settings.classes) + SECOND_US
-        while self.queue and self.queue[0][0] <= last:
-            self.now, _, then = heapq.heappop(self.queue)
-            then()
-        late = [key for key, until in self.answer_due_us.items() if until < last - SECOND_US // 2]
-        assert not late, f"without an answer: {late[:3]}"
+        stop = end + max(c.deadline_us for c in self.settings.classes) + SECOND_US
+        while self.queue and self.queue[0][0] <= stop:
+            self.now, _, callback = heapq.heappop(self.queue)
+            callback()
+        late = [key for key, due in self.answer_due_us.items() if due < stop - SECOND_US // 2]
+        assert not late, f"requests without an answer: {late[:3]}"
 
     def feed(self, proxy: int, event: Event) -> None:
-        """Hand an event to a proxy, and do what it says."""
+        """Pass an event to a proxy and execute its actions."""
         for action in self.proxies[proxy].handle(self.now, [event]):
             self._execute(proxy, action)
 
-    # What happens by itself
+    # Arrivals and faults
 
     def _arrive(self, end: int) -> None:
         if self.now >= end:
@@ -126,10 +131,10 @@
         request_class = self.rng.randrange(len(self.settings.classes))
         groups = self.facts["groups"]
         arrival = RequestArrived(
-            next(self.count),
+            next(self.sequence),
             request_class,
             self.settings.classes[request_class].deadline_us,
-            tenant_index=self.rng.randrange(self.facts["tenants"] + 1),  # the last is none
+            tenant_index=self.rng.randrange(self.facts["tenants"] + 1),  # the last: no tenant
             affinity_key=self.rng.randrange(10**6),
             affinity_group=self.rng.randrange(groups) if groups else None,
             is_mid_flow=self.settings.pass_through and self.rng.random() < 0.05,
@@ -185,7 +190,7 @@
                     self.unready_since_us.pop((proxy, entry.server_id), None)
                 else:
                     self.unready_since_us.setdefault((proxy, entry.server_id), self.now)
-            self.feed(proxy, EndpointListUpdate(kind, next(self.count), tuple(entries)))
+            self.feed(proxy, EndpointListUpdate(kind, next(self.sequence), tuple(entries)))
 
     def _end_connection(
         self, key: tuple[int, int], server: SimulatedServer, result: AttemptResult
@@ -196,7 +201,7 @@
             attempt, name = self.in_flight.pop(key)
             self.feed(key[0], AttemptEnded(key[1], attempt, name, result, 1000, is_final=True))
 
-    # What proxies do
+    # Actions of the proxies
 
     def _execute(self, proxy: int, action: Action) -> None:
         if isinstance(action, StartTimer):
@@ -224,47 +229,47 @@
         elif isinstance(action, CancelAttempt):
             assert self.settings.can_cancel
 
-    def _answer(self, key: tuple[int, int], how: str) -> None:
-        until = self.answer_due_us.pop(key, None)
-        assert until is not None, "a second answer"
-        assert self.now <= until, "answered too late"
+    def _answer(self, key: tuple[int, int], outcome: str) -> None:
+        due_us = self.answer_due_us.pop(key, None)
+        assert due_us is not None, "answered twice"
+        assert self.now <= due_us, "answered too late"
         assert key not in self.in_flight, "answered while an attempt is in flight"
-        self.answers[how] += 1
+        self.answers[outcome] += 1
 
     def _migrate(self, key: tuple[int, int]) -> None:
         if key in self.in_flight and key not in self.answer_due_us:
             self._end_connection(key, self.servers[self.in_flight[key][1]], AttemptResult.CANCELLED)
-            again = replace(
+            reconnect = replace(
                 self.requests[key],
-                request_id=next(self.count),
+                request_id=next(self.sequence),
                 is_reconnect=True,
                 is_mid_flow=False,
             )
-            self.after(200_000, lambda: self._send_request(again))
+            self.after(200_000, lambda: self._send_request(reconnect))
 
-    def _start_attempt(self, proxy: int, send: StartAttempt) -> None:
-        key = (proxy, send.request_id)
-        assert key in self.answer_due_us, "sent after the answer"
+    def _start_attempt(self, proxy: int, action: StartAttempt) -> None:
+        key = (proxy, action.request_id)
+        assert key in self.answer_due_us, "attempt started after the answer"
         assert key not in self.in_flight, "two attempts in flight"
-        assert 0 < send.timeout_us <= self.answer_due_us[key] - self.now
+        assert 0 < action.timeout_us <= self.answer_due_us[key] - self.now
         self.attempt_counts[key] += 1
         assert self.attempt_counts[key] <= self.settings.max_attempts
-        unready_since_us = self.unready_since_us.get((proxy, send.server_id))
+        unready_since_us = self.unready_since_us.get((proxy, action.server_id))
         assert (
             unready_since_us is None or self.now <= unready_since_us + self.settings.drain_grace_us
-        ), "sent past the grace of a drain"
-        self.in_flight[key] = self.attempt_counts[key] - 1, send.server_id
-        server = self.servers[send.server_id]
+        ), "attempt started after the drain grace period"
+        self.in_flight[key] = self.attempt_counts[key] - 1, action.server_id
+        server = self.servers[action.server_id]
         ratio = server.load / server.capacity(self.now, self.settings)
-        wait = int(2000 * (1 + 50 * max(ratio - 0.9, 0.0)))
-        if server.is_silent or wait >= send.timeout_us:
-            self.after(send.timeout_us, lambda: self._end_attempt(key, AttemptResult.TIMEOUT))
+        wait_us = int(2000 * (1 + 50 * max(ratio - 0.9, 0.0)))
+        if server.is_silent or wait_us >= action.timeout_us:
+            self.after(action.timeout_us, lambda: self._end_attempt(key, AttemptResult.TIMEOUT))
         elif not server.is_up:
             self.after(1000, lambda: self._end_attempt(key, AttemptResult.UNREACHABLE))
         elif server.is_full:
-            self.after(wait, lambda: self._end_attempt(key, AttemptResult.OVERLOADED))
+            self.after(wait_us, lambda: self._end_attempt(key, AttemptResult.OVERLOADED))
         else:
-            self.after(wait, lambda: self._establish(key, server))
+            self.after(wait_us, lambda: self._establish(key, server))
 
     def _end_attempt(self, key: tuple[int, int], result: AttemptResult) -> None:
         attempt, name = self.in_flight.pop(key)
@@ -280,20 +285,20 @@
         server.connections[key] = load
         server.load += load
         if self.now < server.started + self.settings.slow_start_us:
-            most = self.settings.collapse_multiple * server.capacity(self.now, self.settings)
-            assert server.load <= most + 2 * max(self.loads), "a cold server pushed over"
+            max_load = self.settings.collapse_multiple * server.capacity(self.now, self.settings)
+            assert server.load <= max_load + 2 * max(self.loads), "overload collapse in slow start"
         attempt = self.in_flight[key][0]
         self.feed(key[0], ConnectionEstablished(key[1], attempt, server.entry.server_id, 2000))
         if self.settings.has_load_updates and key in self.in_flight:
             self.feed(key[0], ConnectionLoadChanged(key[1], attempt, server.entry.server_id, load))
-        life = self.rng.expovariate(1 / self.facts["lifetime_s"]) * SECOND_US
-        self.after(life, lambda: self._end_connection(key, server, AttemptResult.OK))
+        lifetime_us = self.rng.expovariate(1 / self.facts["lifetime_s"]) * SECOND_US
+        self.after(lifetime_us, lambda: self._end_connection(key, server, AttemptResult.OK))
 
-    def _check_health(self, name: str) -> HealthCheckCompleted:
-        server = self.servers[name]
+    def _check_health(self, server_id: str) -> HealthCheckCompleted:
+        server = self.servers[server_id]
         if server.is_silent or not server.is_up:
             return HealthCheckCompleted(
-                name,
+                server_id,
                 AttemptResult.TIMEOUT if server.is_silent else AttemptResult.UNREACHABLE,
                 100_000,
             )
@@ -305,4 +310,4 @@
             "backlog_s": max(ratio - 1, 0.0),
         }
         report = LoadReport(**{name: fields[name] for name in self.facts["report_fields"]})
-        return HealthCheckCompleted(name, AttemptResult.OK, 2000, report)
+        return HealthCheckCompleted(server_id, AttemptResult.OK, 2000, report)
--- a/tests/simulator/__init__.py
+++ b/tests/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the simulator's text lines and their host."""
+"""Tests of the codec and the host of the simulator's text protocol."""
--- a/tests/simulator/test_codec.py
+++ b/tests/simulator/test_codec.py
@@ -1,4 +1,4 @@
-"""The simulator's lines both ways, and the host as a process."""
+"""Tests of decoding and encoding the simulator's lines, and of the host as a process."""
 
 from __future__ import annotations
 
@@ -67,13 +67,14 @@
 )
 
 
-def play(text: str) -> tuple[int, list[str]]:
+def run_host(text: str) -> tuple[int, list[str]]:
+    """Run a host on an input; return its exit code and the lines of its reply."""
     out = io.StringIO()
     code = SimulatorHost(io.StringIO(text), out).run()
     return code, out.getvalue().splitlines()
 
 
-def test_settings_are_read_and_unknown_keys_ignored() -> None:
+def test_settings_are_decoded_and_unknown_keys_are_ignored() -> None:
     settings = decode_flat(OPTIONS)
     assert settings.classes[1].idempotency is Idempotency.WITH_KEY
     assert settings.classes[1].deduplication_scope is DeduplicationScope.CELL
@@ -86,23 +87,23 @@
 @pytest.mark.parametrize(
     "missing", ["tick", "services.0.aim", "contract.cold", "services.1.repeat"]
 )
-def test_missing_setting_is_named(missing: str) -> None:
-    left = " ".join(pair for pair in OPTIONS.split(" ") if not pair.startswith(missing + "="))
+def test_error_names_the_missing_setting(missing: str) -> None:
+    remaining = " ".join(pair for pair in OPTIONS.split(" ") if not pair.startswith(missing + "="))
     with pytest.raises(FormatError, match=f"setting {missing}"):
-        decode_flat(left)
+        decode_flat(remaining)
 
 
-def test_settings_that_make_no_sense_are_refused() -> None:
+def test_proxy_index_beyond_the_proxy_count_is_rejected() -> None:
     with pytest.raises(FormatError, match="index"):
         decode_flat(OPTIONS.replace("index=1", "index=3"))
 
 
 @pytest.mark.parametrize(
-    "left", ["parties.0.share=0.4 ", "family_info.tenant_quota_connections=null,12.0 "]
+    "removed", ["parties.0.share=0.4 ", "family_info.tenant_quota_connections=null,12.0 "]
 )
-def test_member_without_a_share_or_quota_has_a_stated_default(left: str) -> None:
-    """A missing share is 0, a missing quota is never reached; sums are not checked."""
-    tenants = decode_flat(OPTIONS.replace(left, "")).tenants
+def test_tenant_share_and_quota_are_optional(removed: str) -> None:
+    """A missing share is 0 and a missing quota is unlimited; the sum of shares is not checked."""
+    tenants = decode_flat(OPTIONS.replace(removed, "")).tenants
     assert len(tenants) == 2
     assert tenants[0].connection_quota == math.inf
     assert (
@@ -111,10 +112,10 @@
 
 
 @pytest.mark.parametrize("price", ["probe", "cross_zone", "moves"])
-def test_prices_are_stated_or_nothing_but_never_negative(price: str) -> None:
-    """Guards placement and pacing by costs: a negative one would favour the other zone."""
-    stated = decode_flat(OPTIONS).costs
-    assert (stated.health_check, stated.cross_zone, stated.migration) == (0.004, 0.0, 0.0)
+def test_missing_prices_are_zero_and_negative_prices_are_rejected(price: str) -> None:
+    """A negative cost would invert decisions: a negative cross-zone cost favours other zones."""
+    costs = decode_flat(OPTIONS).costs
+    assert (costs.health_check, costs.cross_zone, costs.migration) == (0.004, 0.0, 0.0)
     with pytest.raises(FormatError, match="prices must not be negative"):
         decode_flat(f"{OPTIONS} prices.{price}=-1")
 
@@ -151,11 +152,11 @@
         ("streaming 9 0 h:1 9250", ConnectionEstablished(9, 0, "h:1", 9250)),
     ],
 )
-def test_events_are_read(line: str, event: Event) -> None:
+def test_events_are_decoded(line: str, event: Event) -> None:
     assert codec.decode_event(line.split(" ")) == event
 
 
-def test_actions_are_written() -> None:
+def test_actions_are_encoded() -> None:
     actions: list[Action] = [
         StartAttempt(1, "h:1", 80_000),
         RejectRequest(1, 5),
@@ -190,12 +191,13 @@
     ]
 
 
-def test_restart_within_one_batch_starts_a_fresh_proxy() -> None:
+def test_restart_within_one_batch_discards_the_state_of_the_old_proxy() -> None:
+    """Events of the old proxy's requests that arrive after its restart cause no actions."""
     text = OPENING + "clock 2000 2\ncontext 4\nsubmit 9 0 0 - 1200000 - - 0 0 0\nyour_turn\n"
     text += f"clock 3000 3\ncontext 4\nteardown\nopen_instance 78 {OPTIONS}\n"
     text += "view remembered 3 0\nyour_turn\n"
     text += "clock 4000 4\ncontext 4\nended 9 0 10.0.0.1:7000 RST 5 0 -\naborted 12\nyour_turn\n"
-    code, lines = play(text)
+    code, lines = run_host(text)
     assert code == 0
     assert lines[:2] == ["next 1", "on_behalf 4"]
     assert lines[2].startswith("place 9 ")
@@ -208,7 +210,7 @@
     [
         ("whatever 1", "expected an event"),
         ("wakeup", "expected 'wakeup key_back'"),
-        ("wakeup soon", "whole number"),
+        ("wakeup soon", "key_back to be an integer"),
         ("aborted 1 2", "found 2 fields"),
         ("view sometimes 1 0", "expected kind"),
         ("view all 1 1", "'server' line"),
@@ -218,13 +220,13 @@
         ("hint_update 1 0 3 9 h:1", "1 or 2"),
         ("ended 1 0 h:1 SUPER 5 0 -", "expected reason"),
         ("open_instance 5", "found 1 fields"),
-        ("context x", "whole number"),
+        ("context x", "i to be an integer"),
     ],
 )
-def test_invalid_lines_end_in_one_fault(
+def test_invalid_line_is_reported_as_one_fault(
     line: str, expected: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    code, lines = play(OPENING + f"clock 2000 2\ncontext 4\n{line}\nyour_turn\n")
+    code, lines = run_host(OPENING + f"clock 2000 2\ncontext 4\n{line}\nyour_turn\n")
     faults = [text for text in lines if text.startswith("fault ")]
     assert code != 0
     assert len(faults) == 1
@@ -234,7 +236,7 @@
     assert faults[0].removeprefix("fault ") in capsys.readouterr().err
 
 
-def test_host_process_answers_and_exits_with_the_input() -> None:
+def test_host_process_replies_and_exits_at_the_end_of_its_input() -> None:
     command = [sys.executable, "-m", "larchhaven.simulator"]
     text = OPENING + "clock 2000 2\nyour_turn\n"
     done = subprocess.run(
