--- a/larchhaven/memory/account.py
+++ b/larchhaven/memory/account.py
@@ -1,8 +1,8 @@
-"""The memory account: for each purpose a cap, the usage, its peak and a count of rejections.
+"""The memory account: the cap, usage, peak usage and number of rejections of each purpose.
 
-Usage has two sources. Items that come and go one by one are charged and released (``try_charge``,
-``charge``, ``release``). Structures that are easier to count as a whole are sampled now and then
-(``set_sampled_bytes``). Only a charge can be rejected at the moment it is asked for.
+Usage has two sources. Individual items are charged and released (``try_charge``, ``charge``,
+``release``). Structures that are easier to measure as a whole are sampled periodically
+(``set_sampled_bytes``). Only ``try_charge`` can reject; a sample is recorded even above the cap.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 
 @dataclass(frozen=True, slots=True)
 class PurposeUsage:
-    """Usage of one purpose at one moment.
+    """A snapshot of the usage of one purpose.
 
     Attributes:
-        cap_bytes: The most that the purpose may use.
-        used_bytes: What it uses now, charged and sampled.
-        peak_bytes: The most it has used so far.
-        rejected: How often something was rejected because of its cap.
+        cap_bytes: The upper limit of the usage.
+        used_bytes: The current usage, charged and sampled.
+        peak_bytes: The highest usage so far.
+        rejected: The number of rejections because of the cap.
     """
 
     cap_bytes: int
@@ -36,7 +36,7 @@
     """Memory usage by purpose.
 
     Attributes:
-        excess_releases: Releases of more than was charged; anything but 0 is a bug.
+        excess_releases: The number of releases of more than was charged; not 0 only after a bug.
     """
 
     __slots__ = (
@@ -50,7 +50,7 @@
     )
 
     def __init__(self, caps: Mapping[MemoryPurpose, int]) -> None:
-        # Lists indexed by purpose: charging is on the path of every buffer.
+        # Lists indexed by purpose are fast: every buffer is charged when it is acquired.
         count = len(MemoryPurpose)
         self._caps = [0] * count
         self._charged = [0] * count
@@ -63,22 +63,26 @@
 
     @classmethod
     def unbounded(cls) -> MemoryAccount:
-        """Return an account that counts and never rejects."""
+        """Create an account that counts usage but never rejects."""
         return cls(dict.fromkeys(MemoryPurpose, _UNBOUNDED_BYTES))
 
     def set_caps(self, caps: Mapping[MemoryPurpose, int]) -> None:
-        """Replace caps, in bytes.
+        """Replace the caps of some purposes.
 
-        Usage above a new cap stays; nothing more is granted until usage is below the cap.
+        Usage above a new cap remains charged. ``try_charge`` rejects until the usage is back under
+        the cap.
+
+        Args:
+            caps: The new caps in bytes, by purpose; the caps of other purposes stay as they are.
         """
         for purpose, cap_bytes in caps.items():
             self._caps[purpose] = cap_bytes
 
     def try_charge(self, purpose: MemoryPurpose, size_bytes: int) -> bool:
-        """Charge an item if it fits under the cap.
+        """Charge an item if it fits under the cap; otherwise count a rejection.
 
         Returns:
-            Whether it was charged; if not, a rejection is counted.
+            Whether the item was charged.
         """
         used_bytes = self._charged[purpose] + self._sampled_total[purpose] + size_bytes
         if used_bytes > self._caps[purpose]:
@@ -89,13 +93,13 @@
         return True
 
     def charge(self, purpose: MemoryPurpose, size_bytes: int) -> None:
-        """Charge an item that cannot be rejected: it was admitted before, or it exists already."""
+        """Charge an item regardless of the cap, as it has been admitted or exists already."""
         self._charged[purpose] += size_bytes
         used_bytes = self._charged[purpose] + self._sampled_total[purpose]
         self._peak[purpose] = max(self._peak[purpose], used_bytes)
 
     def release(self, purpose: MemoryPurpose, size_bytes: int) -> None:
-        """Release what was charged."""
+        """Release charged bytes; a release of more than is charged leaves 0 and is counted."""
         charged_bytes = self._charged[purpose] - size_bytes
         if charged_bytes < 0:
             self.excess_releases += 1
@@ -103,41 +107,41 @@
         self._charged[purpose] = charged_bytes
 
     def count_rejection(self, purpose: MemoryPurpose) -> None:
-        """Count a rejection that was decided elsewhere because of this purpose's cap."""
+        """Count a rejection that a caller made because of this purpose's cap."""
         self._rejected[purpose] += 1
 
     def set_sampled_bytes(self, purpose: MemoryPurpose, source: str, size_bytes: int) -> None:
-        """Replace the sample of one source that is counted as a whole."""
+        """Replace the sampled size of one source."""
         sampled = self._sampled[purpose]
         self._sampled_total[purpose] += size_bytes - sampled.get(source, 0)
         sampled[source] = size_bytes
         self._peak[purpose] = max(self._peak[purpose], self.used_bytes(purpose))
 
     def used_bytes(self, purpose: MemoryPurpose) -> int:
-        """Return what the purpose uses, charged and sampled."""
+        """Return the current usage of a purpose, charged and sampled."""
         return self._charged[purpose] + self._sampled_total[purpose]
 
     def charged_bytes(self, purpose: MemoryPurpose) -> int:
-        """Return the charged part of the usage."""
+        """Return the charged part of the usage of a purpose."""
         return self._charged[purpose]
 
     def cap_bytes(self, purpose: MemoryPurpose) -> int:
-        """Return the cap."""
+        """Return the cap of a purpose."""
         return self._caps[purpose]
 
     def available_bytes(self, purpose: MemoryPurpose) -> int:
-        """Return what is left under the cap; negative after the cap was set below the usage."""
+        """Return the cap minus the usage of a purpose; negative if the usage exceeds the cap."""
         return self._caps[purpose] - self.used_bytes(purpose)
 
     def resident_bytes(self) -> int:
-        """Return the part of the process's resident size that the account explains.
+        """Return the accounted part of the process's resident size.
 
-        The size of the program itself is not included.
+        The size of the program itself is not accounted.
         """
         return sum(self.used_bytes(purpose) for purpose in RESIDENT_PURPOSES)
 
     def usage(self, purpose: MemoryPurpose) -> PurposeUsage:
-        """Return the current usage of one purpose."""
+        """Return a snapshot of the usage of a purpose."""
         return PurposeUsage(
             cap_bytes=self._caps[purpose],
             used_bytes=self.used_bytes(purpose),
--- a/larchhaven/memory/admission.py
+++ b/larchhaven/memory/admission.py
@@ -1,8 +1,8 @@
-"""Admission control and load shedding: who is admitted, and who is shed, when capacity is scarce.
+"""Admission control and load shedding: whom to admit and whom to shed when capacity is scarce.
 
-Capacity is whatever a connection needs that is counted: bytes of *connections* and *tables*,
-descriptors. The last part of each is a reserve that only the classes with the highest priority
-weight may use.
+The capacities are the counted resources that a connection needs: bytes of the purposes
+*connections* and *tables*, and descriptors. A part of each capacity is reserved for the request
+classes with the highest priority weight.
 """
 
 from __future__ import annotations
@@ -17,12 +17,13 @@
     """The thresholds of admission and load shedding.
 
     Attributes:
-        reserve_ratio: The part of each capacity that is reserved for the highest priority weight.
-        unread_us: A client that has read nothing of what was sent for so long may be shed.
-        request_line_grace_us: A client that has just connected is not shed within this time.
-        kernel_buffers_ratio: While kernel buffers hold more than this part of their cap, clients
-            that do not read are shed even when no capacity is exhausted.
-        kernel_unread_us: Such a client is shed after so long without reading.
+        reserve_ratio: The fraction of each capacity reserved for the highest priority weight.
+        unread_us: A client may be shed if it has not read any pending data for this time.
+        request_line_grace_us: A client is not shed within this time after it connects, so that its
+            request line can arrive.
+        kernel_buffers_ratio: While kernel buffers exceed this fraction of their cap, clients that
+            do not read are shed even if no capacity is exhausted.
+        kernel_unread_us: The time without reading after which such a client is shed.
     """
 
     reserve_ratio: float = 0.08
@@ -36,11 +37,11 @@
 
 
 class ShedCandidate(Enum):
-    """Which kind of client is shed next, the cheapest to lose first."""
+    """The kind of client to shed next; the kinds that are cheapest to lose come first."""
 
-    AWAITING_REQUEST = auto()  # connected and has sent no request line
-    LINGERING = auto()  # has its answer and does not close
-    NOT_READING = auto()  # is established and does not read
+    AWAITING_REQUEST = auto()  # connected, but has not sent a request line
+    LINGERING = auto()  # has received its answer, but does not close the connection
+    NOT_READING = auto()  # established, but does not read
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,9 +49,9 @@
     """One kind of capacity, in bytes or descriptors.
 
     Attributes:
-        total: How much there is.
-        used: How much is in use.
-        needed: How much one more request needs.
+        total: The total amount.
+        used: The amount in use.
+        needed: The amount that one more request needs.
     """
 
     total: int
@@ -58,12 +59,12 @@
     needed: int
 
     def fits(self, reserve_ratio: float) -> bool:
-        """Return whether one more fits beside a reserve of this part of the total."""
+        """Return whether one more request fits without using the reserve."""
         return self.used + self.needed <= self.total - int(self.total * reserve_ratio)
 
 
 def find_first_exhausted(capacities: Sequence[Capacity], reserve_ratio: float) -> int | None:
-    """Return the index of the first capacity without room beside the reserve, if there is one."""
+    """Return the index of the first capacity without room outside its reserve, or None."""
     for index, capacity in enumerate(capacities):
         if not capacity.fits(reserve_ratio):
             return index
@@ -71,24 +72,24 @@
 
 
 class Admission:
-    """Decides whether a new request of a class is admitted.
+    """Decides whether to admit a new request, by its request class.
 
     Attributes:
-        reserve_ratio: The part of each capacity that is reserved for the highest priority weight.
+        reserve_ratio: The fraction of each capacity reserved for the highest priority weight.
     """
 
     def __init__(self, priority_weights: Sequence[float]) -> None:
-        """Create the decision.
+        """Create an admission control with the default reserve.
 
         Args:
-            priority_weights: The priority weight of each class, by the class's number.
+            priority_weights: The priority weights, by index of the request class.
         """
         self.reserve_ratio = DEFAULT_THRESHOLDS.reserve_ratio
         self._priority_weights = list(priority_weights)
         self._highest_weight = max(priority_weights, default=0.0)
 
     def find_exhausted(self, request_class: int, capacities: Sequence[Capacity]) -> int | None:
-        """Return the index of the first capacity without room for a request; None admits it."""
+        """Return the index of the first capacity without room for a request; None if admitted."""
         reserve_ratio = 0.0 if self._may_use_reserve(request_class) else self.reserve_ratio
         return find_first_exhausted(capacities, reserve_ratio)
 
@@ -109,23 +110,23 @@
     is_exhausted: bool,
     unread_us: int = DEFAULT_THRESHOLDS.unread_us,
 ) -> ShedCandidate | None:
-    """Choose which kind of client is shed now.
+    """Choose which kind of client to shed now.
 
-    Too many clients without a request line are shed even while capacity is left, but for those that
-    have just connected: in a surge all connect before any request line arrives.
+    Too many clients without a request line are shed even while capacity is left, except those that
+    have just connected: in a surge all clients connect before any request line arrives.
 
     Args:
-        awaiting_request: The number of clients that have sent no request line.
-        oldest_awaiting_since_us: When the oldest of them connected.
-        max_awaiting_request: The most of them that are allowed at a time.
+        awaiting_request: The number of clients that have not sent a request line.
+        oldest_awaiting_since_us: When the oldest of these clients connected.
+        max_awaiting_request: The maximum number of these clients.
         lingering: The number of clients in lingering close.
-        unread_since_us: When the client that has not read for longest last read, if any has not.
+        unread_since_us: When the longest unread client last read; None if all clients read.
         now_us: The current time.
-        is_exhausted: Whether no new client fits.
-        unread_us: A client may be shed after so long without reading.
+        is_exhausted: Whether there is no capacity for another client.
+        unread_us: The time without reading after which a client may be shed.
 
     Returns:
-        The kind of client to shed, if any is to be shed.
+        The kind of client to shed, or None.
     """
     grace_ends_us = oldest_awaiting_since_us + DEFAULT_THRESHOLDS.request_line_grace_us
     is_awaiting_sheddable = awaiting_request > 0 and now_us >= grace_ends_us
--- a/larchhaven/memory/plan.py
+++ b/larchhaven/memory/plan.py
@@ -1,4 +1,4 @@
-"""The memory plan: the grant, less what the program itself needs, divided into caps by purpose."""
+"""The memory plan: divides the grant, minus the program's own size, into caps by purpose."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from larchhaven.memory.purposes import MemoryPurpose
 
 BYTES_PER_MB = 1 << 20
-# Stays unplanned: what the allocator wastes, and what no purpose covers.
+# Fraction of the headroom left unplanned for allocator overhead and for usage without a purpose.
 UNPLANNED_RATIO = 0.12
-# Shares of what is planned, where operators set no cap.
+# Fractions of the planned memory for purposes whose cap operators do not set.
 CAP_RATIOS: dict[MemoryPurpose, float] = {
     MemoryPurpose.CONNECTIONS: 0.26,
     MemoryPurpose.TABLES: 0.21,
@@ -24,7 +24,7 @@
     MemoryPurpose.FILES: 0.03,
     MemoryPurpose.KERNEL: 0.14,
 }
-# With less a purpose cannot do its work at all: 64 connections, one endpoint list, one hot restart.
+# The minimum that a purpose needs to work: 64 connections, one endpoint list, one hot restart.
 MIN_CAP_BYTES: dict[MemoryPurpose, int] = {
     MemoryPurpose.CONNECTIONS: 64 * STREAM_BYTES,
     MemoryPurpose.TABLES: 512 << 10,
@@ -36,7 +36,7 @@
     MemoryPurpose.FILES: 32 << 10,
     MemoryPurpose.KERNEL: 256 << 10,
 }
-# Beyond this a purpose has no use for more; the other purposes get it.
+# A purpose cannot use more than this; the surplus goes to the other purposes.
 MAX_CAP_BYTES: dict[MemoryPurpose, int] = {
     MemoryPurpose.LOG: 64 << 10,
     MemoryPurpose.FILES: 4 * BYTES_PER_MB,
@@ -44,24 +44,25 @@
     MemoryPurpose.PROBES: 16 * BYTES_PER_MB,
     MemoryPurpose.MANAGEMENT: 12 * BYTES_PER_MB,
 }
-# Bounds of what the kernel may buffer for one socket one way.
+# Bounds of the kernel buffer of one socket in one direction.
 MIN_SOCKET_BUFFER_BYTES = 8 << 10
 MAX_SOCKET_BUFFER_BYTES = 256 << 10
-# All sockets together could buffer so many times the cap: most are empty, and full ones are shed.
+# The kernel buffers of all sockets may together exceed the cap by this factor: most are empty, and
+# clients whose buffers stay full are shed.
 KERNEL_OVERCOMMIT_RATIO = 4
 
 
 class MemoryPlanError(LarchhavenError):
-    """Base class of errors in the caps that operators ask for; the text is one plain sentence."""
+    """Base class of errors in the operators' caps; the message is one sentence for operators."""
 
 
 class CapTooSmallError(MemoryPlanError):
-    """A cap is below the least that its purpose needs.
+    """A cap is below the minimum of its purpose.
 
     Attributes:
         purpose: The purpose of the cap.
-        cap_bytes: The cap that was asked for.
-        min_bytes: The least that the purpose needs.
+        cap_bytes: The requested cap.
+        min_bytes: The minimum cap of the purpose.
     """
 
     def __init__(self, purpose: MemoryPurpose, cap_bytes: int, min_bytes: int) -> None:
@@ -69,19 +70,19 @@
         self.cap_bytes = cap_bytes
         self.min_bytes = min_bytes
         super().__init__(
-            f"{purpose.key} has {_format_mb(cap_bytes)} MB,"
-            f" and needs at least {_format_mb(min_bytes)} MB to work"
+            f"the cap of {purpose.key} is {_format_mb(cap_bytes)} MB,"
+            f" but {purpose.key} needs at least {_format_mb(min_bytes)} MB"
         )
 
 
 class CapsExceedGrantError(MemoryPlanError):
-    """The caps, with the least that the other purposes need, do not fit into the grant.
+    """The requested caps and the minimums of the other purposes together exceed the grant.
 
     Attributes:
-        required_bytes: The sum of the caps and of the least that the others need.
+        required_bytes: The sum of the requested caps and of the minimums of the other purposes.
         grant_bytes: The memory that the platform grants.
-        program_bytes: The part of it that the program itself takes.
-        unplanned_bytes: The part of it that stays unplanned.
+        program_bytes: The part of the grant that the program itself uses.
+        unplanned_bytes: The part of the grant that stays unplanned.
     """
 
     def __init__(
@@ -94,24 +95,24 @@
         available_bytes = max(grant_bytes - program_bytes - unplanned_bytes, 0)
         super().__init__(
             f"the caps need {_format_mb(required_bytes)} MB; of the {_format_mb(grant_bytes)} MB"
-            f" granted {_format_mb(program_bytes)} MB go to the program itself and"
+            f" granted, the program itself uses {_format_mb(program_bytes)} MB and"
             f" {_format_mb(unplanned_bytes)} MB stay unplanned, which leaves"
-            f" {_format_mb(available_bytes)} MB"
+            f" {_format_mb(available_bytes)} MB for the caps"
         )
 
 
 @dataclass(frozen=True, slots=True)
 class MemoryPlan:
-    """The caps for a grant.
+    """The division of a grant into caps.
 
     Attributes:
         grant_bytes: The memory that the platform grants.
-        program_bytes: The part of it that the program itself takes.
-        unplanned_bytes: The part of it that stays unplanned.
+        program_bytes: The part of the grant that the program itself uses.
+        unplanned_bytes: The part of the grant that stays unplanned.
         caps: The cap of each purpose, in bytes.
         socket_buffer_bytes: The size for SO_SNDBUF and SO_RCVBUF.
-        is_below_minimum: Whether the grant is too small for the least that each purpose needs; the
-            caps exceed it then.
+        is_below_minimum: Whether the grant is too small for the minimums of all purposes. The caps
+            then exceed the grant.
     """
 
     grant_bytes: int
@@ -123,7 +124,7 @@
 
     @property
     def planned_bytes(self) -> int:
-        """The sum of the caps."""
+        """The sum of the caps, in bytes."""
         return sum(self.caps.values())
 
 
@@ -135,18 +136,19 @@
 ) -> MemoryPlan:
     """Divide a grant into caps.
 
-    Without operators' caps a grant that is too small gives the least caps: a proxy that serves few
-    is better than none.
+    A grant that is too small results in the minimum caps if operators set no caps: a proxy that
+    serves few connections is better than none.
 
     Args:
         grant_bytes: The memory that the platform grants.
         program_bytes: The resident size of the program before it serves.
-        max_sockets: The sockets that the platform grants.
-        operator_caps: Caps that operators ask for, in bytes; the other purposes share the rest.
+        max_sockets: The number of sockets that the platform grants.
+        operator_caps: The caps set by operators, in bytes; the other purposes share the rest.
 
     Raises:
-        CapTooSmallError: A cap of the operators is below the least that its purpose needs.
-        CapsExceedGrantError: Their caps and the least that the others need exceed the grant.
+        CapTooSmallError: An operator's cap is below the minimum of its purpose.
+        CapsExceedGrantError: The operators' caps and the minimums of the other purposes together
+            exceed the grant.
     """
     requested = dict(operator_caps or {})
     _check_minimums(requested)
@@ -168,7 +170,7 @@
 
 
 def _check_minimums(requested: Mapping[MemoryPurpose, int]) -> None:
-    """Raise CapTooSmallError for a cap below the least that its purpose needs."""
+    """Raise ``CapTooSmallError`` if a cap is below the minimum of its purpose."""
     for purpose, cap_bytes in requested.items():
         if cap_bytes < MIN_CAP_BYTES[purpose]:
             raise CapTooSmallError(purpose, cap_bytes, MIN_CAP_BYTES[purpose])
@@ -177,42 +179,45 @@
 def _divide(
     available_bytes: int, requested: Mapping[MemoryPurpose, int]
 ) -> dict[MemoryPurpose, int]:
-    """Return the caps: those requested, and for each other purpose its share of the rest.
+    """Return the requested caps, and for each other purpose a cap from the rest.
 
-    Purposes whose share is below their least or above their most are settled first, so that the
-    others share what is then left.
+    A purpose whose proportional share is outside its bounds first gets its minimum or maximum. The
+    purposes without a cap then share the remaining bytes.
     """
     caps = dict(requested)
-    open_purposes = [purpose for purpose in MemoryPurpose if purpose not in requested]
-    left_bytes = available_bytes - sum(requested.values())
-    while open_purposes:
-        shares = _share_out(left_bytes, open_purposes)
-        settled = {p: MIN_CAP_BYTES[p] for p in open_purposes if shares[p] < MIN_CAP_BYTES[p]}
-        if not settled:
-            settled = {
+    uncapped = [purpose for purpose in MemoryPurpose if purpose not in requested]
+    remaining_bytes = available_bytes - sum(requested.values())
+    while uncapped:
+        shares = _divide_proportionally(remaining_bytes, uncapped)
+        bounded = {p: MIN_CAP_BYTES[p] for p in uncapped if shares[p] < MIN_CAP_BYTES[p]}
+        if not bounded:
+            bounded = {
                 p: MAX_CAP_BYTES[p]
-                for p in open_purposes
+                for p in uncapped
                 if p in MAX_CAP_BYTES and shares[p] > MAX_CAP_BYTES[p]
             }
-        if not settled:
+        if not bounded:
             caps |= shares
             break
-        caps |= settled
-        left_bytes -= sum(settled.values())
-        open_purposes = [purpose for purpose in open_purposes if purpose not in settled]
+        caps |= bounded
+        remaining_bytes -= sum(bounded.values())
+        uncapped = [purpose for purpose in uncapped if purpose not in bounded]
     return {purpose: caps[purpose] for purpose in MemoryPurpose}
 
 
-def _share_out(left_bytes: int, purposes: list[MemoryPurpose]) -> dict[MemoryPurpose, int]:
+def _divide_proportionally(
+    available_bytes: int, purposes: list[MemoryPurpose]
+) -> dict[MemoryPurpose, int]:
     """Divide bytes among purposes in proportion to ``CAP_RATIOS``."""
     total_ratio = sum(CAP_RATIOS[purpose] for purpose in purposes)
     return {
-        purpose: int(max(left_bytes, 0) * CAP_RATIOS[purpose] / total_ratio) for purpose in purposes
+        purpose: int(max(available_bytes, 0) * CAP_RATIOS[purpose] / total_ratio)
+        for purpose in purposes
     }
 
 
 def _choose_socket_buffer_bytes(kernel_cap_bytes: int, max_sockets: int) -> int:
-    """Return the size for SO_SNDBUF and SO_RCVBUF under a cap of kernel buffers."""
+    """Return the size for SO_SNDBUF and SO_RCVBUF, given the cap of kernel buffers."""
     share_bytes = kernel_cap_bytes * KERNEL_OVERCOMMIT_RATIO // max(max_sockets, 1)
     return min(max(share_bytes, MIN_SOCKET_BUFFER_BYTES), MAX_SOCKET_BUFFER_BYTES)
 
--- a/larchhaven/memory/purposes.py
+++ b/larchhaven/memory/purposes.py
@@ -1,4 +1,4 @@
-"""The purposes that memory is accounted by, and their descriptions for operators."""
+"""The purposes of memory usage and their descriptions for operators."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class MemoryPurpose(IntEnum):
-    """What memory is used for; each purpose has a cap of its own and takes from no other."""
+    """A purpose of memory usage; each has its own cap and cannot use the memory of another."""
 
     CONNECTIONS = 0
     TABLES = 1
@@ -22,11 +22,11 @@
 
     @property
     def key(self) -> str:
-        """The name that operators read and write."""
+        """The purpose's name in settings and reports."""
         return self.name.lower()
 
 
-# Part of the process's resident size; files and kernel buffers are charged beside it.
+# Purposes that are part of the process's resident size; files and kernel buffers are not.
 RESIDENT_PURPOSES = tuple(
     purpose
     for purpose in MemoryPurpose
@@ -36,11 +36,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PurposeDescription:
-    """A purpose in words for operators.
+    """The description of a purpose for operators.
 
     Attributes:
-        covers: What is accounted under the purpose.
-        at_cap: What happens when its cap is reached.
+        covers: The memory that the purpose accounts for.
+        at_cap: The effect of reaching the cap.
     """
 
     covers: str
@@ -49,55 +49,55 @@
 
 PURPOSE_DESCRIPTIONS: dict[MemoryPurpose, PurposeDescription] = {
     MemoryPurpose.CONNECTIONS: PurposeDescription(
-        covers="clients, upstream connections, and what each keeps beside its buffers",
+        covers="clients and upstream connections, without their buffers",
         at_cap=(
-            "clients without a request line, in lingering close or not reading are shed; then new"
-            " requests get BUSY, the class with the highest weight last"
+            "clients that have sent no request line, linger or do not read are shed; after that,"
+            " new requests get BUSY, those of the highest priority weight last"
         ),
     ),
     MemoryPurpose.TABLES: PurposeDescription(
-        covers="requests, routing decisions, ids, the sticky table, timers, the endpoint list",
+        covers="requests and their ids, routing state, the sticky table, timers, the endpoint list",
         at_cap=(
-            "the oldest sticky table entries are evicted; then new requests get BUSY; a live"
-            " request is never evicted"
+            "the oldest sticky table entries are evicted; after that, new requests get BUSY;"
+            " active requests are never evicted"
         ),
     ),
     MemoryPurpose.BUFFERS: PurposeDescription(
         covers="bytes in flight between clients and servers",
-        at_cap="reading stops until a buffer is released: backpressure on the other side",
+        at_cap="reading pauses until a buffer is released, so backpressure reaches the sender",
     ),
     MemoryPurpose.PROBES: PurposeDescription(
-        covers="cached connections to servers for health checks, and their buffers",
-        at_cap="a health check is skipped and reported as not sent",
+        covers="cached health check connections to servers, and their buffers",
+        at_cap="health checks are skipped and reported as not sent",
     ),
     MemoryPurpose.PEERS: PurposeDescription(
         covers="state received from other proxies and from the other process of a hot restart",
-        at_cap="further request ids of the other process are not kept",
+        at_cap="further request ids from the other process are not stored",
     ),
     MemoryPurpose.MANAGEMENT: PurposeDescription(
-        covers="operators' calls and calls to discovery",
+        covers="calls to the management interface and calls to discovery",
         at_cap=(
-            "the oldest incomplete call is closed; an endpoint list that is too long is a failed"
-            " call"
+            "the oldest incomplete call is closed; a call that returns too long an endpoint list"
+            " fails"
         ),
     ),
     MemoryPurpose.LOG: PurposeDescription(
-        covers="events remembered to limit the rate of log lines",
-        at_cap="the event logged longest ago is forgotten",
+        covers="events tracked to limit the rate of log lines",
+        at_cap="the event that was logged least recently is no longer tracked",
     ),
     MemoryPurpose.FILES: PurposeDescription(
         covers="the proxy's files in $TMPDIR",
-        at_cap="an administrative ejection is not saved and the caller gets an error",
+        at_cap="a new administrative ejection is not saved, and the caller gets an error",
     ),
     MemoryPurpose.KERNEL: PurposeDescription(
-        covers="bytes in the kernel's socket buffers, both ways",
-        at_cap="clients that do not read are shed, the longest unread first",
+        covers="bytes in the kernel's socket buffers, in both directions",
+        at_cap="clients that do not read are shed, the one that has not read for longest first",
     ),
 }
 
 
 def caps_by_purpose(caps_by_key: Mapping[str, int]) -> dict[MemoryPurpose, int]:
-    """Return caps under their purposes, from caps under the keys that operators write."""
+    """Convert caps by key, as operators write them, to caps by purpose."""
     return {
         purpose: caps_by_key[purpose.key] for purpose in MemoryPurpose if purpose.key in caps_by_key
     }
--- a/larchhaven/memory/resident_monitor.py
+++ b/larchhaven/memory/resident_monitor.py
@@ -1,17 +1,18 @@
-"""The account against the resident size: how much of its growth no purpose explains."""
+"""Compares the memory account with the resident size to find growth that is not accounted for."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-# The unaccounted part is reported when it exceeds this part of the grant, and again each time it
-# has grown by as much: allocators waste some, and a leak exceeds any such threshold.
+# The unaccounted growth is reported when it exceeds this fraction of the grant, and again whenever
+# it has increased by the same amount. Allocators waste some memory, but a leak exceeds every
+# threshold eventually.
 WARNING_STEP_RATIO = 0.05
-# The allocator is asked to return freed memory when the unaccounted part exceeds this part of what
-# the grant leaves beside the program, at most once in the interval.
+# The allocator is asked to return freed memory when the unaccounted growth exceeds this fraction of
+# the headroom (the grant minus the size of the program), at most once per interval.
 TRIM_THRESHOLD_RATIO = 0.10
 TRIM_INTERVAL_US = 30_000_000
-# Assumed to be left beside the program where the grant leaves less.
+# The headroom to assume if the actual one is smaller.
 MIN_HEADROOM_BYTES = 1 << 20
 
 
@@ -20,10 +21,10 @@
     """One sample of the process's resident size.
 
     Attributes:
-        at_us: When it was taken.
+        at_us: When the sample was taken.
         resident_bytes: The resident size.
-        growth_bytes: Its growth since the start.
-        unaccounted_bytes: The part of the growth that no purpose explains.
+        growth_bytes: The growth of the resident size since the start.
+        unaccounted_bytes: The part of the growth that no purpose accounts for.
     """
 
     at_us: int
@@ -34,11 +35,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SampleAdvice:
-    """What a sample calls for.
+    """The actions that a sample requires.
 
     Attributes:
-        should_warn: The unaccounted part has exceeded a further threshold.
-        should_trim: The allocator should return freed memory to the system.
+        should_warn: Whether to warn: the unaccounted growth has exceeded the next threshold.
+        should_trim: Whether to ask the allocator to return freed memory to the system.
     """
 
     should_warn: bool
@@ -51,7 +52,7 @@
     Attributes:
         last_sample: The latest sample.
         peak_bytes: The largest resident size sampled.
-        trim_count: How often a trim was advised.
+        trim_count: The number of trims advised.
     """
 
     def __init__(self, grant_bytes: int) -> None:
@@ -68,11 +69,11 @@
 
     @property
     def start_bytes(self) -> int:
-        """The resident size when the proxy began to serve."""
+        """The resident size in bytes when the proxy began to serve."""
         return self._start_bytes
 
     def start(self, resident_bytes: int, accounted_bytes: int) -> None:
-        """Record the resident size at the start, and the part of it that the account explains."""
+        """Record the resident size and the accounted bytes at the start."""
         self._start_bytes = resident_bytes
         self._accounted_at_start_bytes = accounted_bytes
         self.last_sample = ResidentSample(
@@ -80,15 +81,15 @@
         )
 
     def sample(self, now_us: int, resident_bytes: int, accounted_bytes: int) -> SampleAdvice:
-        """Take a sample.
+        """Record a sample of the resident size.
 
         Args:
             now_us: The time of the sample.
             resident_bytes: The resident size of the process.
-            accounted_bytes: The part of it that the account explains.
+            accounted_bytes: The accounted part of the resident size.
 
         Returns:
-            What the sample calls for.
+            The actions that the sample requires.
         """
         growth_bytes = resident_bytes - self._start_bytes
         unaccounted_bytes = growth_bytes - (accounted_bytes - self._accounted_at_start_bytes)
@@ -100,14 +101,14 @@
         )
 
     def _advance_warning_threshold(self, unaccounted_bytes: int) -> bool:
-        """Return whether the threshold was exceeded; if so, set the next one."""
+        """Return whether the warning threshold is exceeded; if so, raise the threshold."""
         if unaccounted_bytes <= self._warning_threshold_bytes:
             return False
         self._warning_threshold_bytes = unaccounted_bytes + WARNING_STEP_RATIO * self._grant_bytes
         return True
 
     def _begin_trim(self, now_us: int, unaccounted_bytes: int) -> bool:
-        """Return whether a trim is due; if so, count it."""
+        """Return whether a trim is due; if so, record it."""
         headroom_bytes = max(self._grant_bytes - self._start_bytes, MIN_HEADROOM_BYTES)
         if unaccounted_bytes <= TRIM_THRESHOLD_RATIO * headroom_bytes:
             return False
--- a/tests/memory/__init__.py
+++ b/tests/memory/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the memory account, its plan, admission and the resident memory monitor."""
+"""Tests of the memory account, the memory plan, admission and the resident memory monitor."""
--- a/tests/memory/test_account.py
+++ b/tests/memory/test_account.py
@@ -1,4 +1,4 @@
-"""The memory account beside a model of it."""
+"""Tests of the memory account, including a comparison with a model."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class MemoryAccountMachine(RuleBasedStateMachine):
-    """Any order of charges, beside a model that is a dictionary."""
+    """Compares the account with a model of plain dictionaries, for any order of operations."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -76,7 +76,7 @@
 )
 
 
-def test_account_counts_a_release_of_more_than_was_charged() -> None:
+def test_release_of_more_than_was_charged_is_counted() -> None:
     account = MemoryAccount.unbounded()
     account.charge(MemoryPurpose.BUFFERS, 10)
     account.release(MemoryPurpose.BUFFERS, 11)
--- a/tests/memory/test_admission.py
+++ b/tests/memory/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission by priority weight, and who is shed."""
+"""Tests of admission by priority weight and of the choice of the client to shed."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 )
 
 
-def test_reserve_is_for_the_highest_priority_weight() -> None:
+def test_only_the_highest_priority_weight_may_use_the_reserve() -> None:
     admission = Admission([1.0, 5.0, 5.0])
     nearly_full = Capacity(1_000, 930, 10)
     assert admission.find_exhausted(0, [nearly_full]) == 0
@@ -33,18 +33,18 @@
     [
         (0, OLD, 0, None, False, None),
         (5, OLD, 9, 0, False, None),
-        (11, OLD, 9, 0, False, ShedCandidate.AWAITING_REQUEST),  # more than are allowed
+        (11, OLD, 9, 0, False, ShedCandidate.AWAITING_REQUEST),  # more than the maximum
         (11, OLD, 9, 0, True, ShedCandidate.AWAITING_REQUEST),
-        (11, FRESH, 9, 0, True, None),  # they have just connected
+        (11, FRESH, 9, 0, True, None),  # within the grace period for the request line
         (5, OLD, 1, 0, True, ShedCandidate.LINGERING),
         (5, OLD, 0, 0, True, ShedCandidate.NOT_READING),
-        (5, OLD, 0, 1, True, ShedCandidate.AWAITING_REQUEST),  # unread for less than the time
+        (5, OLD, 0, 1, True, ShedCandidate.AWAITING_REQUEST),  # unread for less than the threshold
         (5, FRESH, 0, 1, True, None),
         (0, OLD, 0, 1, True, None),
         (0, OLD, 0, None, True, None),
     ],
 )
-def test_which_client_is_shed(
+def test_choice_of_the_client_to_shed(
     awaiting: int,
     since: int,
     lingering: int,
--- a/tests/memory/test_caps.py
+++ b/tests/memory/test_caps.py
@@ -1,4 +1,4 @@
-"""Memory caps of the running program: each holds under abuse of its purpose."""
+"""Tests of the memory caps of a running proxy: each cap holds under abuse of its purpose."""
 
 from __future__ import annotations
 
@@ -25,26 +25,34 @@
 from larchhaven.testbed.scenario_player import play_scenario
 from tests.proxy_harness import ProxyProcess, make_request_line
 
-USUAL = """
+BACKGROUND_TRAFFIC = """
 seed: 5 classes { name: "chat" worth: 1 } classes { name: "exam" worth: 5 }
 terminals { class: "chat" arrivals_per_second: 10 stay_seconds: 1 message_seconds: 0.3 }
 terminals { class: "exam" arrivals_per_second: 5 stay_seconds: 1 message_seconds: 0.3 }
 """
 SERVERS = "servers { count: 4 capacity: 400 setup_ms: 2 }"
 GRANT = "grant { memory_mb: 64 sockets: 1024 }"
-HALF_REQUESTS = (
+INCOMPLETE_REQUESTS = (
     "terminals { habit: HALF_COMMAND class: 'chat' arrivals_per_second: 60 stay_seconds: 9 }"
 )
 
 
-def play_holding_scenario(
+def play_and_check_scenario(
     text: str, operator: str | None = None, seconds: float = 5, exam_busy: bool = False
 ) -> ScenarioOutcome:
-    scenario, complaints = load_scenario(f"{USUAL} seconds: {seconds} {text}")
+    """Play a scenario beside background traffic; check the invariants and the exam class.
+
+    Args:
+        text: The scenario, without its length and its background traffic.
+        operator: The text of the operators' file, if any.
+        seconds: The length of the scenario.
+        exam_busy: Whether requests of the exam class may be rejected.
+    """
+    scenario, complaints = load_scenario(f"{BACKGROUND_TRAFFIC} seconds: {seconds} {text}")
     assert not complaints
     outcome = asyncio.run(play_scenario(scenario, sample_interval_s=0.25, operator_text=operator))
     assert outcome.holds, outcome.failures
-    # The class with the highest priority weight is served through all of it.
+    # The class with the highest priority weight must be served throughout the scenario.
     answers = outcome.classes["exam"].answers
     assert set(answers) <= {"UP", "BUSY"}, outcome.classes
     assert bool(answers.get("BUSY", 0)) <= exam_busy, outcome.classes
@@ -52,7 +60,7 @@
 
 
 def final_account(outcome: ScenarioOutcome) -> dict[str, Any]:
-    """Return the account once all clients have left: what is charged is back at 0."""
+    """Return the memory account after all clients have left; no connection may remain charged."""
     account = outcome.idle_memory_reports["n0"]
     assert account["purposes"]["connections"]["used"] == 0
     assert account["errors"] == 0
@@ -76,7 +84,7 @@
         (
             "buffers",
             "memory { buffers: 0.52 }",
-            HALF_REQUESTS,
+            INCOMPLETE_REQUESTS,
         ),
         (
             "kernel",
@@ -86,17 +94,17 @@
         ("probes", "memory { probes: 0.1 }", "servers { count: 70 capacity: 60 }"),
     ],
 )
-def test_cap_holds_under_abuse_of_its_purpose_and_the_others_serve(
+def test_cap_holds_under_abuse_and_other_purposes_are_unaffected(
     purpose: str, operator: str, abuse: str
 ) -> None:
-    outcome = play_holding_scenario(f"{GRANT} {SERVERS} {abuse}", operator)
+    outcome = play_and_check_scenario(f"{GRANT} {SERVERS} {abuse}", operator)
     account = final_account(outcome)
     usage = account["purposes"][purpose]
-    # Bytes in the kernel are sampled four times a second: two clients that arrive between two
-    # samples add up to 48 KB each. Without the cap they held 873 KB, three times as much.
-    most = usage["cap"] + (2 * 49_152 if purpose == "kernel" else 0)
+    # Kernel buffers are sampled four times per second. Two clients that arrive between two samples
+    # add up to 48 KB each. Without the cap, clients held 873 KB, three times as much.
+    max_bytes = usage["cap"] + (2 * 49_152 if purpose == "kernel" else 0)
     assert usage["refused"] > 0, usage
-    assert usage["high"] <= most, usage
+    assert usage["high"] <= max_bytes, usage
     others = [
         name for name, other in account["purposes"].items() if other["refused"] and name != purpose
     ]
@@ -104,19 +112,19 @@
     assert outcome.classes["chat"].answers["UP"] >= 30
 
 
-def test_grant_of_32_mb_holds_with_three_times_the_connections_that_fit_at_once() -> None:
-    outcome = play_holding_scenario(
+def test_grant_of_32_mb_holds_in_a_surge_of_three_times_the_connections_that_fit() -> None:
+    outcome = play_and_check_scenario(
         "grant { memory_mb: 32 sockets: 1024 } servers { count: 40 capacity: 60 setup_ms: 2 }"
         " events { at_seconds: 1 surge: 1440 }"
         " terminals { class: 'chat' arrivals_per_second: 0 }",
         seconds=6,
-        # A test bed that is busy with 1,440 clients may send the class of a request too late.
+        # The test bed, busy with 1,440 clients, may send a request line too late.
         exam_busy=True,
     )
     assert outcome.classes["exam"].answers["UP"] >= 15
     account = final_account(outcome)
     answers = outcome.classes["chat"].answers
-    # Nobody waits in vain, and as many are served as fit.
+    # Every client gets an answer, and as many are served as fit.
     assert answers["BUSY"] > 500
     assert answers["UP"] > 350
     assert set(answers) == {"UP", "BUSY"}
@@ -124,13 +132,13 @@
     assert account["descriptors"]["refused"] + account["purposes"]["tables"]["refused"] > 0
 
 
-def test_caps_set_below_usage_end_no_connection_and_hold_from_then_on() -> None:
-    outcome = play_holding_scenario(
+def test_caps_set_below_usage_close_no_connection_but_hold_for_new_ones() -> None:
+    outcome = play_and_check_scenario(
         f"{GRANT} {SERVERS} terminals {{ class: 'chat' arrivals_per_second: 40 stay_seconds: 30 }}"
         " events { at_seconds: 3 operator: 'memory { connections: 0.2 }' }",
         "memory { }",
         seconds=6,
-        exam_busy=True,  # even the reserve is in use
+        exam_busy=True,  # the reserve is in use, too
     )
     usage = final_account(outcome)["purposes"]["connections"]
     assert usage["cap"] == int(0.2 * (1 << 20))
@@ -141,8 +149,8 @@
     assert chat.answers["BUSY"] > 0
 
 
-def test_reload_of_a_file_with_a_mistake_or_an_impossible_sum_changes_nothing() -> None:
-    outcome = play_holding_scenario(
+def test_reload_of_an_invalid_file_or_of_caps_beyond_the_grant_changes_nothing() -> None:
+    outcome = play_and_check_scenario(
         f"{GRANT} {SERVERS}"
         " events { at_seconds: 0.5 operator: 'memory { connections: 0.2 tabels: 1 }' }"
         " events { at_seconds: 2 operator: 'memory { buffers: 400 }' }",
@@ -160,9 +168,9 @@
     path.write_text("log { form: JSON }")
     monkeypatch.setenv("EDGE_OPERATOR", str(path))
     proxy = ProxyProcess(tmp_path)
-    request.addfinalizer(proxy.process.kill)  # also if the test fails on its way
-    bad = proxy.connect_client("NONSENSE \x1b[2J")
-    assert bad.read_line() == "ERR"
+    request.addfinalizer(proxy.process.kill)  # even if the test fails
+    invalid_client = proxy.connect_client("NONSENSE \x1b[2J")
+    assert invalid_client.read_line() == "ERR"
     path.write_text("log { form: JSN }")
     proxy.process.send_signal(signal.SIGHUP)
     lines = [json.loads(proxy.read_log_line())]
@@ -180,7 +188,7 @@
     assert "\x1b" not in lines[0]["detail"]
 
 
-def test_management_counts_callers_that_are_shed(proxy: ProxyProcess) -> None:
+def test_shed_management_clients_are_counted(proxy: ProxyProcess) -> None:
     callers = [socket.create_connection(proxy.management) for _ in range(30)]
     for caller in callers:
         caller.sendall(b"GET /v1/")
@@ -192,31 +200,31 @@
 
 
 @pytest.mark.parametrize("proxy", [{"inherits_socket": True}], indirect=True)
-def test_hot_restart_at_the_cap_hands_every_connection_over(
+def test_hot_restart_beyond_the_cap_transfers_every_connection(
     proxy: ProxyProcess, monkeypatch: pytest.MonkeyPatch, tmp_path: Path
 ) -> None:
-    """An established connection is kept: the successor adopts it even beyond its cap."""
-    ends = [proxy.establish("c=exam,d=2000,g=ab,h=1000") for _ in range(60)]
+    """The successor must adopt established connections even if they exceed its cap."""
+    connections = [proxy.establish("c=exam,d=2000,g=ab,h=1000") for _ in range(60)]
     path = tmp_path / "operator.textproto"
     path.write_text("memory { connections: 0.16 }")
     monkeypatch.setenv("EDGE_OPERATOR", str(path))
     successor = proxy.start_successor()
     proxy.process.terminate()
     assert proxy.process.wait(20) == 0
-    for client, server in ends:
+    for client, server in connections:
         client.send_line("still")
         assert server.read_line() == "still"
     account = successor.call("GET", "/v1/memory")[1]["purposes"]["connections"]
     assert account["used"] > account["cap"]
     new_client = successor.connect_client(make_request_line("c=exam,d=2000,g=ab"))
     assert new_client.read_line().startswith("BUSY")
-    for client, server in ends:
+    for client, server in connections:
         client.close()
         server.close()
     proxy.process = successor.process
 
 
-def test_ejection_that_does_not_fit_is_not_saved_but_one_may_always_end(tmp_path: Path) -> None:
+def test_ejection_beyond_the_cap_is_rejected_but_can_always_be_removed(tmp_path: Path) -> None:
     is_within_cap = [True]
     ejections = AdministrativeEjections(
         str(tmp_path), lambda host, on: None, lambda path, size: is_within_cap[0]
@@ -231,7 +239,7 @@
     assert "s0" not in ejections
 
 
-def test_identities_of_the_other_process_are_stored_up_to_the_cap() -> None:
+def test_request_ids_of_the_other_process_are_stored_up_to_the_cap() -> None:
     account = MemoryAccount(
         {**dict.fromkeys(MemoryPurpose, 0), MemoryPurpose.PEERS: 3 * REQUEST_ID_BYTES}
     )
--- a/tests/memory/test_plan.py
+++ b/tests/memory/test_plan.py
@@ -1,4 +1,4 @@
-"""The plan of memory caps."""
+"""Tests of the memory plan."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 def make_plan_or_error(
     grant_bytes: int, program_bytes: int, max_sockets: int, caps: dict[MemoryPurpose, int]
 ) -> plan.MemoryPlan | plan.MemoryPlanError:
-    """Make a plan; return the error if the caps are rejected."""
+    """Make a plan, or return the error if the caps are rejected."""
     try:
         return plan.make_plan(grant_bytes, program_bytes, max_sockets, caps)
     except plan.MemoryPlanError as error:
@@ -30,35 +30,38 @@
     st.integers(64, 100_000),
     st.dictionaries(PURPOSES, st.integers(1, 64), max_size=9),
 )
-def test_plan_never_exceeds_the_grant_unless_it_says_so(
+def test_plan_exceeds_the_grant_only_if_marked_as_below_minimum(
     grant: int, program: int, max_sockets: int, operator_caps: dict[MemoryPurpose, int]
 ) -> None:
     caps = {purpose: size * MB for purpose, size in operator_caps.items()}
-    made = make_plan_or_error(grant * MB, program * MB, max_sockets, caps)
-    if isinstance(made, plan.MemoryPlanError):
+    result = make_plan_or_error(grant * MB, program * MB, max_sockets, caps)
+    if isinstance(result, plan.MemoryPlanError):
         assert operator_caps
-        assert "MB" in str(made)
+        assert "MB" in str(result)
         return
-    assert set(made.caps) == set(MemoryPurpose)
-    assert all(made.caps[purpose] >= least for purpose, least in plan.MIN_CAP_BYTES.items())
-    assert all(made.caps[purpose] == cap for purpose, cap in caps.items())
+    assert set(result.caps) == set(MemoryPurpose)
+    assert all(result.caps[purpose] >= minimum for purpose, minimum in plan.MIN_CAP_BYTES.items())
+    assert all(result.caps[purpose] == cap for purpose, cap in caps.items())
     assert (
-        made.is_below_minimum
-        or made.planned_bytes + made.unplanned_bytes + made.program_bytes <= made.grant_bytes
+        result.is_below_minimum
+        or result.planned_bytes + result.unplanned_bytes + result.program_bytes
+        <= result.grant_bytes
+    )
+    assert not (result.is_below_minimum and operator_caps)
+    assert (
+        plan.MIN_SOCKET_BUFFER_BYTES <= result.socket_buffer_bytes <= plan.MAX_SOCKET_BUFFER_BYTES
     )
-    assert not (made.is_below_minimum and operator_caps)
-    assert plan.MIN_SOCKET_BUFFER_BYTES <= made.socket_buffer_bytes <= plan.MAX_SOCKET_BUFFER_BYTES
 
 
-def test_plan_error_says_what_is_wrong_with_a_cap() -> None:
+def test_plan_error_describes_the_invalid_cap() -> None:
     with pytest.raises(
-        plan.CapTooSmallError, match=r"kernel has 0.01 MB, and needs at least 0.25 MB"
+        plan.CapTooSmallError, match=r"cap of kernel is 0.01 MB, but kernel needs at least 0.25 MB"
     ) as too_small:
         plan.make_plan(64 * MB, 20 * MB, 1024, {MemoryPurpose.KERNEL: MB // 100})
     assert too_small.value.purpose is MemoryPurpose.KERNEL
     assert too_small.value.min_bytes == plan.MIN_CAP_BYTES[MemoryPurpose.KERNEL]
     with pytest.raises(
-        plan.CapsExceedGrantError, match="of the 32 MB granted 24 MB go to the program"
+        plan.CapsExceedGrantError, match="of the 32 MB granted, the program itself uses 24 MB"
     ) as exceeds:
         plan.make_plan(32 * MB, 24 * MB, 1024, {MemoryPurpose.BUFFERS: 30 * MB})
     assert exceeds.value.required_bytes > 30 * MB
@@ -66,7 +69,7 @@
     assert plan.make_plan(8 * MB, 24 * MB, 1024).is_below_minimum
 
 
-def test_every_purpose_has_a_description_and_a_share() -> None:
+def test_every_purpose_has_a_description_a_ratio_and_a_minimum() -> None:
     assert (
         set(PURPOSE_DESCRIPTIONS)
         == set(plan.CAP_RATIOS)
--- a/tests/memory/test_resident_monitor.py
+++ b/tests/memory/test_resident_monitor.py
@@ -1,4 +1,4 @@
-"""The resident memory monitor."""
+"""Tests of the resident memory monitor."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from larchhaven.memory.resident_monitor import TRIM_INTERVAL_US, ResidentMemoryMonitor
 
 
-def test_unaccounted_growth_is_reported_at_each_further_threshold_only() -> None:
+def test_unaccounted_growth_causes_one_warning_per_threshold() -> None:
     monitor = ResidentMemoryMonitor(100 * MB)
     monitor.start(20 * MB, MB)
     assert not monitor.sample(1, 24 * MB, 5 * MB).should_warn
@@ -16,7 +16,7 @@
     assert monitor.peak_bytes == 43 * MB
 
 
-def test_allocator_is_trimmed_at_most_once_in_the_interval() -> None:
+def test_allocator_is_trimmed_at_most_once_per_interval() -> None:
     monitor = ResidentMemoryMonitor(32 * MB)
     monitor.start(22 * MB, 0)
     assert not monitor.sample(0, 22 * MB + MB // 2, 0).should_trim
