--- a/larchhaven/operator/__init__.py
+++ b/larchhaven/operator/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' file: its schema, the reader of protobuf text format, and the settings in it.
+"""The operators' file: its schema, a parser of protobuf text format, and its settings.
 
-Only ``settings`` is loaded by a proxy; all other modules need the protobuf library.
+A proxy imports only ``settings``; the other modules need the protobuf library.
 """
--- a/larchhaven/operator/field_kinds.py
+++ b/larchhaven/operator/field_kinds.py
@@ -1,4 +1,4 @@
-"""What a field of a schema takes: in words, and as bounds of its numbers."""
+"""The valid values of a schema's fields: their descriptions and the bounds of numbers."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 @dataclass(frozen=True, slots=True)
 class IntegerBounds:
-    """The least and the greatest value of a type of whole numbers."""
+    """The smallest and the largest value of an integer type."""
 
     least: int
     greatest: int
 
     def contains(self, value: float) -> bool:
-        """Return whether a value is a whole number within the bounds."""
+        """Return whether a value is an integer within the bounds."""
         return value == value // 1 and self.least <= value <= self.greatest
 
 
@@ -30,31 +30,31 @@
 
 
 def describe_kind(field: FieldDescriptor) -> str:
-    """Return in words what a scalar field takes."""
+    """Describe the valid values of a scalar field."""
     match field.cpp_type:
         case FieldDescriptor.CPPTYPE_BOOL:
             return "true or false"
         case FieldDescriptor.CPPTYPE_STRING:
-            return 'a text in quotes ("...")'
+            return 'a quoted string ("...")'
         case FieldDescriptor.CPPTYPE_ENUM if field.enum_type is not None:
             return f"one of {', '.join(field.enum_type.values_by_name)}"
         case FieldDescriptor.CPPTYPE_DOUBLE | FieldDescriptor.CPPTYPE_FLOAT:
             return "a number"
         case FieldDescriptor.CPPTYPE_UINT32 | FieldDescriptor.CPPTYPE_UINT64:
-            return "a whole number from 0 on"
-    return "a whole number"
+            return "an integer of 0 or more"
+    return "an integer"
 
 
 def find_range_fault(field: FieldDescriptor, value: float, unit: str = "") -> str:
-    """Return in words how a value is out of the range that the schema states.
+    """Check a value against the range that the schema sets for its field.
 
     Args:
         field: The field.
-        value: Its value, or the length of its text.
-        unit: Unit to show; the schema's if left out.
+        value: The value, or the length of a string.
+        unit: The unit to show; by default that of the schema.
 
     Returns:
-        The fault; empty if there is none.
+        The complaint if the value is out of range, otherwise an empty string.
     """
     options = field.GetOptions()
     if not options.HasExtension(options_pb2.range):
--- a/larchhaven/operator/read.py
+++ b/larchhaven/operator/read.py
@@ -1,7 +1,7 @@
 """Reads the operators' file; ``python -m larchhaven.operator.read FILE`` prints the result as JSON.
 
-The proxy runs it as a process of its own, so that the protobuf library's memory and processor time
-do not burden the event loop.
+The proxy runs this module in a separate process, so that the protobuf library adds neither memory
+to the proxy nor processing time to its event loop.
 """
 
 from __future__ import annotations
@@ -23,7 +23,11 @@
 
 
 def read_text(text: str) -> Reading:
-    """Read the text of an operators' file."""
+    """Read the text of an operators' file.
+
+    Returns:
+        The settings, or the complaints about the text.
+    """
     parsed = parse_message(text, Operator)
     if parsed.complaints:
         return Reading(Settings(), parsed.complaints)
@@ -36,7 +40,7 @@
 
 
 def _convert_settings(message: Operator) -> Settings:
-    """Return the settings in the proxy's units; what is not set keeps its default."""
+    """Convert a message to settings in the proxy's units; absent fields keep their defaults."""
     settings = Settings()
     settings.caps = {
         field.name: int(cap_mb * BYTES_PER_MB) for field, cap_mb in message.memory.ListFields()
@@ -55,7 +59,11 @@
 
 
 def read_file(path: str) -> Reading:
-    """Read an operators' file; one that cannot be read at all gives a complaint."""
+    """Read an operators' file.
+
+    Returns:
+        The settings, or the complaints. A file that cannot be read or decoded has one complaint.
+    """
     try:
         text = Path(path).read_text("utf-8")
     except OSError as error:
--- a/larchhaven/operator/schema_walker.py
+++ b/larchhaven/operator/schema_walker.py
@@ -1,7 +1,7 @@
-"""Walks a text in protobuf text format along its schema and finds all that is wrong with it.
+"""Checks a text in protobuf text format against its schema and collects all errors.
 
-The library's own parser stops at the first mistake, and its messages keep no positions, so that a
-value out of range could not be found again.
+The parser of the protobuf library stops at the first error. The messages that it returns have no
+positions, so a value that is out of range could not be located in the text.
 """
 
 from __future__ import annotations
@@ -23,15 +23,15 @@
 
 
 class TooManyComplaintsError(LarchhavenError):
-    """There are enough complaints for one file."""
+    """The maximum number of complaints has been reached."""
 
 
 class SchemaWalker:
-    """One pass over a text.
+    """Checks one text in a single pass.
 
     Attributes:
-        complaints: All that is wrong, in the order of the text; at most ``MAX_COMPLAINTS``.
-        positions: Where each field begins, by paths such as ``memory.log``.
+        complaints: The errors, in the order of the text; at most ``MAX_COMPLAINTS``.
+        positions: The position of each field, by path such as ``memory.log``.
     """
 
     def __init__(self, text: str) -> None:
@@ -40,11 +40,11 @@
         self._tokens = TokenReader(text)
 
     def walk(self, schema: Descriptor) -> None:
-        """Walk the whole text along the schema of its message."""
+        """Check the whole text against the schema of its message type."""
         try:
             self._walk_message(schema, "", None, 0)
         except text_format.ParseError as error:
-            # A token that cannot be one, or an end too early: the rest cannot be made out.
+            # The text after a malformed token or an unexpected end cannot be interpreted.
             self._complain(*describe_parse_error(error))
         except TooManyComplaintsError:
             pass
@@ -60,7 +60,7 @@
             position = self._tokens.position
             if self._tokens.is_at_end:
                 if end is not None:
-                    text = f"the text ends before {path} is closed: write {end!r}"
+                    text = f"the file ends before {path!r} is closed: write {end!r}"
                     self._complain(position, text)
                 return
             name = self._tokens.consume_identifier()
@@ -72,7 +72,7 @@
             if name in first_positions and not field.is_repeated:
                 first = first_positions[name]
                 place = f"the first is at {first.line}:{first.column}"
-                text = f"{field_path!r} is given again: keep one of the two, {place}"
+                text = f"{field_path!r} is set more than once: remove one, {place}"
                 self._complain(position, text)
             first_positions.setdefault(name, position)
             self.positions.setdefault(field_path, position)
@@ -83,9 +83,9 @@
     def _skip_unknown_field(
         self, schema: Descriptor, path: str, name: str, position: TextPosition
     ) -> None:
-        known = list(schema.fields_by_name)
-        near = difflib.get_close_matches(name, known, 1)
-        hint = f"write {near[0]!r}" if near else f"known are {', '.join(known)}"
+        field_names = list(schema.fields_by_name)
+        matches = difflib.get_close_matches(name, field_names, 1)
+        hint = f"write {matches[0]!r}" if matches else f"the fields are {', '.join(field_names)}"
         subject = repr(path) if path else "the file"
         self._complain(position, f"{subject} has no field {name!r}: {hint}")
         self._tokens.try_consume(":")
@@ -102,7 +102,7 @@
         while not self._tokens.try_consume("]"):
             self._walk_item(field, path, depth, has_colon=True)
             if not self._tokens.try_consume(",") and self._tokens.current != "]":
-                text = f"{path!r}: write ',' between the items, or ']' after the last"
+                text = f"{path!r} is a list: write ',' between its items or ']' after the last one"
                 self._complain(self._tokens.position, text)
                 self._tokens.try_consume(self._tokens.current)
             if self._tokens.is_at_end:
@@ -115,9 +115,9 @@
         position = self._tokens.position
         if not has_colon:
             name = path.rpartition(".")[2]
-            self._complain(position, f"{path!r} is a value: write '{name}: ...'")
+            self._complain(position, f"{path!r} is a scalar field: write '{name}: ...'")
         if self._tokens.current in GROUP_ENDS or self._tokens.current == "[":
-            text = f"{path!r} is {describe_kind(field)}, not a group or a list"
+            text = f"{path!r} must be {describe_kind(field)}, not a message or a list"
             self._complain(position, text)
             self._tokens.skip_value()
             return
@@ -127,12 +127,14 @@
         end = GROUP_ENDS.get(self._tokens.current)
         if end is None:
             name = path.rpartition(".")[2]
-            text = f"{path!r} is a group: write '{name} {{ ... }}'"
+            text = f"{path!r} is a message field: write '{name} {{ ... }}'"
             self._complain(self._tokens.position, text)
             self._tokens.skip_value()
             return
         if depth >= MAX_DEPTH:
-            raise self._tokens.make_error("groups are nested too deeply")
+            raise self._tokens.make_error(
+                f"{path!r} exceeds the maximum nesting depth of {MAX_DEPTH} messages"
+            )
         self._tokens.advance()
         self._walk_message(schema, path, end, depth + 1)
         self._tokens.try_consume(end)
@@ -144,12 +146,12 @@
         except text_format.ParseError:
             if self._tokens.position == position and not self._tokens.is_at_end:
                 self._tokens.advance()
-            fault = f"is {describe_kind(field)}, not {token!r}"
+            fault = f"must be {describe_kind(field)}, not {token!r}"
         if fault:
             self._complain(position, f"{path!r} {fault}")
 
     def _find_scalar_fault(self, field: FieldDescriptor) -> str:
-        """Consume a scalar; return in words what is wrong with it, or an empty string."""
+        """Consume a scalar; return the complaint about it, or an empty string if it is valid."""
         match field.cpp_type:
             case FieldDescriptor.CPPTYPE_BOOL:
                 self._tokens.consume_bool()
@@ -164,25 +166,25 @@
 
 
 def _find_enum_fault(enum: EnumDescriptor, name: str) -> str:
-    known: Sequence[str] = list(enum.values_by_name)
-    if name in known:
+    value_names: Sequence[str] = list(enum.values_by_name)
+    if name in value_names:
         return ""
-    near = difflib.get_close_matches(name.upper(), known, 1)
-    hint = f"write {near[0]}" if near else f"known are {', '.join(known)}"
+    matches = difflib.get_close_matches(name.upper(), value_names, 1)
+    hint = f"write {matches[0]}" if matches else f"the values are {', '.join(value_names)}"
     return f"has no value {name!r}: {hint}"
 
 
 def _find_number_fault(field: FieldDescriptor, value: float) -> str:
     bounds = INTEGER_BOUNDS.get(field.cpp_type)
     if bounds is not None and not bounds.contains(value):
-        return f"is {describe_kind(field)}, not {value:g}"
+        return f"must be {describe_kind(field)}, not {value:g}"
     if not math.isfinite(value):
-        return "is a finite number"
+        return f"must be a finite number, not {value:g}"
     return find_range_fault(field, value)
 
 
 def describe_parse_error(error: Exception) -> tuple[TextPosition, str]:
-    """Return the place and the text of an error of the library's parser."""
+    """Return the position and the message of an error of the protobuf library's parser."""
     line = getattr(error, "GetLine", lambda: 0)() or 0
     column = getattr(error, "GetColumn", lambda: 0)() or 0
     return TextPosition(line, column), str(error).rpartition(" : ")[2]
--- a/larchhaven/operator/settings.py
+++ b/larchhaven/operator/settings.py
@@ -1,6 +1,6 @@
 """The operators' settings; the defaults are those of ``deploy/operator.textproto``.
 
-The JSON of these types is what ``larchhaven check --write`` writes and a proxy reads.
+``larchhaven check --write`` writes these types as JSON, and a proxy reads them.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 
 
 class TextPosition(msgspec.Struct, frozen=True, array_like=True):
-    """A place in a text; line and column count from 1 and are 0 for the whole file."""
+    """A position in a text: line and column count from 1; both are 0 for the whole file."""
 
     line: int
     column: int
@@ -19,12 +19,12 @@
 
 
 class Complaint(msgspec.Struct, frozen=True):
-    """One thing in a file that cannot be used.
+    """An error in a file.
 
     Attributes:
-        line: Its line, from 1; 0 for the whole file.
-        column: Its column, from 1; 0 for the whole file.
-        text: What is wrong and what to write instead.
+        line: The line of the error, from 1; 0 for the whole file.
+        column: The column of the error, from 1; 0 for the whole file.
+        text: The description of the error and of its correction.
     """
 
     line: int
@@ -33,11 +33,11 @@
 
     @classmethod
     def at(cls, position: TextPosition, text: str) -> Complaint:
-        """Return a complaint about a place."""
+        """Create a complaint for a position."""
         return cls(position.line, position.column, text)
 
     def format(self, path: str) -> str:
-        """Return the complaint as compilers write theirs, so that editors find the place."""
+        """Format the complaint like a compiler error, so that editors can jump to its position."""
         if not self.line:
             return f"{path}: {self.text}"
         return f"{path}:{self.line}:{self.column}: {self.text}"
@@ -53,16 +53,18 @@
         "membership_keys": "member_keys",
     },
 ):
-    """What operators may set.
+    """The operators' settings of a proxy.
 
     Attributes:
-        caps: Caps of memory purposes in bytes, by the purposes' keys.
-        reserve_ratio: Part of the capacity for the class of the highest priority weight.
-        unread_us: A client may be shed after so long without reading.
+        caps: The caps of memory purposes in bytes, by key of the purpose.
+        reserve_ratio: The fraction of each capacity reserved for the classes with the highest
+            priority weight.
+        unread_us: The time without reading after which a client may be shed.
         log_as_json: Whether log lines are JSON.
-        log_repeat_interval_us: Least time between two log lines of one kind.
-        membership_enabled: Whether the proxy takes part in the membership.
-        membership_keys: Keys of the membership; the first authenticates the proxy's own datagrams.
+        log_repeat_interval_us: The minimum time between two log lines of the same event.
+        membership_enabled: Whether the proxy runs the membership protocol.
+        membership_keys: The keys of the membership protocol, all of which are accepted; the first
+            key authenticates the proxy's own datagrams.
     """
 
     caps: dict[str, int] = {}
@@ -75,12 +77,13 @@
 
 
 class Reading(msgspec.Struct, rename={"memory_position": "memory_at"}):
-    """What reading a file gave.
+    """The result of reading a file.
 
     Attributes:
-        settings: The settings; they count only if there are no complaints.
-        complaints: All that is wrong with the file.
-        memory_position: Where the caps begin; their sum is checked once the grant is known.
+        settings: The settings; valid only if there are no complaints.
+        complaints: All errors in the file.
+        memory_position: The position of the caps, for complaints about their sum, which can be
+            checked only when the grant is known.
     """
 
     settings: Settings
--- a/larchhaven/operator/text_parser.py
+++ b/larchhaven/operator/text_parser.py
@@ -1,7 +1,7 @@
-"""Parses protobuf text format and reports all complaints at once, each with its line and column.
+"""Parses protobuf text format and reports all errors at once, each with its line and column.
 
-A walk along the schema finds what is wrong; a text without complaints is then parsed by the
-protobuf library itself, which has the last word.
+A schema walk collects the errors. A text without errors is then parsed by the protobuf library,
+which may still reject it.
 """
 
 from __future__ import annotations
@@ -18,18 +18,18 @@
 
 MessageT = TypeVar("MessageT", bound=Message)
 
-# Files for people are far shorter; a longer one is rejected unread.
+# Files written by hand are far shorter; a longer text is rejected without parsing.
 MAX_TEXT_LENGTH = 1 << 20
 
 
 @dataclass(slots=True)
 class ParsedMessage(Generic[MessageT]):
-    """What parsing a text gave.
+    """The result of parsing a text.
 
     Attributes:
-        message: The message; it counts only if there are no complaints.
-        complaints: All that is wrong with the text.
-        positions: Where each field begins, by paths such as ``memory.log``.
+        message: The message; valid only if there are no complaints.
+        complaints: The errors in the text.
+        positions: The position of each field, by path such as ``memory.log``.
     """
 
     message: MessageT
@@ -41,7 +41,7 @@
     """Parse a text into a message.
 
     Args:
-        text: The text.
+        text: The text in protobuf text format.
         message_type: The type of the message.
 
     Returns:
@@ -49,7 +49,7 @@
     """
     message = message_type()
     if len(text) > MAX_TEXT_LENGTH:
-        reason = f"the file is longer than {MAX_TEXT_LENGTH >> 10} KiB"
+        reason = f"the file has {len(text)} characters: the maximum is {MAX_TEXT_LENGTH}"
         return ParsedMessage(message, [Complaint.at(WHOLE_FILE, reason)])
     walker = SchemaWalker(text)
     walker.walk(cast("Descriptor", message.DESCRIPTOR))
--- a/larchhaven/operator/token_reader.py
+++ b/larchhaven/operator/token_reader.py
@@ -1,4 +1,4 @@
-"""The tokens of a text in protobuf text format, with their positions."""
+"""A tokenizer of protobuf text format that exposes the positions of tokens."""
 
 from __future__ import annotations
 
@@ -14,9 +14,10 @@
 
 
 class TokenReader:
-    """Reads one token after another; the protobuf library splits the text.
+    """Reads the tokens of a text one by one, using the tokenizer of the protobuf library.
 
-    The methods raise ``google.protobuf.text_format.ParseError`` for a token that cannot be one.
+    The methods raise ``google.protobuf.text_format.ParseError`` if the next token is malformed or
+    not of the requested type.
     """
 
     def __init__(self, text: str) -> None:
@@ -24,52 +25,52 @@
 
     @property
     def current(self) -> str:
-        """The present token; empty at the end."""
+        """The current token; empty at the end of the text."""
         return str(self._tokenizer.token)
 
     @property
     def position(self) -> TextPosition:
-        """Where the present token begins."""
-        # The tokenizer reports its position only inside of errors.
+        """The position at which the current token begins."""
+        # The public API of the tokenizer exposes the position only in errors.
         return TextPosition(self._tokenizer._line + 1, self._tokenizer._column + 1)
 
     @property
     def is_at_end(self) -> bool:
-        """Whether there are no more tokens."""
+        """Whether all tokens have been read."""
         return bool(self._tokenizer.AtEnd())
 
     def advance(self) -> None:
-        """Go on to the next token."""
+        """Advance to the next token."""
         self._tokenizer.NextToken()
 
     def try_consume(self, token: str) -> bool:
-        """Go on if the present token is this one, and return whether it was."""
+        """Consume the current token if it equals the given one; return whether it did."""
         return bool(self._tokenizer.TryConsume(token))
 
     def consume_identifier(self) -> str:
-        """Consume the name of a field or of an enum's value."""
+        """Consume the name of a field or of an enum value."""
         return str(self._tokenizer.ConsumeIdentifier())
 
     def consume_bool(self) -> bool:
-        """Consume a truth value."""
+        """Consume a Boolean."""
         return bool(self._tokenizer.ConsumeBool())
 
     def consume_string(self) -> str:
-        """Consume a text in quotes."""
+        """Consume a quoted string."""
         return str(self._tokenizer.ConsumeString())
 
     def consume_number(self) -> float:
-        """Consume a number with its sign."""
+        """Consume a number, which may have a minus sign."""
         sign = -1 if self.try_consume("-") else 1
         return sign * float(self._tokenizer.ConsumeFloat())
 
     def make_error(self, text: str) -> Exception:
-        """Return an error about the present token."""
+        """Create a parse error at the position of the current token."""
         error: Exception = self._tokenizer.ParseError(text)
         return error
 
     def skip_value(self) -> None:
-        """Skip a value of any kind, with all that is in it."""
+        """Skip a scalar, or a message or list with its contents."""
         if self.current in _OPENING:
             self._skip_group()
         elif not self.is_at_end and self.current not in _CLOSING:
