--- a/larchhaven/net/__init__.py
+++ b/larchhaven/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real proxy: sockets and time in, events for the decisions out, their actions back in."""
+"""The proxy process: turns socket input and timers into routing events, and executes actions."""
--- a/larchhaven/net/hot_restart.py
+++ b/larchhaven/net/hot_restart.py
@@ -1,9 +1,9 @@
-"""Hot restart: a process shares its state and its connections with the process that succeeds it.
+"""Hot restart: a process hands its state and its connections over to its successor.
 
-The successor says hello and receives what its predecessor knows. While both run, each notifies the
-other of its open requests and forwards its balancer's gossip. When the predecessor shuts down, it
-transfers its established connections. If the other process is absent, of another version or broken,
-each goes on alone.
+The successor sends a hello and receives the predecessor's state. While both processes run, each
+notifies the other of the requests that it opens and closes, and forwards the gossip of its
+balancer. When the predecessor shuts down, it transfers its established connections. If the other
+process is absent, broken or of another protocol version, a process continues on its own.
 """
 
 from __future__ import annotations
@@ -34,35 +34,35 @@
 )
 
 MAX_REMOTE_IDENTITIES = 4_000
-# A successor that has received nothing in this time starts as if there were no predecessor.
+# A successor that receives no state within this time starts as if there were no predecessor.
 PREDECESSOR_TIMEOUT_US = 1_000_000
-# The client's and the server's side.
+# One for the client's socket and one for the server's.
 DESCRIPTORS_PER_CONNECTION = 2
 
 
 class HotRestartListener(Protocol):
-    """Supplies what this process shares, and receives what the other one sends."""
+    """Provides the state to share, and receives the messages of the other process."""
 
     def build_shared_state(self) -> SharedState:
-        """Return what the successor must know."""
+        """Return the state that the successor starts with."""
 
     def on_shared_state(self, state: SharedState) -> None:
-        """Adopt what the predecessor knows."""
+        """Adopt the state of the predecessor."""
 
     def on_gossip_forwarded(self, data: bytes) -> None:
-        """Handle a message of the other process's balancer."""
+        """Handle a gossip message from the balancer of the other process."""
 
     def on_connection_transferred(
         self, transfer: ConnectionTransfer, descriptors: Sequence[int]
     ) -> None:
-        """Continue a connection; its descriptors belong to this process from here on."""
+        """Take over a connection, and with it the ownership of its descriptors."""
 
 
 class RemoteIdentities:
-    """The hashes of the identities whose requests are open at the other process.
+    """The hashes of the identities of the requests that are open in the other process.
 
     Args:
-        account: Is charged for each of them.
+        account: The memory account that each hash is charged to.
     """
 
     def __init__(self, account: MemoryAccount) -> None:
@@ -70,36 +70,37 @@
         self._hashes: set[bytes] = set()
 
     def __contains__(self, identity: bytes) -> bool:
-        """Tell whether a request of this identity is open there."""
+        """Return whether the other process has an open request with this identity."""
         return bool(self._hashes) and identity_hash(identity) in self._hashes
 
     def add(self, hashed: bytes) -> None:
-        """Remember a hash while there is capacity; without it, a duplicate costs a set-up."""
+        """Add a hash if there is capacity; otherwise a duplicate request costs a second set-up."""
         is_new = hashed not in self._hashes and len(self._hashes) < MAX_REMOTE_IDENTITIES
         if is_new and self._account.try_charge(MemoryPurpose.PEERS, REQUEST_ID_BYTES):
             self._hashes.add(hashed)
 
     def discard(self, hashed: bytes) -> None:
-        """Forget a hash."""
+        """Remove a hash if it is present."""
         if hashed in self._hashes:
             self._hashes.remove(hashed)
             self._account.release(MemoryPurpose.PEERS, REQUEST_ID_BYTES)
 
     def clear(self) -> None:
-        """Forget all hashes."""
+        """Remove all hashes."""
         self._account.release(MemoryPurpose.PEERS, REQUEST_ID_BYTES * len(self._hashes))
         self._hashes.clear()
 
 
 class HotRestart:
-    """The channels that a process may have to its predecessor and to its successor.
+    """The channels of a process to its predecessor and its successor, as far as these exist.
 
     Args:
         loop: The event loop.
-        log: Receives what goes wrong.
-        directory: The directory that the processes share; empty if there is none.
-        listener: Supplies and receives the state.
-        account: Is charged for the identities of the other process.
+        log: Receives warnings about channels that cannot be opened or have failed.
+        directory: The directory that both processes share; empty if there is none.
+        listener: Provides the state to share, and receives messages.
+        account: The memory account that identities of the other process are charged to;
+            unbounded if None.
     """
 
     def __init__(
@@ -121,10 +122,11 @@
         self._remote_identities = RemoteIdentities(account or MemoryAccount.unbounded())
 
     def start(self, on_started: Callable[[], None]) -> None:
-        """Look for a predecessor, and listen for a successor.
+        """Connect to the predecessor, if there is one, and listen for a successor.
 
         Args:
-            on_started: Called once the predecessor's state has arrived, or there is no predecessor.
+            on_started: Called once the predecessor's state has arrived or timed out, or there is no
+                predecessor.
         """
         self._on_started = on_started
         try:
@@ -139,35 +141,35 @@
             self._log.warning("hot restart unavailable", str(error))
 
     def is_open_elsewhere(self, identity: bytes) -> bool:
-        """Tell whether the other process holds an open request of this identity."""
+        """Return whether the other process has an open request with this identity."""
         return identity in self._remote_identities
 
     @property
     def has_successor(self) -> bool:
-        """Tell whether there is a process to transfer connections to."""
+        """Whether there is a successor to transfer connections to."""
         return self._successor is not None
 
     def transfer_connection(self, transfer: ConnectionTransfer, descriptors: Sequence[int]) -> bool:
         """Transfer a connection to the successor.
 
         Returns:
-            Whether it was sent; if not, this process still owns it.
+            Whether the connection was sent; if not, this process still owns it.
         """
         return self._successor is not None and self._successor.send(transfer, descriptors)
 
     def announce_identity(self, identity: bytes, is_open: bool) -> None:
-        """Notify the other process that a request was opened or closed."""
+        """Notify the other process that the request with this identity was opened or closed."""
         if self._predecessor is not None or self._successor is not None:
             self._broadcast(IdentityChanged(identity_hash(identity), is_open))
 
     def forward_gossip(self, data: bytes) -> None:
-        """Forward an encoded message to the other process's balancer."""
+        """Forward an encoded gossip message to the balancer of the other process."""
         self._broadcast(GossipForwarded(data))
 
     def on_message(
         self, channel: HotRestartChannel, message: Message, descriptors: Sequence[int]
     ) -> None:
-        """Handle a message of the other process."""
+        """Handle a message from the other process."""
         if (
             isinstance(message, ConnectionTransfer)
             and len(descriptors) == DESCRIPTORS_PER_CONNECTION
@@ -195,10 +197,13 @@
             ):
                 self._adopt_shared_state(message)
             case _:
-                channel.close("unexpected message or version")
+                channel.close(
+                    f"unexpected {type(message).__name__} message,"
+                    f" or its protocol version is not {PROTOCOL_VERSION}"
+                )
 
     def on_channel_closed(self, channel: HotRestartChannel, reason: str) -> None:
-        """Go on alone."""
+        """Continue without the other process."""
         if reason:
             self._log.warning("hot restart channel closed", reason)
         if channel in (self._predecessor, self._successor):
@@ -230,4 +235,4 @@
         if self._successor is None:
             HotRestartChannel(self._loop, accepted, self)
         else:
-            accepted.close()  # there is one already
+            accepted.close()  # there is a successor already
--- a/larchhaven/net/hot_restart_messages.py
+++ b/larchhaven/net/hot_restart_messages.py
@@ -1,7 +1,8 @@
 """Messages between the two processes of a hot restart, and their encoding.
 
-The wire names are those that other versions know: the ``tag`` of a message and the ``name`` of a
-field differ from the names used here. ``tests/test_stored_data.py`` pins the bytes.
+On the wire, messages and fields have the names that other versions of the program use. If such a
+name differs from the one in this module, it is given as ``tag`` or ``name``.
+``tests/test_stored_data.py`` pins the encoded bytes.
 """
 
 from __future__ import annotations
@@ -31,13 +32,13 @@
 
 
 class RestartHello(msgspec.Struct, tag="Hello"):
-    """The successor's first message."""
+    """The first message, sent by the successor."""
 
     version: int = msgspec.field(name="v")
 
 
 class ReportRecord(msgspec.Struct):
-    """A load report, with the field names that other versions know."""
+    """A load report as it is encoded, under the field names that other versions use."""
 
     load_ratio: float | None = msgspec.field(name="ratio", default=None)
     utilization: float | None = None
@@ -47,7 +48,7 @@
 
     @classmethod
     def from_report(cls, report: LoadReport) -> ReportRecord:
-        """Return the record of a report."""
+        """Return the record that encodes a load report."""
         return cls(
             report.load_ratio,
             report.utilization,
@@ -57,7 +58,7 @@
         )
 
     def to_report(self) -> LoadReport:
-        """Return the report."""
+        """Return the load report that this record encodes."""
         return LoadReport(
             self.load_ratio,
             self.utilization,
@@ -68,7 +69,13 @@
 
 
 class ServerReport(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
-    """The latest load report of a server, with its time on the clock that both processes share."""
+    """The latest load report of a server.
+
+    Attributes:
+        server_id: The server.
+        received_at_us: When the report was received, on the clock that both processes share.
+        report: The report.
+    """
 
     server_id: str
     received_at_us: int
@@ -76,13 +83,13 @@
 
 
 class SharedState(msgspec.Struct, tag="Known"):
-    """The predecessor's answer to ``RestartHello``: what the successor starts with.
+    """The predecessor's reply to ``RestartHello``: the state that the successor starts with.
 
     Attributes:
         version: The protocol version of the predecessor.
-        reports: The latest load reports.
-        identity_hashes: The hashes of the identities of its open requests.
-        incarnation: Its incarnation in the membership; 0 if membership was off.
+        reports: The latest load report of each server.
+        identity_hashes: The hashes of the identities of the predecessor's open requests.
+        incarnation: The predecessor's incarnation in the membership; 0 if membership is disabled.
     """
 
     version: int = msgspec.field(name="v")
@@ -92,20 +99,31 @@
 
 
 class IdentityChanged(msgspec.Struct, tag="Identity"):
-    """A request of the sender was opened or closed."""
+    """The sender has opened or closed the request with this identity."""
 
     identity_hash: bytes = msgspec.field(name="mark")
     is_open: bool = msgspec.field(name="on")
 
 
 class GossipForwarded(msgspec.Struct, tag="Heard"):
-    """An encoded gossip message from the other process's balancer."""
+    """An encoded gossip message from the sender's balancer."""
 
     data: bytes
 
 
 class ConnectionTransfer(msgspec.Struct, tag="Standing"):
-    """An established connection, sent with its client's and its server's descriptor."""
+    """An established connection, sent with the descriptors of its client's and server's sockets.
+
+    Attributes:
+        identity: The identity of its request.
+        request_class: The index of its request class.
+        server_id: Its server.
+        relay: The state of the relay between its client and its server.
+        key: Its affinity key; None if it has none.
+        group: Its affinity group; None if it has none.
+        load: The load of the connection, in cores; None if unknown.
+        tenant: The index of its tenant.
+    """
 
     identity: bytes
     request_class: int = msgspec.field(name="cls")
@@ -122,20 +140,20 @@
 
 
 def identity_hash(identity: bytes) -> bytes:
-    """Return the hash that stands for a request's identity, which may be as long as a line."""
+    """Return a hash of fixed length for a request's identity, which may be as long as a line."""
     return blake2b(identity, digest_size=IDENTITY_HASH_BYTES).digest()
 
 
 def encode(message: Message) -> bytes:
-    """Encode a message."""
+    """Return a message encoded as MessagePack."""
     return msgspec.msgpack.encode(message)
 
 
 def decode(data: bytes) -> Message:
-    """Decode a message.
+    """Return the message that was encoded as this data.
 
     Raises:
-        InvalidMessageError: If the data is not a message of this protocol.
+        InvalidMessageError: If the data is not a valid message of this protocol.
     """
     try:
         return _decoder.decode(data)
--- a/larchhaven/net/hot_restart_socket.py
+++ b/larchhaven/net/hot_restart_socket.py
@@ -1,4 +1,4 @@
-"""The Unix socket on which the two processes of a hot restart meet."""
+"""The Unix socket through which the two processes of a hot restart communicate."""
 
 from __future__ import annotations
 
@@ -15,23 +15,23 @@
 
 SOCKET_NAME = "larchhaven-upgrade.sock"
 ACCEPT_BACKLOG = 4
-# The longest message: the state of a connection with four full buffers, or the open identities.
+# The longest messages: a connection with four full buffers, or the hashes of all open identities.
 MAX_MESSAGE_BYTES = 128 << 10
 MAX_MESSAGES_PER_ITERATION = 64
-# A connection has a client's and a server's side.
+# One for the client's socket and one for the server's.
 MAX_DESCRIPTORS_PER_MESSAGE = 2
 
 
 class ChannelClosedError(LarchhavenError):
-    """The other process has closed its end."""
+    """The other process has closed its end of the channel."""
 
 
 class TruncatedMessageError(LarchhavenError):
-    """A message is longer than ``MAX_MESSAGE_BYTES`` or carries too many descriptors."""
+    """A message is longer than ``MAX_MESSAGE_BYTES``, or its descriptors were not all received."""
 
 
 def close_descriptors(descriptors: Iterable[int]) -> None:
-    """Close descriptors that were received and are of no use."""
+    """Close received descriptors that are not used."""
     for descriptor in descriptors:
         os.close(descriptor)
 
@@ -42,10 +42,10 @@
     def on_message(
         self, channel: HotRestartChannel, message: Message, descriptors: Sequence[int]
     ) -> None:
-        """Handle a message; its descriptors belong to the listener from here on."""
+        """Handle a message; the listener becomes the owner of its descriptors."""
 
     def on_channel_closed(self, channel: HotRestartChannel, reason: str) -> None:
-        """Handle the end of a channel; the reason is empty if the other process closed it."""
+        """Handle a closed channel; the reason is empty if the other process closed it."""
 
 
 class HotRestartChannel:
@@ -53,8 +53,11 @@
 
     Args:
         loop: The event loop.
-        sock: The connected socket; the channel owns it from here on.
-        listener: Receives the messages and the end.
+        sock: The connected socket; the channel becomes its owner.
+        listener: Receives the messages, and is notified when the channel is closed.
+
+    Attributes:
+        closed: Whether this end is closed.
     """
 
     def __init__(self, loop: EventLoop, sock: socket.socket, listener: ChannelListener) -> None:
@@ -66,7 +69,7 @@
         self.closed = False
 
     def send(self, message: Message, descriptors: Sequence[int] = ()) -> bool:
-        """Send a whole message, or nothing of it.
+        """Send a message, completely or not at all.
 
         Returns:
             Whether it was sent.
@@ -75,7 +78,7 @@
             return False
         try:
             socket.send_fds(self._sock, [encode(message)], list(descriptors))
-        except OSError:  # its buffer is full, or the other process is gone
+        except OSError:  # the socket buffer is full, or the other process has exited
             return False
         return True
 
@@ -88,7 +91,7 @@
             self._listener.on_channel_closed(self, reason)
 
     def _on_readable(self, _: int) -> None:
-        for _turn in range(MAX_MESSAGES_PER_ITERATION):
+        for _index in range(MAX_MESSAGES_PER_ITERATION):
             try:
                 message, descriptors = self._receive()
             except BlockingIOError:
@@ -112,26 +115,30 @@
 
 
 def _decode_datagram(data: bytes, flags: int) -> Message:
-    """Return the message of a datagram.
+    """Return the message in a datagram.
 
     Raises:
-        ChannelClosedError: The other process has closed the channel.
-        TruncatedMessageError: The message is longer than is read.
-        InvalidMessageError: The bytes are no message.
+        ChannelClosedError: If the data is empty: the other process has closed the channel.
+        TruncatedMessageError: If the message was longer than the read buffer, or not all of its
+            descriptors could be received.
+        InvalidMessageError: If the data is not a valid message.
     """
     if not data:
         raise ChannelClosedError
     if flags & (socket.MSG_TRUNC | socket.MSG_CTRUNC):
-        raise TruncatedMessageError("message too long")
+        raise TruncatedMessageError(
+            f"message truncated: longer than {MAX_MESSAGE_BYTES} bytes,"
+            " or not all of its descriptors could be received"
+        )
     return decode(data)
 
 
 class HotRestartSocket:
-    """The socket file in the directory that the two processes share.
+    """The socket file in the directory that both processes share.
 
     Args:
         loop: The event loop.
-        directory: The shared directory; if it is empty, nothing can be reached or listened to.
+        directory: The shared directory; if it is empty, ``connect`` and ``listen`` fail.
     """
 
     def __init__(self, loop: EventLoop, directory: str) -> None:
@@ -142,7 +149,7 @@
         """Connect to the predecessor.
 
         Raises:
-            OSError: If there is none.
+            OSError: If there is no predecessor.
         """
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         try:
@@ -154,13 +161,13 @@
         return sock
 
     def listen(self, on_accepted: Callable[[socket.socket], None]) -> None:
-        """Listen in place of the predecessor, so that the next process finds this one.
+        """Replace the predecessor's socket file, so that the next process connects to this one.
 
         Args:
-            on_accepted: Receives each connection.
+            on_accepted: Called with the socket of each connection.
 
         Raises:
-            OSError: If the directory cannot hold a socket.
+            OSError: If the socket file cannot be created.
         """
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         temporary_name = f"{SOCKET_NAME}.{os.getpid()}"
@@ -180,12 +187,12 @@
         try:
             accepted, _address = sock.accept()
         except OSError:
-            return  # it has gone again
+            return  # the connecting process has given up
         on_accepted(accepted)
 
     @contextmanager
     def _short_path(self, name: str) -> Iterator[str]:
-        """Name a file by its directory's descriptor: the address of a Unix socket must be short."""
+        """Yield a path through the directory's descriptor: Unix socket paths must be short."""
         directory = os.open(self._directory, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
             yield f"/proc/self/fd/{directory}/{name}"
--- a/larchhaven/net/peer_messaging.py
+++ b/larchhaven/net/peer_messaging.py
@@ -1,4 +1,4 @@
-"""Datagrams between the proxies: gossip of the decisions, and the membership."""
+"""Datagrams between proxies: gossip between their balancers, and the membership protocol."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 
 
 class PeerMessaging:
-    """Sends and receives the datagrams of this proxy.
+    """Exchanges datagrams with the other proxies.
 
     Args:
-        resources: What the parts of the proxy share.
+        resources: The resources shared by the proxy's components.
         config: The configuration.
-        queue_event: Takes events for the decisions.
-        set_live_peers: Takes the indexes of the proxies that are presumed present.
-        metrics: Counts messages that cannot be used.
+        queue_event: Queues an event for the balancer.
+        set_live_peers: Called with the indexes of the proxies that are presumed present.
+        metrics: Counts invalid messages.
         shares_socket: Whether the other process of a hot restart may use the same address.
 
     Attributes:
-        membership: The membership of this proxy among the others.
+        membership: Enables and disables the membership protocol of this proxy.
         forward_gossip: Forwards each gossip message to the other process of a hot restart.
     """
 
@@ -62,9 +62,9 @@
         self.membership.on_present_changed = set_live_peers
 
     def send_gossip(self, peer_index: int | None, message: GossipMessage) -> None:
-        """Send a gossip message to a proxy by its index, or to all if it is None.
+        """Send a gossip message to the proxy with this index, or to all proxies if it is None.
 
-        The other process of a hot restart has the same index and receives each message.
+        The other process of a hot restart receives every message; it has this proxy's own index.
         """
         data = codec.encode(message)
         if self._socket is not None and peer_index != self._own_index:
--- a/larchhaven/net/proxy.py
+++ b/larchhaven/net/proxy.py
@@ -1,4 +1,4 @@
-"""The proxy: its parts are built here, and joined to each other."""
+"""The proxy: builds its components and connects them to each other."""
 
 from __future__ import annotations
 
@@ -30,21 +30,21 @@
 from larchhaven.operator.settings import Reading, Settings
 from larchhaven.routing.settings import RoutingSettings
 
-# The part of the memory for tables that the sticky table may fill.
+# Fraction of the memory for tables that the sticky table may fill.
 STICKY_TABLE_RATIO = 0.25
 
 
 class Proxy:
-    """One proxy.
+    """A load-balancing proxy.
 
     Args:
         config: The configuration.
-        operator_path: The operators' file; empty if there is none.
-        reading: What was read of that file; None if there is none.
+        operator_path: The path of the operators' file; empty if there is none.
+        reading: The parsed operators' file; None if there is none.
 
     Raises:
         ConfigurationError: If the operators' caps do not fit the grant.
-        OSError: If an address cannot be listened at.
+        OSError: If the proxy cannot listen at an address.
     """
 
     def __init__(
@@ -74,12 +74,13 @@
         self._lifecycle = self._build_lifecycle(operator_path, reading.settings)
 
     def run(self) -> None:
-        """Serve until the end of the shutdown."""
+        """Serve until the shutdown is complete."""
         self._lifecycle.run()
 
     def _handle_signals(self, loop: EventLoop) -> None:
-        # Before the listener is made, which takes clients from then on: a signal that comes during
-        # the start is handled in the first iteration. One before that ends the process.
+        # Called before the listener is built, as clients can connect from then on. A signal that
+        # arrives during the start is handled in the first iteration of the event loop. An earlier
+        # signal ends the process.
         for stop_signal in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(stop_signal, self._on_stop_signal)
         loop.add_signal_handler(signal.SIGHUP, self._on_reload_signal)
@@ -266,6 +267,6 @@
 
 
 def _find_max_descriptors(config: ProxyConfiguration) -> int:
-    """Return how many descriptors there are beside those of the operators' API."""
+    """Return the number of descriptors available besides those of the operators' API."""
     granted = raise_descriptor_limit(config.limits.sockets)
     return granted - (ADMIN_DESCRIPTORS if config.admin_address is not None else 0)
--- a/larchhaven/net/state_transfer.py
+++ b/larchhaven/net/state_transfer.py
@@ -1,4 +1,4 @@
-"""What a process shares with the other one of a hot restart: its state, and its connections."""
+"""Transfers state and established connections between the two processes of a hot restart."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 )
 from larchhaven.routing.settings import RoutingSettings
 
-# A connection that could not be transferred is tried again after this time.
+# Delay before the transfer is retried after a connection could not be sent.
 TRANSFER_RETRY_US = 5_000
 
 
@@ -41,40 +41,40 @@
 
     @property
     def request_id(self) -> int:
-        """Its id in this process."""
+        """The id of the request in this process."""
 
     @property
     def spec(self) -> RequestSpec:
-        """What its client asked for."""
+        """What the client asked for."""
 
     @property
     def server_id(self) -> str:
-        """Its server."""
+        """The id of the server that the client is connected to."""
 
     @property
     def load(self) -> float | None:
-        """The load of its connection, in cores."""
+        """The load of the connection, in cores; None if unknown."""
 
     @property
     def connection(self) -> EstablishedConnection | None:
-        """Its connection; None once that has ended."""
+        """The connection; None once it has ended."""
 
 
 class OpenIdentities(Protocol):
-    """The identities of the open requests."""
+    """Lists the identities of the open requests."""
 
     def list_identities(self) -> list[bytes]:
-        """Return all of them."""
+        """Return the identities of all open requests."""
 
 
 class TransferableConnections(ConnectionObserver, Protocol):
-    """The established connections, which may leave this process and come from another one."""
+    """The established connections, which can be transferred to and from another process."""
 
     def list_connections(self) -> Sequence[TransferableRequest]:
         """Return the requests whose connections are established."""
 
     def release_connection(self, request_id: int) -> None:
-        """Let go of a connection that the successor has."""
+        """Release a connection that the successor has taken over."""
 
     def adopt_connection(
         self,
@@ -82,24 +82,30 @@
         server_id: str,
         connect: Callable[[int], EstablishedConnection],
     ) -> None:
-        """Add a connection of the predecessor, made by ``connect`` of its request id."""
+        """Add a connection of the predecessor.
+
+        Args:
+            spec: What its client asked for, without the payload.
+            server_id: The id of its server.
+            connect: Makes the connection, given the id of its request in this process.
+        """
 
 
 class StateTransfer:
-    """Shares the state of this process with the other one, and adopts that one's.
+    """Adopts the predecessor's state and connections, and transfers them to the successor.
 
     Args:
-        resources: What the parts of the proxy share.
-        settings: The settings of the decisions.
-        requests: The requests of this process.
-        connections: Its established connections.
-        queue_event: Takes events for the decisions.
-        membership: Is handed over to the successor.
-        latest_reports: The latest load reports of this process, by server.
-        directory: The directory that the processes share; empty if there is no other process.
+        resources: The resources shared by the proxy's components.
+        settings: The routing settings.
+        requests: The open requests of this process.
+        connections: The established connections of this process.
+        queue_event: Queues an event for the balancer.
+        membership: The membership, which is handed over to the successor.
+        latest_reports: The latest load reports of this process, by server id.
+        directory: The directory that both processes share; empty if there is no other process.
 
     Attributes:
-        hot_restart: The channels to the other process.
+        hot_restart: The channels to the predecessor and the successor.
     """
 
     def __init__(
@@ -126,39 +132,43 @@
         )
 
     def start(self, on_started: Callable[[], None]) -> None:
-        """Adopt the state of a predecessor, and wait for a successor.
+        """Request the state of the predecessor, if there is one, and listen for a successor.
 
         Args:
-            on_started: Called once the state has arrived, or there is no predecessor.
+            on_started: Called once the predecessor's state has arrived or timed out, or there is no
+                predecessor.
         """
         self.hot_restart.start(on_started)
 
     def resume_membership(self) -> None:
-        """Take the membership back if the successor has ended."""
+        """Resume the membership if it was handed over to a successor that has exited."""
         if self._membership.is_handed_over and not self.hot_restart.has_successor:
             self._membership.resume()
 
     def transfer_connections(self) -> None:
-        """Transfer the established connections to the successor, as many as it takes now."""
+        """Transfer established connections to the successor, as many as it accepts now."""
         if not self.hot_restart.has_successor:
             return
         for request in self._connections.list_connections():
             relay = request.connection
             state = relay.export_state() if isinstance(relay, ConnectionRelay) else None
             if state is None or not isinstance(relay, ConnectionRelay):
-                continue  # it is about to end
+                continue  # the connection is about to end
             transfer = _make_transfer(request, state)
             if not self.hot_restart.transfer_connection(transfer, relay.file_descriptors()):
-                # The loop wakes for it, and its iteration tries again.
+                # The timer only wakes the loop: this method runs at the end of each iteration.
                 self._loop.call_later(TRANSFER_RETRY_US, lambda: None)
                 return
             self._connections.release_connection(request.request_id)
 
-    # Callbacks of the hot restart
+    # HotRestartListener callbacks
 
     def build_shared_state(self) -> SharedState:
-        """Return what the successor must know; ejections are in their file."""
-        # Our balancer then tells the successor's what it has learnt.
+        """Return the state that the successor starts with.
+
+        Administrative ejections are not included: the successor reads them from their file.
+        """
+        # Makes this process's balancer send its state to the successor's as gossip.
         self.on_gossip_forwarded(codec.PROXY_STARTED)
         reports = [
             ServerReport(
@@ -171,7 +181,7 @@
         return SharedState(PROTOCOL_VERSION, reports, hashes, self._membership.hand_over())
 
     def on_shared_state(self, state: SharedState) -> None:
-        """Adopt what the predecessor knows; its reports keep their age."""
+        """Adopt the state of the predecessor; its load reports keep their age."""
         self._membership.take_over(state.incarnation)
         for shared in state.reports:
             age_us = max(self._loop.now_us - shared.received_at_us, 0)
@@ -181,14 +191,14 @@
             )
 
     def on_gossip_forwarded(self, data: bytes) -> None:
-        """Handle a message of the other process's balancer, which has our index."""
+        """Handle gossip from the balancer of the other process, which has the same proxy index."""
         message = codec.decode(data)
         self._queue_event(GossipReceived(self._settings.proxy_index, message))
 
     def on_connection_transferred(
         self, transfer: ConnectionTransfer, descriptors: Sequence[int]
     ) -> None:
-        """Continue a connection of the predecessor."""
+        """Take over a connection of the predecessor."""
         loop, connections = self._loop, self._connections
         client, server = (
             Stream(loop, self._pool, socket.socket(fileno=descriptor)) for descriptor in descriptors
--- a/larchhaven/net/upstream_servers.py
+++ b/larchhaven/net/upstream_servers.py
@@ -1,4 +1,4 @@
-"""The servers as this proxy learns of them: the endpoint list, health checks and load reports."""
+"""Collects information about servers: the endpoint list, health checks and load reports."""
 
 from __future__ import annotations
 
@@ -25,46 +25,46 @@
     LoadReport,
 )
 
-# The part of the memory for tables that servers remembered as once listed may fill.
+# Fraction of the memory for tables that the ids of servers listed before may fill.
 REMEMBERED_SERVERS_RATIO = 0.10
 
 
 @dataclass(slots=True)
 class ReceivedReport:
-    """A load report, and when it came."""
+    """A load report with the time at which it was received."""
 
     received_at_us: int
     report: LoadReport
 
 
 class ServerEventReceiver(Protocol):
-    """Receives what is learnt of the servers."""
+    """Receives events about servers."""
 
     def queue_event(self, event: Event) -> None:
-        """Queue an event for the decisions."""
+        """Queue an event for the balancer."""
 
     def receive_endpoint_list(self, update: EndpointListUpdate) -> None:
-        """Receive an update of the endpoint list, or its failure."""
+        """Receive an update of the endpoint list, or the notice that the watch has failed."""
 
     def wait_for_endpoint_list(self) -> None:
-        """Have new requests wait for the first list."""
+        """Hold new requests back until a list is received or they cannot wait any longer."""
 
     def forget_server(self, server_id: str) -> None:
-        """Forget a server that is gone."""
+        """Discard the state of a removed server."""
 
 
 class UpstreamServers:
-    """Turns what discovery and health checks say into events for the decisions.
+    """Turns endpoint lists and health check results into events for the balancer.
 
     Args:
-        resources: What the parts of the proxy share.
+        resources: The resources shared by the proxy's components.
         config: The configuration.
         receiver: Receives the events.
 
     Attributes:
         directory: The endpoint list.
-        health_checks: The connections for health checks.
-        endpoint_watch: The calls to discovery.
+        health_checks: The connections on which servers are checked.
+        endpoint_watch: The watch on the endpoint list.
         latest_reports: The latest load report of each server, by its id.
     """
 
@@ -96,13 +96,13 @@
         )
 
     def start(self) -> None:
-        """Begin with the list of the configuration, and ask discovery where lists are pushed."""
+        """Apply the endpoint list of the configuration, and open the watch if lists are pushed."""
         update = self.directory.apply_list(
             EndpointListKind.CACHED, self._config.initial_endpoints, self._loop.now_us
         )
         self._receiver.queue_event(update)
         if not self._config.settings.subscribes_to_endpoints:
-            # The simulator pushes such lists; over HTTP nothing comes without a watch.
+            # Only the simulator pushes lists; over HTTP they are received through a watch.
             self.endpoint_watch.start_with_poll()
             self._receiver.wait_for_endpoint_list()
 
@@ -111,7 +111,8 @@
             update = EndpointListUpdate(EndpointListKind.FAILED)
         else:
             kind = EndpointListKind.COMPLETE if message.is_complete else EndpointListKind.CHANGES
-            # A delayed list counts as notified before: the grace of a drain runs from then.
+            # The grace period of a drain starts at the notification. If the watch was silent, the
+            # list counts as notified when the silence began.
             notified_at_us = self._loop.now_us - self.endpoint_watch.notification_delay_us
             update = self.directory.apply_list(kind, message, notified_at_us)
         self._receiver.receive_endpoint_list(update)
@@ -124,7 +125,7 @@
         self._receiver.queue_event(HealthCheckCompleted(server_id, result, latency_us, report))
 
     def _forget_server(self, server_id: str) -> None:
-        """Forget a server that is gone; the decisions do so by themselves."""
+        """Discard the state of a removed server; the balancer discards its own."""
         self.health_checks.close(server_id)
         self._receiver.forget_server(server_id)
         self.latest_reports.pop(server_id, None)
--- a/tests/net/__init__.py
+++ b/tests/net/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the proxy's network parts, package by package."""
+"""Tests of the ``larchhaven.net`` package."""
