--- a/tests/net/test_endpoint_updates.py
+++ b/tests/net/test_endpoint_updates.py
@@ -1,4 +1,4 @@
-"""Endpoint updates: the watch of the endpoint list and what its events change."""
+"""Endpoint updates: the watch on the endpoint list, and the effect of its events."""
 
 from __future__ import annotations
 
@@ -50,13 +50,17 @@
 
 @pytest.mark.parametrize("proxy", [{"services": LONG_DEADLINE_SERVICES}], indirect=True)
 def test_endpoint_list_is_received_before_the_first_attempt(proxy: ProxyProcess) -> None:
-    """Guards the drain rule: the previous list is old, so every watch event counts at once."""
+    """Requests that arrive at the start wait for the first response of discovery.
+
+    Changes since the configured list count as notified already. Without the wait, a request could
+    be sent to a server that has been draining for longer than its grace period.
+    """
     clients = [proxy.connect_client(make_request_line("c=chat,d=50000,g=ab")) for _ in range(4)]
-    late = proxy.connect_client("PING")
-    # The answer shows that earlier input has been read and a complete iteration has passed.
-    assert late.read_line() == "PONG"
-    late.send_line("PING")
-    assert late.read_line() == "PONG"
+    ping_client = proxy.connect_client("PING")
+    # The first PONG shows that earlier input was read, the second that an iteration is complete.
+    assert ping_client.read_line() == "PONG"
+    ping_client.send_line("PING")
+    assert ping_client.read_line() == "PONG"
     assert not select.select(proxy.servers, [], [], 0)[0]
     update = json.dumps(
         {"seq": 8, "whole": False, "hosts": [make_endpoint("s0", proxy.servers[0], "draining")]}
@@ -68,20 +72,20 @@
 
 @pytest.mark.parametrize("proxy", [{"discovery": "subscribe"}], indirect=True)
 def test_clients_of_a_draining_server_are_migrated(proxy: ProxyProcess) -> None:
-    """Guards clients that learn of a drain only when their server exits and disconnects them."""
-    ends = []
+    """Clients migrate when their server drains, before it exits and disconnects them."""
+    connections = []
     for number in (0, 1, 0):
         client = proxy.connect_client(make_request_line(f"{REQUEST_FIELDS},at=s{number}"))
         server = proxy.accept(proxy.servers[number])
         server.read_line()
         server.send_line("UP 1")
         assert client.read_line() == "UP 1"
-        ends.append((client, server))
+        connections.append((client, server))
     update = json.dumps({"seq": 8, "hosts": [make_endpoint("s0", proxy.servers[0], "draining")]})
     answer_watch(LineConnection(proxy.discovery.accept()[0]), update)
-    for client, server in (ends[0], ends[2]):
+    for client, server in (connections[0], connections[2]):
         assert [client.read_line(), client.read_line(), server.read_line()] == ["MOVE", "", ""]
-    client, server = ends[1]
+    client, server = connections[1]
     client.send_line("still here")
     assert server.read_line() == "still here"
 
@@ -98,13 +102,13 @@
     ],
 )
 @pytest.mark.parametrize("proxy", [{"discovery": "subscribe"}], indirect=True)
-def test_invalid_answer_of_discovery_is_retried_and_the_old_list_kept(
+def test_invalid_response_of_discovery_is_retried_and_the_list_is_kept(
     proxy: ProxyProcess, body: str, status: str
 ) -> None:
     answer_watch(LineConnection(proxy.discovery.accept()[0]), body, status)
-    again = LineConnection(proxy.discovery.accept()[0])
-    assert again.read_line().startswith("GET /v1/endpoints?from=7&hold_ms=")
-    again.reset()
+    next_watch = LineConnection(proxy.discovery.accept()[0])
+    assert next_watch.read_line().startswith("GET /v1/endpoints?from=7&hold_ms=")
+    next_watch.reset()
     client = proxy.connect_client(make_request_line(REQUEST_FIELDS))
     assert proxy.accept().read_line()
     client.close()
--- a/tests/net/test_hot_restart.py
+++ b/tests/net/test_hot_restart.py
@@ -1,4 +1,4 @@
-"""Hot restart: two processes of the program on a listening socket that the test holds."""
+"""Hot restart: two processes of the proxy share a listening socket that the test holds."""
 
 from __future__ import annotations
 
@@ -28,18 +28,18 @@
 
 @pytest.fixture
 def predecessor(tmp_path: Path, request: pytest.FixtureRequest) -> Iterator[ProxyProcess]:
-    """Start the process that is to be replaced."""
-    made = ProxyProcess(tmp_path, inherits_socket=True, **getattr(request, "param", {}))
-    yield made
-    assert "Traceback" not in made.close()
+    """Start the process that a successor replaces."""
+    process = ProxyProcess(tmp_path, inherits_socket=True, **getattr(request, "param", {}))
+    yield process
+    assert "Traceback" not in process.close()
 
 
-def stop(predecessor: ProxyProcess) -> None:
+def terminate(predecessor: ProxyProcess) -> None:
     predecessor.process.send_signal(signal.SIGTERM)
     assert predecessor.process.wait(TIMEOUT_S) == 0
 
 
-def finish(successor: ProxyProcess) -> None:
+def kill_and_check_log(successor: ProxyProcess) -> None:
     successor.process.kill()
     _, log = successor.process.communicate()
     assert "Traceback" not in log, log
@@ -53,66 +53,69 @@
     "predecessor", [{}, {"family_info": {"mode": "proxy", "park": 0}}], indirect=True
 )
 def test_connections_continue_in_the_successor_byte_for_byte(predecessor: ProxyProcess) -> None:
-    """Guards clients against a disconnect or migration by a hot restart, even within a line."""
+    """A hot restart neither disconnects nor migrates clients, even in the middle of a line."""
     pairs = [predecessor.establish() for _ in range(3)]
     client, server = pairs[0]
     client.sock.sendall(b"half a li")
     server.sock.sendall(b"first\r\nhalf an an")
     assert client.read_line() == "first"
     assert server.file.read(9) == b"half a li"
-    flooded, source = pairs[1]
+    slow_client, fast_server = pairs[1]
     block = b"0123456789abcde\n" * 512
-    source.sock.settimeout(0.3)
+    fast_server.sock.settimeout(0.3)
     sent = 0
 
     def send_blocks() -> None:
         nonlocal sent
         while True:
-            sent += source.sock.send(block)
+            sent += fast_server.sock.send(block)
 
-    with pytest.raises(TimeoutError):  # the client does not read: buffers fill on the way
+    with pytest.raises(TimeoutError):  # the client does not read, so all buffers fill up
         send_blocks()
-    source.sock.settimeout(TIMEOUT_S)
+    fast_server.sock.settimeout(TIMEOUT_S)
     successor = predecessor.start_successor()
-    stop(predecessor)
+    terminate(predecessor)
     client.send_line("ne")
     assert server.read_line() == "ne"
     server.send_line("swer")
     assert client.read_line() == "half an answer"
-    assert flooded.file.read(sent) == (block * (sent // len(block) + 1))[:sent]
+    assert slow_client.file.read(sent) == (block * (sent // len(block) + 1))[:sent]
     pairs[2][0].reset()
     with pytest.raises(ConnectionResetError):
         pairs[2][1].file.read()
     assert count_pending(successor) == 2
-    finish(successor)
+    kill_and_check_log(successor)
 
 
 def test_request_in_flight_is_finished_and_its_connection_transferred(
     predecessor: ProxyProcess,
 ) -> None:
-    """Guards that a request in flight at a hot restart gets one attempt and one answer."""
-    silent = predecessor.connect_client()
-    assert predecessor.connect_client("PING").read_line() == "PONG"  # those before it are accepted
-    first = make_request_line("c=chat,d=3000,g=ab")
-    waiting = predecessor.connect_client(first)
+    """A request in flight at a hot restart gets one attempt and one answer.
+
+    The predecessor finishes it, and the successor rejects a duplicate instead of attempting it too.
+    """
+    idle_client = predecessor.connect_client()
+    assert predecessor.connect_client("PING").read_line() == "PONG"  # earlier clients are accepted
+    first_line = make_request_line("c=chat,d=3000,g=ab")
+    waiting_client = predecessor.connect_client(first_line)
     server = predecessor.accept()
     assert server.read_line()
     successor = predecessor.start_successor()
     predecessor.process.send_signal(signal.SIGTERM)
     while b"shutdown started" not in predecessor.read_log_line().encode():
         pass
-    silent.send_line(make_request_line("c=chat,d=3000,g=ab"))
-    second = predecessor.accept()
-    assert second.read_line()
-    again = successor.connect_client(first)
-    assert again.read_line() == "ERR"  # the predecessor holds a request of this identity
-    for end, at in ((waiting, server), (silent, second)):
-        at.send_line("UP 1")
-        assert end.read_line() == "UP 1"
+    idle_client.send_line(make_request_line("c=chat,d=3000,g=ab"))
+    second_server = predecessor.accept()
+    assert second_server.read_line()
+    duplicate = successor.connect_client(first_line)
+    assert duplicate.read_line() == "ERR"  # the predecessor has an open request of this identity
+    for client, upstream in ((waiting_client, server), (idle_client, second_server)):
+        upstream.send_line("UP 1")
+        assert client.read_line() == "UP 1"
     assert predecessor.process.wait(TIMEOUT_S) == 0
-    waiting.send_line("still there")
+    waiting_client.send_line("still there")
     assert server.read_line() == "still there"
-    finish(successor)
+    kill_and_check_log(successor)
 
 
 def test_no_request_is_rejected_during_hot_restarts(predecessor: ProxyProcess) -> None:
@@ -130,109 +133,121 @@
         for client in clients:
             client.close()
         proxy = successor
-    finish(proxy)
+    kill_and_check_log(proxy)
 
 
-def test_both_processes_apply_an_ejection_called_at_either(predecessor: ProxyProcess) -> None:
+def test_ejection_requested_from_either_process_applies_to_both(predecessor: ProxyProcess) -> None:
     successor = predecessor.start_successor()
-    for called, other, name in ((predecessor, successor, "s0"), (successor, predecessor, "s1")):
+    for target, other, name in ((predecessor, successor, "s0"), (successor, predecessor, "s1")):
         before = other.call("GET", "/v1/metrics")[1]["members_unavailable"]
-        assert called.call("POST", f"/v1/exam-servers/{name}/suspend")[0] == 200
-        until = time.monotonic() + TIMEOUT_S
+        assert target.call("POST", f"/v1/exam-servers/{name}/suspend")[0] == 200
+        deadline_s = time.monotonic() + TIMEOUT_S
         while other.call("GET", "/v1/metrics")[1]["members_unavailable"] == before:
-            assert time.monotonic() < until
-    finish(successor)
+            assert time.monotonic() < deadline_s
+    kill_and_check_log(successor)
 
 
 @pytest.mark.parametrize("number", [0, 1])
-def test_successor_knows_the_server_of_a_connection(tmp_path: Path, number: int) -> None:
-    """Guards packets that reach the successor while their connection is with the predecessor."""
+def test_successor_sends_mid_flow_packets_to_the_server_of_their_connection(
+    tmp_path: Path, number: int
+) -> None:
+    """Packets may reach the successor although the predecessor established their connection."""
     predecessor = ProxyProcess(tmp_path, inherits_socket=True, instances=2)
     client = predecessor.connect_client(
-        first := make_request_line(f"{REQUEST_FIELDS},at=s{number}")
+        first_line := make_request_line(f"{REQUEST_FIELDS},at=s{number}")
     )
     server = predecessor.accept(predecessor.servers[number])
     assert server.read_line()
     server.send_line("UP 1")
     assert client.read_line() == "UP 1"
     successor = predecessor.start_successor()
-    stop(predecessor)
-    again = successor.connect_client(first.replace(f"at=s{number}", "mid=1"))
+    terminate(predecessor)
+    rerouted = successor.connect_client(first_line.replace(f"at=s{number}", "mid=1"))
     assert "mid=1" in predecessor.accept(predecessor.servers[number]).read_line()
-    again.close()
-    finish(successor)
+    rerouted.close()
+    kill_and_check_log(successor)
     predecessor.close()
 
 
 @pytest.mark.parametrize(
-    "what", ["nothing", "a file", "a dead socket", "silence", "garbage", "another version"]
+    "predecessor_state",
+    ["nothing", "a file", "a dead socket", "silence", "garbage", "another version"],
 )
-def test_predecessor_that_is_absent_stale_or_broken_means_a_plain_start(
-    tmp_path: Path, what: str
+def test_process_starts_on_its_own_if_the_predecessor_is_absent_stale_or_broken(
+    tmp_path: Path, predecessor_state: str
 ) -> None:
     path = tmp_path / "larchhaven-upgrade.sock"
-    folder = os.open(tmp_path, os.O_RDONLY)
-    with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as other:
-        if what == "a file":
+    directory_fd = os.open(tmp_path, os.O_RDONLY)
+    with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as predecessor_socket:
+        if predecessor_state == "a file":
             path.write_text("not a socket")
-        elif what != "nothing":
-            other.bind(f"/proc/self/fd/{folder}/{path.name}")
-            other.listen()
-        if what == "a dead socket":
-            other.close()
+        elif predecessor_state != "nothing":
+            predecessor_socket.bind(f"/proc/self/fd/{directory_fd}/{path.name}")
+            predecessor_socket.listen()
+        if predecessor_state == "a dead socket":
+            predecessor_socket.close()
         proxy = ProxyProcess(tmp_path, inherits_socket=True)
         assert proxy.call("GET", "/v1/readyz")[0] == 200
-        ends = proxy.establish()
-        ends[0].close()
-    os.close(folder)
+        connection = proxy.establish()
+        connection[0].close()
+    os.close(directory_fd)
     assert "Traceback" not in proxy.close()
 
 
 @pytest.mark.parametrize(
-    "said", [b"\xff\x00garbage", b"x" * 200_000, msgspec.msgpack.encode(RestartHello(99))]
+    "data", [b"\xff\x00garbage", b"x" * 200_000, msgspec.msgpack.encode(RestartHello(99))]
 )
-def test_unknown_peer_at_the_hot_restart_socket_changes_nothing(
-    predecessor: ProxyProcess, tmp_path: Path, said: bytes
+def test_invalid_message_on_the_hot_restart_socket_changes_nothing(
+    predecessor: ProxyProcess, tmp_path: Path, data: bytes
 ) -> None:
-    folder = os.open(tmp_path, os.O_RDONLY)
+    directory_fd = os.open(tmp_path, os.O_RDONLY)
     while not (tmp_path / "larchhaven-upgrade.sock").exists():
-        assert predecessor.process.poll() is None  # it listens to clients a moment earlier
+        assert predecessor.process.poll() is None  # clients can connect before the file exists
         time.sleep(0.01)
     with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as unknown_peer:
         unknown_peer.settimeout(TIMEOUT_S)
-        unknown_peer.connect(f"/proc/self/fd/{folder}/larchhaven-upgrade.sock")
-        unknown_peer.send(said)
+        unknown_peer.connect(f"/proc/self/fd/{directory_fd}/larchhaven-upgrade.sock")
+        unknown_peer.send(data)
         assert unknown_peer.recv(100) == b""
-    os.close(folder)
-    ends = predecessor.establish()
+    os.close(directory_fd)
+    connection = predecessor.establish()
     successor = predecessor.start_successor()
-    stop(predecessor)
-    ends[0].send_line("still there")
-    assert ends[1].read_line() == "still there"
+    terminate(predecessor)
+    connection[0].send_line("still there")
+    assert connection[1].read_line() == "still there"
     assert count_pending(successor) == 1
-    finish(successor)
+    kill_and_check_log(successor)
 
 
 def receive_own_update(
-    peer: socket.socket, session_id: int | None = None, other_than: int | None = None
+    peer: socket.socket, session_id: int | None = None, excluded_session_id: int | None = None
 ) -> Message:
-    """Wait for what a process says of itself: one of this session, or of any but that one."""
+    """Wait for a membership message with the sender's own stamp.
+
+    Args:
+        peer: The socket of the peer that the test plays.
+        session_id: The session of the process that sent the message; None allows any.
+        excluded_session_id: A session whose messages are skipped; None skips none.
+    """
     for _ in range(2_000):
         data = peer.recv(300)
         if data[:1] != DATAGRAM_PREFIX:
-            continue  # gossip of the decisions
+            continue  # gossip from the balancer
         message = decode(data, [KEY])
         if (
             message.stamp
             and session_id in (None, message.session_id)
-            and message.session_id != other_than
+            and message.session_id != excluded_session_id
         ):
             return message
-    raise AssertionError("only others speak")
+    raise AssertionError("no matching membership message received")
 
 
-def test_incarnation_is_handed_over_and_one_process_speaks(tmp_path: Path) -> None:
-    """Guards against two processes that accuse each other, and a proxy that nobody speaks for."""
+def test_incarnation_is_handed_over_and_one_process_is_the_member(tmp_path: Path) -> None:
+    """Exactly one process of a proxy takes part in the membership during a hot restart.
+
+    If both did, they would suspect each other. If neither did, peers would declare the proxy dead.
+    """
     (tmp_path / "operator.textproto").write_text(
         'membership { on: true key: "a key for this test" }'
     )
@@ -241,19 +256,21 @@
     )
     first = receive_own_update(predecessor.peer)
     successor = predecessor.start_successor()
-    second = receive_own_update(predecessor.peer, other_than=first.session_id)
+    second = receive_own_update(predecessor.peer, excluded_session_id=first.session_id)
     assert second.stamp >> 2 > first.stamp >> 2
     assert second.stamp & 3 == MemberState.ALIVE
     successor.process.kill()
     successor.process.communicate()
-    third = receive_own_update(predecessor.peer, other_than=second.session_id)
+    third = receive_own_update(predecessor.peer, excluded_session_id=second.session_id)
     while third.session_id == first.session_id and third.stamp <= second.stamp:
-        # This one was still in the socket.
-        third = receive_own_update(predecessor.peer, other_than=second.session_id)
+        # Sent before the handover, and only now read from the socket.
+        third = receive_own_update(predecessor.peer, excluded_session_id=second.session_id)
     assert third.stamp >> 2 > first.stamp >> 2
     host, port = predecessor.configuration["peer_listen"].split(":")
-    speaks = Message(MessageKind.GOSSIP, 1, 0, make_stamp(5, MemberState.ALIVE))
-    predecessor.peer.sendto(DatagramAuthenticator(1, 2, 7, [KEY]).seal(speaks), (host, int(port)))
+    peer_message = Message(MessageKind.GOSSIP, 1, 0, make_stamp(5, MemberState.ALIVE))
+    predecessor.peer.sendto(
+        DatagramAuthenticator(1, 2, 7, [KEY]).seal(peer_message), (host, int(port))
+    )
     while len(predecessor.call("GET", "/v1/members")[1]["members"]) < 2:
         time.sleep(0.01)
     predecessor.process.send_signal(signal.SIGTERM)
--- a/tests/net/test_hot_restart_channel.py
+++ b/tests/net/test_hot_restart_channel.py
@@ -16,12 +16,12 @@
 
 
 class RestartingProcess:
-    """One process's end of a hot restart."""
+    """Plays one of the two processes of a hot restart."""
 
-    def __init__(self, loop: EventLoop, folder: Path) -> None:
+    def __init__(self, loop: EventLoop, directory: Path) -> None:
         self.received: list[bytes] = []
         self.ready = False
-        self.hot_restart = HotRestart(loop, RateLimitedLog(loop), str(folder), self)
+        self.hot_restart = HotRestart(loop, RateLimitedLog(loop), str(directory), self)
         self.hot_restart.start(lambda: setattr(self, "ready", True))
 
     def build_shared_state(self) -> SharedState:
@@ -36,11 +36,14 @@
     def on_connection_transferred(
         self, transfer: ConnectionTransfer, descriptors: Sequence[int]
     ) -> None:
-        raise AssertionError("nothing is transferred")
+        raise AssertionError("unexpected transfer of a connection")
 
 
 def test_identities_and_gossip_are_forwarded_both_ways(tmp_path: Path) -> None:
-    """Guards one attempt per request while two processes accept clients side by side."""
+    """Both processes accept clients, so each must know which requests are open in the other.
+
+    Otherwise a request that its client repeats at the other process would get a second attempt.
+    """
     loop = EventLoop()
     predecessor, successor = RestartingProcess(loop, tmp_path), RestartingProcess(loop, tmp_path)
     assert predecessor.ready
@@ -50,13 +53,13 @@
     loop.run_once()
     assert successor.ready
     assert successor.received == [b"state"]
-    for one, other in ((predecessor, successor), (successor, predecessor)):
-        one.hot_restart.announce_identity(b"id", True)
-        one.hot_restart.forward_gossip(b"said")
+    for sender, receiver in ((predecessor, successor), (successor, predecessor)):
+        sender.hot_restart.announce_identity(b"id", True)
+        sender.hot_restart.forward_gossip(b"said")
         loop.run_once()
-        assert other.hot_restart.is_open_elsewhere(b"id")
-        assert other.received[-1] == b"said"
-        assert not other.hot_restart.is_open_elsewhere(b"another")
-        one.hot_restart.announce_identity(b"id", False)
+        assert receiver.hot_restart.is_open_elsewhere(b"id")
+        assert receiver.received[-1] == b"said"
+        assert not receiver.hot_restart.is_open_elsewhere(b"another")
+        sender.hot_restart.announce_identity(b"id", False)
         loop.run_once()
-        assert not other.hot_restart.is_open_elsewhere(b"id")
+        assert not receiver.hot_restart.is_open_elsewhere(b"id")
--- a/tests/net/test_leaks.py
+++ b/tests/net/test_leaks.py
@@ -1,6 +1,7 @@
-"""Any order of connects, rejections, resets, migrations and hand-overs brings all usage back to 0.
+"""All resources are released after any sequence of connects, rejections, resets and migrations.
 
-The garbage collector is off, so that what is closed must be free by itself.
+Connections are also handed over as in a hot restart. The garbage collector is disabled, so closed
+objects must be freed by reference counting alone.
 """
 
 from __future__ import annotations
@@ -36,7 +37,7 @@
 
 
 class ConnectionLifecycle(RuleBasedStateMachine):
-    """Clients and servers that do anything in any order."""
+    """Clients, servers and the proxy act on connections in any order."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -59,7 +60,7 @@
             ]
         )
     )
-    def arrive(self, line: bytes) -> None:
+    def connect_client(self, line: bytes) -> None:
         harness = self.harness
         harness.request_number += 1
         sock = socket.create_connection(harness.listener.address)
@@ -80,7 +81,7 @@
 
     @precondition(lambda self: self.harness.server_sockets)
     @rule(pick=st.integers(0, 99))
-    def flood(self, pick: int) -> None:
+    def flood_client(self, pick: int) -> None:
         """The server sends more than its client reads."""
         sock = self.harness.server_sockets[pick % len(self.harness.server_sockets)]
         for _ in range(20):
@@ -90,14 +91,14 @@
 
     @precondition(lambda self: self.harness.client_sockets)
     @rule(pick=st.integers(0, 99), data=st.sampled_from([b"q\r\n", b"half", b"w" * 30_000]))
-    def speak(self, pick: int, data: bytes) -> None:
+    def send_to_server(self, pick: int, data: bytes) -> None:
         with contextlib.suppress(OSError):
             self.harness.client_sockets[pick % len(self.harness.client_sockets)].send(data)
         self.harness.run()
 
-    @rule(pick=st.integers(0, 99), of_clients=st.booleans(), reset=st.booleans())
-    def leave(self, pick: int, of_clients: bool, reset: bool) -> None:
-        socks = self.harness.client_sockets if of_clients else self.harness.server_sockets
+    @rule(pick=st.integers(0, 99), is_client=st.booleans(), reset=st.booleans())
+    def disconnect(self, pick: int, is_client: bool, reset: bool) -> None:
+        socks = self.harness.client_sockets if is_client else self.harness.server_sockets
         if socks:
             sock = socks.pop(pick % len(socks))
             if reset:
@@ -105,25 +106,25 @@
             sock.close()
             self.harness.run()
 
-    @rule(what=st.sampled_from(["migrate", "release", "shed", "adopt"]), pick=st.integers(0, 99))
-    def happen(self, what: str, pick: int) -> None:
+    @rule(action=st.sampled_from(["migrate", "release", "shed", "adopt"]), pick=st.integers(0, 99))
+    def end_or_adopt_connection(self, action: str, pick: int) -> None:
         harness = self.harness
         connections = harness.dispatcher.connections.list_connections()
-        if what == "adopt":
+        if action == "adopt":
             self.adopt()
-        elif what == "shed":
+        elif action == "shed":
             for stream in list(harness.pool.unread_since_us)[:1]:
                 stream.shed()
         elif connections:
             request = connections[pick % len(connections)]
-            if what == "release":
+            if action == "release":
                 harness.dispatcher.connections.release_connection(request.request_id)
             elif request.connection is not None:
                 request.connection.migrate()
         harness.run()
 
     def adopt(self) -> None:
-        """Take a connection over, as the successor in a hot restart does."""
+        """Take over a connection, as the successor does in a hot restart."""
         harness = self.harness
         pairs = [tcp_pair() for _ in range(2)]
         client, server = (Stream(harness.loop, harness.pool, ours) for ours, _ in pairs)
@@ -158,7 +159,7 @@
         harness = self.harness
         try:
             harness.assert_everything_released()
-            assert not list(self.seen_streams), "what is closed waits for the garbage collector"
+            assert not list(self.seen_streams), "closed streams need the garbage collector"
         finally:
             harness.close()
             gc.enable()
@@ -187,7 +188,10 @@
 
 
 def test_incomplete_lines_are_shed_for_a_complete_one(harness: InProcessProxy) -> None:
-    """Guards usual clients: at the cap of buffers a complete line waited behind incomplete ones."""
+    """At the buffer cap, incomplete request lines must not keep a complete one waiting.
+
+    The proxy sheds the clients with incomplete lines, which would otherwise hold all buffers.
+    """
     for _ in range(BUFFER_COUNT + 5):
         sock = socket.create_connection(harness.listener.address)
         sock.sendall(b"OPEN half")
@@ -202,7 +206,7 @@
 
 
 def test_payload_is_released_once_the_connection_is_established(harness: InProcessProxy) -> None:
-    """Guards memory: a request line of 4 KiB was held for as long as its connection lasted."""
+    """Otherwise a request line of 4 KiB stays in memory for as long as its connection lasts."""
     sock = socket.create_connection(harness.listener.address)
     sock.sendall(REQUEST_LINE.replace(b"\r\n", b"," + b"x" * 3_900 + b"=1\r\n") % 1)
     harness.client_sockets.append(sock)
--- a/tests/net/test_process_pause.py
+++ b/tests/net/test_process_pause.py
@@ -1,4 +1,4 @@
-"""Process pause: what arrived while the process was stopped is applied in a safe order."""
+"""Process pause: input that arrived while the process was stopped is applied in a safe order."""
 
 from __future__ import annotations
 
@@ -30,14 +30,15 @@
 
 @pytest.mark.parametrize("proxy", [{"discovery": "subscribe"}], indirect=True)
 def test_endpoint_list_is_received_first_after_a_pause(proxy: ProxyProcess) -> None:
-    """Guards the drain rule: a drain is notified during the pause, and requests arrive as well.
+    """An endpoint list that arrived during a pause is applied before requests that did.
 
-    The process is stopped; clients send requests, then discovery notifies that a server drains,
-    and its grace elapses.
+    While the process is stopped, clients send requests, then discovery reports that a server
+    drains, and the grace period of the drain elapses. If the requests were handled first, some
+    would be sent to the draining server.
     """
     watch = LineConnection(proxy.discovery.accept()[0])
     clients = [proxy.connect_client() for _ in range(12)]
-    # Established after all of them: they are accepted by then, and one iteration reads their lines.
+    # Established last: the other clients are accepted by now, so one iteration reads their lines.
     proxy.establish(f"{REQUEST_FIELDS},at=s1")
     proxy.process.send_signal(signal.SIGSTOP)
     for client in clients:
@@ -46,7 +47,7 @@
         make_endpoint("s0", proxy.servers[0], "draining"),
         make_endpoint("s1", proxy.servers[1]),
     ]
-    # So many that it takes several iterations to read the list.
+    # Enough entries that reading the list takes several iterations.
     hosts += [make_endpoint(f"x{i}", proxy.servers[1], "gone") for i in range(300)]
     answer_watch(watch, json.dumps({"seq": 9, "whole": False, "hosts": hosts}))
     grace_s = proxy.configuration["settings"]["contract"]["stop_sending_within"] / 1e6
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -1,6 +1,6 @@
-"""Bytes that another version of the program writes or reads: a file, and hot-restart messages.
+"""Compatibility with other versions: the bytes of the ejection file and of hot restart messages.
 
-The literals were written by commit 06723bf, run from a checkout of it: the file by its
+The literals were generated with the code of commit 06723bf: the file by its
 ``Suspensions.change``, the messages by ``msgspec.msgpack.encode`` of the structs in its
 ``larchhaven.net.handover``.
 """
@@ -27,7 +27,7 @@
 )
 from larchhaven.net.text_protocol.relay_state import RelayState, SideState
 
-SUSPENDED_FILE = b'{"v":1,"hosts":["s-\xc3\xbc","s0","s1"]}'
+EJECTION_FILE = b'{"v":1,"hosts":["s-\xc3\xbc","s0","s1"]}'
 
 SHARED_STATE = (
     "85a474797065a54b6e6f776ea17601a77265706f7274739293a27330ce075bcd1585a5726174696fcb3fd0000000"
@@ -88,29 +88,31 @@
 
 @pytest.mark.parametrize("name", MESSAGES)
 def test_hot_restart_message_of_another_version_is_read(name: str) -> None:
-    written, message = MESSAGES[name]
-    assert decode(bytes.fromhex(written)) == message
+    encoded_hex, message = MESSAGES[name]
+    assert decode(bytes.fromhex(encoded_hex)) == message
 
 
 @pytest.mark.parametrize("name", MESSAGES)
 def test_hot_restart_message_is_written_as_another_version_reads_it(name: str) -> None:
-    written, message = MESSAGES[name]
-    assert encode(message).hex() == written
+    encoded_hex, message = MESSAGES[name]
+    assert encode(message).hex() == encoded_hex
 
 
-def test_suspension_file_of_another_version_is_read(tmp_path: Path) -> None:
-    (tmp_path / "larchhaven-suspended.json").write_bytes(SUSPENDED_FILE)
+def test_ejection_file_of_another_version_is_read(tmp_path: Path) -> None:
+    (tmp_path / "larchhaven-suspended.json").write_bytes(EJECTION_FILE)
     changes: list[tuple[str, bool]] = []
-    ejections = AdministrativeEjections(str(tmp_path), lambda host, on: changes.append((host, on)))
+    ejections = AdministrativeEjections(
+        str(tmp_path), lambda server, is_ejected: changes.append((server, is_ejected))
+    )
     ejections.refresh()
     assert changes == [("s-ü", True), ("s0", True), ("s1", True)]
-    assert all(host in ejections for host in ("s-ü", "s0", "s1"))
+    assert all(server in ejections for server in ("s-ü", "s0", "s1"))
     assert "s2" not in ejections
 
 
-def test_suspension_file_is_written_as_another_version_reads_it(tmp_path: Path) -> None:
-    ejections = AdministrativeEjections(str(tmp_path), lambda host, on: None)
-    for host in ("s1", "s-ü", "s0", "s2"):
-        ejections.set_ejected(host, True)
+def test_ejection_file_is_written_as_another_version_reads_it(tmp_path: Path) -> None:
+    ejections = AdministrativeEjections(str(tmp_path), lambda server, is_ejected: None)
+    for server in ("s1", "s-ü", "s0", "s2"):
+        ejections.set_ejected(server, True)
     ejections.set_ejected("s2", False)
-    assert (tmp_path / "larchhaven-suspended.json").read_bytes() == SUSPENDED_FILE
+    assert (tmp_path / "larchhaven-suspended.json").read_bytes() == EJECTION_FILE
