--- a/larchhaven/net/hot_restart_messages.py
+++ b/larchhaven/net/hot_restart_messages.py
@@ -72,7 +72,7 @@
     """The latest load report of a server.
 
     Attributes:
-        server_id: The server.
+        server_id: The id of the server.
         received_at_us: When the report was received, on the clock that both processes share.
         report: The report.
     """
@@ -117,7 +117,7 @@
     Attributes:
         identity: The identity of its request.
         request_class: The index of its request class.
-        server_id: Its server.
+        server_id: The id of its server.
         relay: The state of the relay between its client and its server.
         key: Its affinity key; None if it has none.
         group: Its affinity group; None if it has none.
@@ -150,7 +150,7 @@
 
 
 def decode(data: bytes) -> Message:
-    """Return the message that was encoded as this data.
+    """Decode a message.
 
     Raises:
         InvalidMessageError: If the data is not a valid message of this protocol.
--- a/larchhaven/net/state_transfer.py
+++ b/larchhaven/net/state_transfer.py
@@ -92,7 +92,7 @@
 
 
 class StateTransfer:
-    """Adopts the predecessor's state and connections, and transfers them to the successor.
+    """Adopts the predecessor's state and connections, and hands its own over to the successor.
 
     Args:
         resources: The resources shared by the proxy's components.
--- a/larchhaven/net/upstream_servers.py
+++ b/larchhaven/net/upstream_servers.py
@@ -25,7 +25,7 @@
     LoadReport,
 )
 
-# Fraction of the memory for tables that the ids of servers listed before may fill.
+# Fraction of the memory for tables that the ids of current and former servers may fill.
 REMEMBERED_SERVERS_RATIO = 0.10
 
 
@@ -102,7 +102,8 @@
         )
         self._receiver.queue_event(update)
         if not self._config.settings.subscribes_to_endpoints:
-            # Only the simulator pushes lists; over HTTP they are received through a watch.
+            # These settings expect lists to be pushed, which only the simulator does. Over HTTP, a
+            # list is only received through a watch.
             self.endpoint_watch.start_with_poll()
             self._receiver.wait_for_endpoint_list()
 
