--- a/larchhaven/testbed/client_connection.py
+++ b/larchhaven/testbed/client_connection.py
@@ -1,4 +1,4 @@
-"""One connection of a stand-in client: the streams, and reading and breaking it."""
+"""A stand-in client's connection to a proxy: reading lines, closing, aborting and resetting."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 STREAM_LIMIT_BYTES = 1 << 16
 SMALL_STREAM_LIMIT_BYTES = 1024
 SMALL_RECEIVE_BUFFER_BYTES = 4096
-# Linger on, for no time: close() resets the connection.
+# SO_LINGER enabled with a timeout of 0 s: closing the socket resets the connection.
 _LINGER_FOR_RESET = struct.pack("ii", 1, 0)
 
 
@@ -18,9 +18,9 @@
     """A connection of a client to a proxy.
 
     Attributes:
-        reader: What the proxy sends.
-        writer: What is sent to the proxy.
-        was_broken_by_client: Whether ``abort`` has broken it.
+        reader: Stream of data from the proxy.
+        writer: Stream of data to the proxy.
+        was_broken_by_client: Whether ``abort`` was called.
     """
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -29,7 +29,12 @@
         self.was_broken_by_client = False
 
     async def read_line(self) -> str:
-        """Read a line; an end or a break of the connection is the empty string."""
+        """Read a line.
+
+        Returns:
+            The line without its line ending; empty if the connection ended or failed, or if the
+            line is longer than the stream's limit.
+        """
         try:
             line = await self.reader.readuntil(b"\r\n")
         except (asyncio.IncompleteReadError, asyncio.LimitOverrunError, OSError):
@@ -37,18 +42,18 @@
         return line.decode("latin-1").removesuffix("\r\n")
 
     def abort(self) -> None:
-        """Break the connection off."""
+        """Abort the connection: close it at once, without flushing what was written."""
         self.was_broken_by_client = True
         self.writer.transport.abort()
 
     def reset(self) -> None:
-        """Break the connection off with a reset."""
+        """Reset the connection (TCP RST)."""
         sock: socket.socket = self.writer.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_FOR_RESET)
         self.writer.transport.abort()
 
     def close(self) -> None:
-        """Close the connection."""
+        """Close the connection; errors of a connection that has already failed are ignored."""
         with contextlib.suppress(OSError, RuntimeError):
             self.writer.close()
 
@@ -58,7 +63,8 @@
 
     Args:
         address: Host and port.
-        small_buffers: Whether little of what is not read should fit on this side.
+        small_buffers: Whether to use small receive buffers, so that unread data soon backs up
+            into the proxy.
 
     Raises:
         OSError: The connection failed.
--- a/larchhaven/testbed/client_profile.py
+++ b/larchhaven/testbed/client_profile.py
@@ -1,4 +1,4 @@
-"""What the clients of one group do, with the defaults of a scenario filled in."""
+"""The behavior of a group of clients, with defaults for fields that its scenario leaves out."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 DEFAULT_REQUEST_CLASS = "chat"
 DEFAULT_MEAN_STAY_S = 10.0
 DEFAULT_MESSAGE_INTERVAL_S = 2.0
-DEFAULT_PATIENCE_MS = 2_000
+DEFAULT_REQUEST_DEADLINE_MS = 2_000
 DEFAULT_MIN_RECONNECT_DELAY_S = 0.05
 DEFAULT_MAX_RECONNECT_DELAY_S = 1.7
 DEFAULT_FLOOD_BYTES = 2_000_000
@@ -18,7 +18,7 @@
 
 
 class ClientBehavior(IntEnum):
-    """How a client behaves; the values are those of a scenario's ``habit``."""
+    """How a client behaves; the values are those of the scenario field ``habit``."""
 
     USUAL = Terminals.USUAL
     NEVER_READ = Terminals.NEVER_READ
@@ -42,22 +42,22 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientProfile:
-    """One group of clients.
+    """The behavior of one group of clients.
 
     Attributes:
-        request_class: Name of the class of their requests.
+        request_class: Name of the request class of their requests.
         behavior: How they behave.
-        arrivals_per_second: Mean rate of arrivals; 0 if only events make them arrive.
+        arrivals_per_second: Mean arrival rate; 0 if clients arrive only through events.
         mean_stay_s: Mean time for which a client stays.
         message_interval_s: Time between two messages on an established connection.
-        patience_ms: Deadline that a request states.
-        retries: Further attempts after a rejection.
-        min_reconnect_delay_s: Least pause before a client connects again.
-        max_reconnect_delay_s: Longest pause before a client connects again.
-        group_size: Clients that share one group identity.
-        flood_bytes: Bytes of a flood or of an endless line.
+        request_deadline_ms: Deadline stated in each request.
+        retries: How often a client may retry after a rejection.
+        min_reconnect_delay_s: Shortest delay before a client connects again.
+        max_reconnect_delay_s: Longest delay before a client connects again.
+        group_size: Number of clients in an affinity group.
+        flood_bytes: Size of the flood that a client requests, or of the endless line it sends.
         request_id_bytes: Length of a request's identity.
-        tenant: Name of the scenario's member to which they belong; empty for none.
+        tenant: Name of their tenant, a ``member`` of the scenario; empty for none.
     """
 
     request_class: str
@@ -65,7 +65,7 @@
     arrivals_per_second: float
     mean_stay_s: float
     message_interval_s: float
-    patience_ms: int
+    request_deadline_ms: int
     retries: int
     min_reconnect_delay_s: float
     max_reconnect_delay_s: float
@@ -76,20 +76,20 @@
 
 
 def read_request_class(group: Terminals) -> str:
-    """Return the class of a group's requests; the field's name is a keyword of Python."""
+    """Return the request class of a group; its field is named ``class``, a Python keyword."""
     name: str = getattr(group, "class")
     return name or DEFAULT_REQUEST_CLASS
 
 
 def make_client_profile(group: Terminals) -> ClientProfile:
-    """Read a scenario's group of clients and fill in its defaults."""
+    """Build the profile of a scenario's client group, with defaults for missing fields."""
     return ClientProfile(
         request_class=read_request_class(group),
         behavior=ClientBehavior(group.habit),
         arrivals_per_second=group.arrivals_per_second,
         mean_stay_s=group.stay_seconds or DEFAULT_MEAN_STAY_S,
         message_interval_s=group.message_seconds or DEFAULT_MESSAGE_INTERVAL_S,
-        patience_ms=int(group.patience_ms or DEFAULT_PATIENCE_MS),
+        request_deadline_ms=int(group.patience_ms or DEFAULT_REQUEST_DEADLINE_MS),
         retries=group.retries,
         min_reconnect_delay_s=group.gap_least_ms / 1000 or DEFAULT_MIN_RECONNECT_DELAY_S,
         max_reconnect_delay_s=group.gap_most_ms / 1000 or DEFAULT_MAX_RECONNECT_DELAY_S,
--- a/larchhaven/testbed/client_statistics.py
+++ b/larchhaven/testbed/client_statistics.py
@@ -1,4 +1,4 @@
-"""What clients were answered, by request class and by tenant, and how long that took."""
+"""Answers to clients, counted by request class and by tenant, and connection setup times."""
 
 from __future__ import annotations
 
@@ -20,15 +20,16 @@
         "setup_p99_ms": "setup_ms_p99",
     },
 ):
-    """What clients of one request class met.
+    """Results of the clients of one request class.
 
     Attributes:
         requests: Number of requests sent.
         answers: Number of answers by their first word.
         migrations: Number of connections that were told to migrate.
-        lost_connections: Number of established connections that ended without it.
-        setup_p50_ms: Median of the time until a connection was established.
-        setup_p99_ms: The 99th percentile of it.
+        lost_connections: Number of established connections that ended without a migration.
+        setup_p50_ms: Median time from a request until its connection was established; None if no
+            connection was established.
+        setup_p99_ms: 99th percentile of that time; None if no connection was established.
     """
 
     requests: int
@@ -41,7 +42,7 @@
 
 @dataclass(slots=True)
 class ClientStatistics:
-    """Counts of one request class while a scenario is played; see ``ClassOutcome``."""
+    """Running counts of one request class; see ``ClassOutcome``."""
 
     requests: int = 0
     answers: Counter[str] = field(default_factory=Counter)
@@ -50,7 +51,7 @@
     setup_times_ms: list[float] = field(default_factory=list)
 
     def add_setup_time(self, setup_ms: float) -> None:
-        """Keep how long it took to establish a connection, up to a number of them."""
+        """Add the setup time of a connection; times beyond ``MAX_SETUP_TIMES`` are dropped."""
         if len(self.setup_times_ms) < MAX_SETUP_TIMES:
             self.setup_times_ms.append(setup_ms)
 
@@ -73,11 +74,11 @@
 
 
 class ClientOutcomes:
-    """What all clients of a run met.
+    """Results of all clients of a run.
 
     Attributes:
-        statistics: The counts of each request class that sent a request.
-        tenant_answers: Answers by their first word, for each tenant that was answered.
+        statistics: Counts by request class, for classes with at least one request.
+        tenant_answers: Number of answers by first word, for each tenant with answers.
     """
 
     def __init__(self) -> None:
@@ -85,7 +86,7 @@
         self.tenant_answers: dict[str, Counter[str]] = {}
 
     def statistics_of(self, request_class: str) -> ClientStatistics:
-        """Return the counts of a request class; there are none at first."""
+        """Return the counts of a request class, which are created on first use."""
         return self.statistics.setdefault(request_class, ClientStatistics())
 
     def add_tenant_answer(self, tenant: str, word: str) -> None:
@@ -97,5 +98,5 @@
         return {name: counts.summarize() for name, counts in self.statistics.items()}
 
     def summarize_tenants(self) -> dict[str, dict[str, int]]:
-        """Return the answers of each tenant, tenants in order of their names."""
+        """Return the number of answers by first word for each tenant, sorted by tenant name."""
         return {name: dict(words) for name, words in sorted(self.tenant_answers.items())}
--- a/larchhaven/testbed/client_visit.py
+++ b/larchhaven/testbed/client_visit.py
@@ -1,4 +1,4 @@
-"""One visit of a stand-in client: connect, send a request, talk until it leaves or is migrated."""
+"""One visit of a stand-in client: from its request until it leaves or has to reconnect."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from larchhaven.testbed.client_statistics import ClientOutcomes
 from larchhaven.testbed.event_record import EventKind, EventRecorder
 
-# A client waits for its answer so long after its patience; the invariant checker reports it then.
+# A client waits this long past its deadline, so that the invariant checker sees late answers.
 ANSWER_GRACE_S = 2.0
 SLOW_BYTE_INTERVAL_S = 0.1
 READ_BLOCK_BYTES = 65_536
@@ -22,16 +22,16 @@
 
 
 class VisitOutcome(Enum):
-    """How a visit ended, as far as the client acts on it."""
+    """How a visit ended; it decides whether the client connects again."""
 
     FINISHED = auto()
     REJECTED = auto()
-    RECONNECT = auto()  # migrated, lost or broken off
+    RECONNECT = auto()  # migrated, lost, or aborted by the client
 
 
 @dataclass(frozen=True, slots=True)
 class RequestLine:
-    """The identity of a request and its line on the wire."""
+    """The identity of a request and its encoded request line."""
 
     request_id: str
     data: bytes
@@ -40,32 +40,32 @@
 def make_request_line(
     profile: ClientProfile, rng: random.Random, group_number: int, *, is_reconnect: bool
 ) -> RequestLine:
-    """Draw an identity and write the request line.
+    """Draw a request identity and encode the request line.
 
     Args:
-        profile: The client's group.
-        rng: The client's random numbers.
-        group_number: Identity of the clients that belong together.
+        profile: Profile of the client.
+        rng: Random numbers of the client.
+        group_number: Number of the client's affinity group.
         is_reconnect: Whether the client had an established connection before.
     """
     block = f"{rng.getrandbits(64):016x}"
     request_id = block * (profile.request_id_bytes // _REQUEST_ID_BLOCK_LENGTH or 1)
     tenant = f",t={profile.tenant}" if profile.tenant else ""
     reconnect = ",again=1" if is_reconnect else ""
-    deadline = f",d={profile.patience_ms}"
+    deadline = f",d={profile.request_deadline_ms}"
     options = f"c={profile.request_class}{tenant}{deadline},g={group_number:x}{reconnect}"
     line = f"OPEN {request_id} {rng.getrandbits(64):016x} {options}\r\n"
     return RequestLine(request_id, line.encode())
 
 
 def resolve(future: asyncio.Future[None]) -> None:
-    """Set the result of a future, unless it has one."""
+    """Set the result of a future, unless it is done already."""
     if not future.done():
         future.set_result(None)
 
 
 class ClientVisit:
-    """One visit over a connection that has just been made."""
+    """One visit of a client, over a connection that has just been opened."""
 
     def __init__(
         self,
@@ -85,14 +85,17 @@
         self._recorder = recorder
         self._rng = rng
         self._leave_at_s = leave_at_s
-        self._answered = answered  # resolved once no answer is waited for
+        self._answered = answered  # resolved once the client expects no more answers
         self._request_id = ""
 
     async def run(self, request_line: RequestLine) -> VisitOutcome:
-        """Send the request and behave as the profile says; closes the connection.
+        """Send the request, behave as the profile says, and close the connection.
+
+        Returns:
+            How the visit ended.
 
         Raises:
-            OSError: The connection broke while the client was writing.
+            OSError: The connection failed while the client was writing.
         """
         self._request_id = request_line.request_id
         try:
@@ -115,10 +118,10 @@
         loop = asyncio.get_running_loop()
         statistics = self._outcomes.statistics_of(self._profile.request_class)
         statistics.requests += 1
-        self._record(EventKind.REQUEST_SENT, wait_us=self._profile.patience_ms * 1000)
+        self._record(EventKind.REQUEST_SENT, wait_us=self._profile.request_deadline_ms * 1000)
         self._connection.writer.write(line)
         sent_at_s = loop.time()
-        timeout_s = self._profile.patience_ms / 1000 + ANSWER_GRACE_S
+        timeout_s = self._profile.request_deadline_ms / 1000 + ANSWER_GRACE_S
         try:
             answer = await asyncio.wait_for(self._connection.read_line(), timeout_s)
         except TimeoutError:
@@ -166,7 +169,7 @@
             if loop.time() >= self._leave_at_s:
                 return self._leave()
             number += 1
-            with contextlib.suppress(OSError):  # the next read shows it
+            with contextlib.suppress(OSError):  # the next read reports the failure
                 self._connection.writer.write(f"question {number}\r\n".encode())
             send_at_s = loop.time() + self._profile.message_interval_s
 
@@ -178,7 +181,7 @@
             return None
 
     def _ends_connection(self, line: str) -> bool:
-        """Record it if a line, or the end in its place, ends the connection."""
+        """Return whether a line ends the connection, and record that; an empty line is its end."""
         statistics = self._outcomes.statistics_of(self._profile.request_class)
         if line == "MOVE":
             statistics.migrations += 1
--- a/larchhaven/testbed/clients.py
+++ b/larchhaven/testbed/clients.py
@@ -1,4 +1,4 @@
-"""The stand-in clients of a deployment, well-behaved and misbehaving ones."""
+"""The stand-in clients of a deployment, well-behaved and misbehaving."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     """All clients of a run; each client is a task of its own.
 
     Attributes:
-        outcomes: What the clients met.
+        outcomes: Results of all clients.
     """
 
     def __init__(
@@ -47,23 +47,23 @@
         return len(self._established)
 
     def add_client(self, profile: ClientProfile) -> None:
-        """Have one client arrive."""
+        """Start one client."""
         task = asyncio.get_running_loop().create_task(self._run_client(profile))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def break_all_connections(self) -> None:
-        """Break all established connections; their clients connect again."""
+        """Abort all established connections; their clients connect again."""
         for connection in list(self._established):
             connection.abort()
 
     async def wait_until_answered(self) -> None:
-        """Wait until no client waits for an answer; each gives up after its patience."""
+        """Wait until no client expects an answer; each gives up some time after its deadline."""
         while self._pending_answers:
             await asyncio.wait(self._pending_answers)
 
     async def stop(self) -> None:
-        """Have all clients leave."""
+        """Cancel all clients and wait until they have ended."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
--- a/larchhaven/testbed/deployment.py
+++ b/larchhaven/testbed/deployment.py
@@ -26,21 +26,27 @@
 
 DEFAULT_CAPACITY = 50.0
 DEFAULT_SETUP_MS = 5.0
-# Once all clients have left, proxies release the last connections within this time.
+# Proxies release their last connections within this time after all clients have left.
 IDLE_TIMEOUT_S = 7.0
 IDLE_POLL_INTERVAL_S = 0.25
 
 
 class Deployment:
-    """All parts of a deployment while a scenario is played.
+    """All components of a deployment while a scenario is played.
+
+    Args:
+        scenario: The scenario.
+        folder: Parent directory of the proxies' directories.
+        record_file: File to which records are written as JSON lines, if any.
+        limits: Limits of the invariants; by default those of the scenario.
 
     Attributes:
         scenario: The scenario.
-        recorder: Takes the records of all stand-ins.
-        checker: Checks the records as they arrive.
+        recorder: Receives the records of all stand-ins.
+        checker: Checks the invariants as records arrive.
         servers: The upstream servers by name.
-        discovery: Publishes them to the proxies.
-        proxies: The real proxies, once it has started.
+        discovery: Publishes the upstream servers to the proxies.
+        proxies: The real proxies; empty until the deployment has started.
         peers: Stand-ins for further proxies.
         clients: The clients.
     """
@@ -97,11 +103,11 @@
 
     @property
     def proxy_peer_addresses(self) -> list[tuple[str, int]]:
-        """Where the real proxies receive datagrams."""
+        """Addresses at which the real proxies receive datagrams from peers."""
         return [("127.0.0.1", port) for port in self._proxy_peer_ports]
 
     def elapsed_s(self) -> float:
-        """Return the time since the start."""
+        """Return the time in seconds since the deployment started."""
         return asyncio.get_running_loop().time() - self._started_at_s
 
     def _next_proxy_address(self) -> tuple[str, int]:
@@ -111,10 +117,11 @@
         return candidates[self._next_proxy % len(candidates)].address
 
     async def start(self) -> None:
-        """Start all parts.
+        """Start all components.
 
         Raises:
-            ProxyNotStartedError: A proxy did not listen.
+            ProxyNotStartedError: A proxy ended or timed out before it listened.
+            OSError: A stand-in could not open its socket.
         """
         for name, server in self.servers.items():
             await server.start(cold=name in self._cold_servers)
@@ -140,10 +147,10 @@
         self._started_at_s = asyncio.get_running_loop().time()
 
     async def wait_until_idle(self) -> dict[str, dict[str, Any]]:
-        """Wait until the proxies hold no connection, but not for ever.
+        """Wait until no proxy holds a connection, for about ``IDLE_TIMEOUT_S`` per proxy at most.
 
         Returns:
-            The last memory report of each proxy.
+            The last memory report of each proxy that answered.
         """
         reports: dict[str, dict[str, Any]] = {}
         for proxy in self.proxies:
@@ -162,7 +169,7 @@
         """Stop the proxies and all stand-ins.
 
         Returns:
-            The names of the proxies that ended with an error.
+            Names of the proxies that ended with a non-zero exit code.
         """
         exit_codes = await asyncio.gather(*(proxy.stop() for proxy in self.proxies))
         for server in self.servers.values():
--- a/larchhaven/testbed/discovery.py
+++ b/larchhaven/testbed/discovery.py
@@ -1,4 +1,4 @@
-"""A stand-in for discovery: the endpoint list and its watches over HTTP, with outages."""
+"""A stand-in for discovery: serves the endpoint list and its watches over HTTP, with outages."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 
     Attributes:
         servers: The upstream servers by name.
-        is_down: Whether all calls fail.
+        is_down: Whether all calls fail with status 503.
         version: Version of the endpoint list; each change raises it by one.
-        port: Its port once it has started.
-        calls: Number of calls so far.
+        port: Port on which it listens; 0 until it has started.
+        calls: Number of calls received so far.
     """
 
     def __init__(self, servers: Mapping[str, UpstreamServer], recorder: EventRecorder) -> None:
@@ -35,28 +35,28 @@
         self.calls = 0
         self._recorder = recorder
         self._changed = asyncio.Event()
-        self._changed_in_version: dict[str, int] = {}  # by server
+        self._changed_in_version: dict[str, int] = {}  # version of the last change, by server
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen at a free port."""
+        """Listen on a free port."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.port = int(self._server.sockets[0].getsockname()[1])
 
     def publish_health(self, server_name: str, health: str) -> None:
-        """Change the health that is published of a server."""
+        """Publish a new health state of a server."""
         self.servers[server_name].health = health
         self.version += 1
         self._changed_in_version[server_name] = self.version
         self._wake_watches()
 
     def set_down(self, is_down: bool) -> None:
-        """Fail all calls from now on, including waiting ones, or answer them again."""
+        """Start or end an outage, in which all calls fail, including pending watches."""
         self.is_down = is_down
         self._wake_watches()
 
     def describe_endpoint(self, server_name: str) -> dict[str, object]:
-        """Return the JSON of one server in the endpoint list."""
+        """Return the JSON object of one server in the endpoint list."""
         server = self.servers[server_name]
         return {
             "host": server_name,
@@ -70,7 +70,7 @@
         }
 
     def describe_all_endpoints(self) -> dict[str, object]:
-        """Return the JSON of the first endpoint list, as a proxy's configuration has it."""
+        """Return the initial endpoint list, in the form used by a proxy's configuration."""
         endpoints = [self.describe_endpoint(name) for name in self.servers]
         return {"seq": FIRST_VERSION, "whole": True, "hosts": endpoints}
 
@@ -89,7 +89,7 @@
             OSError,
             asyncio.CancelledError,
         ):
-            pass  # cancelled: the event loop of this task ends
+            pass  # cancelled only when the event loop shuts down
         finally:
             with contextlib.suppress(OSError, RuntimeError):
                 writer.close()
--- a/larchhaven/testbed/event_record.py
+++ b/larchhaven/testbed/event_record.py
@@ -1,4 +1,4 @@
-"""Records of what the stand-ins observed: the only input of the invariant checker."""
+"""Records of events that the stand-ins observed: the only input of the invariant checker."""
 
 from __future__ import annotations
 
@@ -11,29 +11,29 @@
 
 
 class EventKind(StrEnum):
-    """What a stand-in observed; the values are those of recorded files."""
+    """The kind of an observed event; the values appear in record files."""
 
     # Clients
-    REQUEST_SENT = "ask"  # the request line has been written
-    ANSWER_RECEIVED = "answer"  # the first line came back; an empty detail is an end without one
+    REQUEST_SENT = "ask"  # the client has written its request line
+    ANSWER_RECEIVED = "answer"  # the detail is the first line; empty if the connection ended
     MIGRATE_RECEIVED = "move"
     CONNECTION_LOST = "end"
-    CLIENT_LEFT = "leave"  # the client ended the connection itself
+    CLIENT_LEFT = "leave"  # the client itself ended the connection
 
     # Upstream servers
-    ATTEMPT_RECEIVED = "sent"  # a request line arrived
+    ATTEMPT_RECEIVED = "sent"  # a request line has arrived
     ESTABLISHED = "up"
     ATTEMPT_REJECTED = "turned"
-    ATTEMPT_ENDED = "over"  # the detail is an ``AttemptEnd``
+    ATTEMPT_ENDED = "over"  # the detail is an ``AttemptEnd`` value
     SERVER_STARTED_COLD = "born"
     SERVER_STOPPED = "left"
     INVALID_REQUEST = "strange"
 
     # Discovery and peers
-    HEALTH_PUBLISHED = "told"  # the detail is the health that was written to a proxy
+    HEALTH_PUBLISHED = "told"  # the detail is the health state sent to a proxy
     OVERSIZED_DATAGRAM = "long"
 
-    UNKNOWN = "unknown"  # written by another version; the checker skips it
+    UNKNOWN = "unknown"  # a kind from another version; the checker skips it
 
     @classmethod
     def _missing_(cls, _value: object) -> EventKind:
@@ -41,7 +41,7 @@
 
 
 class AttemptEnd(StrEnum):
-    """Who ended an attempt; the values are those of recorded files."""
+    """Which side ended an attempt; the values appear in record files."""
 
     SERVER = "self"
     PROXY = "proxy"
@@ -59,18 +59,18 @@
         "wait_us": "wait",
     },
 ):
-    """One event that one stand-in observed.
+    """One event that a stand-in observed.
 
     Attributes:
-        at_us: Time of the monotonic clock.
-        kind: What was observed.
+        at_us: Time of the monotonic clock in microseconds.
+        kind: Kind of the event.
         request_id: Identity of the request or connection, if the event concerns one.
         server_name: Name of the upstream server or peer, if the event concerns one.
-        detail: First line, health or cause, depending on the kind.
-        wait_us: For ``REQUEST_SENT`` how long the client waits; for ``SERVER_STARTED_COLD`` how
-            long the server warms up.
-        amount: For ``SERVER_STARTED_COLD`` the connections that the warm server carries; for
-            ``OVERSIZED_DATAGRAM`` the size in bytes.
+        detail: A received or sent line, a health state or a cause, depending on the kind.
+        wait_us: For ``REQUEST_SENT``, the deadline of the request, counted from the event; for
+            ``SERVER_STARTED_COLD``, the warm-up time of the server.
+        amount: For ``SERVER_STARTED_COLD``, the capacity of the warm server in connections; for
+            ``OVERSIZED_DATAGRAM``, the size in bytes.
     """
 
     at_us: int
@@ -88,7 +88,7 @@
 
 
 class EventRecorder:
-    """Passes records to its listeners and appends them to a file of JSON lines, if there is one.
+    """Passes records to its listeners and, if given a file, appends them to it as JSON lines.
 
     Attributes:
         listeners: Called with each record, in order.
@@ -110,7 +110,7 @@
         wait_us: int = 0,
         amount: float = 0.0,
     ) -> None:
-        """Record an event that has happened just now; the arguments are those of the record."""
+        """Record an event that happens now; the arguments are the fields of ``EventRecord``."""
         record = EventRecord(
             read_clock_us(), kind, request_id, server_name, detail, wait_us, amount
         )
--- a/larchhaven/testbed/faulty_network.py
+++ b/larchhaven/testbed/faulty_network.py
@@ -1,8 +1,9 @@
-"""A faulty network between real processes: delay, loss and cuts of each link, each way by itself.
+"""A faulty network between real processes: delay, loss and cuts, separate for each direction.
 
-Every process has addresses of its own for all others. A socket of the network is bound at each of
-them; it forwards what the one process sends from the address under which the other knows it. So
-faults are injected outside the processes, without rights on the machine.
+Each process reaches every other process at an address that only this pair uses. A socket of the
+network is bound to that address and forwards each datagram to its target, sent from the address
+under which the target knows the sender. Faults are therefore injected outside the processes, and
+no privileges on the machine are needed.
 """
 
 from __future__ import annotations
@@ -20,16 +21,16 @@
 
 @dataclass(slots=True)
 class NetworkLink:
-    """One way from one process to another.
+    """The link from one process to another, in this direction only.
 
     Attributes:
-        is_cut: Whether nothing passes.
-        loss_ratio: Part of the datagrams that are lost.
-        mean_delay_s: Mean of an exponential delay; 0 forwards at once.
-        duplicate_ratio: Part of the datagrams that arrive twice.
-        forwarded: Number of datagrams that passed.
-        lost: Number of datagrams that did not.
-        longest_bytes: Size of the longest datagram.
+        is_cut: Whether all datagrams are dropped.
+        loss_ratio: Fraction of the datagrams that are dropped at random.
+        mean_delay_s: Mean of the exponentially distributed delay; 0 forwards at once.
+        duplicate_ratio: Fraction of the datagrams that are delivered twice.
+        forwarded: Number of datagrams that were forwarded.
+        lost: Number of datagrams that were dropped.
+        longest_bytes: Size of the longest datagram sent over the link.
     """
 
     is_cut: bool = False
@@ -42,7 +43,7 @@
 
 
 class _Endpoint(asyncio.DatagramProtocol):
-    """The socket that stands for the remote process at the local one."""
+    """The socket that represents the remote process to the local one."""
 
     def __init__(self, network: FaultyNetwork, local: int, remote: int) -> None:
         self._network = network
@@ -51,7 +52,7 @@
         self.transport: asyncio.DatagramTransport | None = None
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Forward what the local process sends to the remote one."""
+        """Forward a datagram of the local process to the remote one."""
         if addr[1] == self._network.ports[self._local]:
             self._network.forward(self._local, self._remote, data)
 
@@ -67,8 +68,8 @@
     """The links between all pairs of processes.
 
     Attributes:
-        ports: Port of each process.
-        links: The links by numbers of source and target.
+        ports: UDP port of each process.
+        links: The links by source and target process number.
     """
 
     def __init__(self, size: int, rng: random.Random) -> None:
@@ -83,7 +84,7 @@
         self._rng = rng
 
     async def start(self) -> None:
-        """Open a socket for each end of each pair."""
+        """Open one socket for each direction of each pair of processes."""
         loop = asyncio.get_running_loop()
         for local, remote in self.links:
             endpoint = _Endpoint(self, local, remote)
@@ -99,7 +100,7 @@
                 endpoint.transport.close()
 
     def peer_addresses(self, number: int) -> list[str]:
-        """Return the table of peers of a process; its own entry is its own address."""
+        """Return the peer table of a process; its own entry is the address it listens on."""
         addresses = []
         for other, own_port in enumerate(self.ports):
             port = own_port
@@ -111,7 +112,7 @@
         return addresses
 
     def forward(self, source: int, target: int, data: bytes) -> None:
-        """Pass a datagram on, with the faults of its link."""
+        """Forward a datagram, subject to the faults of its link."""
         link = self.links[source, target]
         link.longest_bytes = max(link.longest_bytes, len(data))
         if link.is_cut or self._rng.random() < link.loss_ratio:
@@ -133,7 +134,7 @@
             transport.sendto(data, (LOOPBACK, self.ports[target]))
 
     def inject(self, source: int, target: int, data: bytes) -> None:
-        """Send a forged datagram to a process from the address of another one."""
+        """Deliver a forged datagram to the target, sent from the address of the source."""
         self._deliver(source, target, data)
 
     # Faults
@@ -141,14 +142,14 @@
     def cut_links(
         self, sources: Collection[int], targets: Collection[int], *, one_way: bool = False
     ) -> None:
-        """Cut all links from the sources to the targets, and back unless it is one way."""
+        """Cut all links from the sources to the targets, and back unless ``one_way`` is set."""
         for source, target in self._pairs(sources, targets):
             self.links[source, target].is_cut = True
             if not one_way:
                 self.links[target, source].is_cut = True
 
     def heal_links(self, sources: Collection[int], targets: Collection[int]) -> None:
-        """End the cuts between the sources and the targets, both ways."""
+        """Heal all cuts between the sources and the targets, in both directions."""
         for source, target in self._pairs(sources, targets):
             self.links[source, target].is_cut = False
             self.links[target, source].is_cut = False
@@ -163,7 +164,7 @@
         mean_delay_s: float = 0.0,
         duplicate_ratio: float = 0.0,
     ) -> None:
-        """Change all links at once; without arguments they have no faults but cuts."""
+        """Set loss, delay and duplication of all links; the defaults clear them. Cuts stay."""
         for link in self.links.values():
             link.loss_ratio = loss_ratio
             link.mean_delay_s = mean_delay_s
--- a/larchhaven/testbed/free_ports.py
+++ b/larchhaven/testbed/free_ports.py
@@ -1,4 +1,4 @@
-"""Ports for processes of the test bed that have to know them before they listen."""
+"""Finds free ports for processes whose ports must be known before they listen."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def _port_range() -> range:
-    """Return ports below those that the system assigns, so that none is taken by chance."""
+    """Return ports below the ephemeral range, so that the system assigns none of them by itself."""
     try:
         first_ephemeral = int(EPHEMERAL_RANGE_FILE.read_text().split()[0])
     except (OSError, ValueError, IndexError):
@@ -39,9 +39,9 @@
 
 
 def find_free_port() -> int:
-    """Return a port that was free a moment ago, for datagrams and connections.
+    """Return a port that was just found free for both UDP and TCP.
 
-    A port is returned once only in this process: who asked for it may not have opened it yet.
+    A process gets each port only once, as an earlier caller may not have bound its port yet.
     """
     while True:
         port = _random.choice(_port_range())
--- a/larchhaven/testbed/invariant_checker.py
+++ b/larchhaven/testbed/invariant_checker.py
@@ -1,7 +1,7 @@
-"""Checks from records alone whether the proxies kept the invariants: no socket, file or clock.
+"""Checks the invariants of the proxies from records alone, without sockets, files or a clock.
 
-The checker works as records arrive and forgets a request once nothing can go wrong with it any
-more, so that a run of any length fits into memory.
+The checker processes records as they arrive. It drops a request once the request can no longer
+violate an invariant, so memory stays bounded in runs of any length.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 
 @dataclass(slots=True)
 class _Request:
-    """A client's request, and the connection once it is established."""
+    """A client's request and, once it is established, its connection."""
 
     answer_due_us: int = 0
     answer: str = ""
     was_migrated: bool = False
-    attempts_since_us: dict[str, int] = field(default_factory=dict)  # by server
+    attempts_since_us: dict[str, int] = field(default_factory=dict)  # pending, by server
     superseded_at_us: dict[str, int] = field(default_factory=dict)  # by server
-    receipts: set[str] = field(default_factory=set)
+    confirmations: set[str] = field(default_factory=set)  # UP lines that servers sent
     established_server: str = ""
     was_ended_by_server: bool = False
 
@@ -39,10 +39,10 @@
 
 @dataclass(slots=True)
 class _Server:
-    """An upstream server."""
+    """The state of an upstream server as far as the records show it."""
 
-    draining_since_us: int | None = None  # as first published to a proxy
-    has_stopped: bool = False  # its connections end without a migration
+    draining_since_us: int | None = None  # when this was first published to a proxy
+    has_stopped: bool = False  # its connections may end without a migration
     attempts: int = 0
     started_cold_at_us: int | None = None
     warm_up_us: int = 0
@@ -51,11 +51,11 @@
 
 
 class InvariantChecker:
-    """Takes records in order of time and collects violations.
+    """Processes records in order of time and collects violations.
 
     Attributes:
-        limits: The limits that it applies.
-        log: The violations so far.
+        limits: Limits of the invariants.
+        log: Violations found so far.
     """
 
     def __init__(self, limits: InvariantLimits | None = None) -> None:
@@ -63,7 +63,7 @@
         self.log = ViolationLog()
         self._requests: dict[str, _Request] = {}
         self._servers: dict[str, _Server] = {}
-        self._finished: deque[tuple[int, str]] = deque()  # when, request
+        self._finished: deque[tuple[int, str]] = deque()  # time in us, request
         self._handlers: dict[EventKind, Callable[[EventRecord], None]] = {
             EventKind.REQUEST_SENT: self._on_request_sent,
             EventKind.ANSWER_RECEIVED: self._on_answer_received,
@@ -82,21 +82,21 @@
 
     @property
     def violations(self) -> list[Violation]:
-        """The violations that are kept so far."""
+        """The violations kept so far."""
         return self.log.violations
 
     def handle(self, record: EventRecord) -> None:
-        """Take the next record."""
+        """Process the next record."""
         handler = self._handlers.get(record.kind)
         if handler is not None:
             handler(record)
         self._forget_finished(record.at_us - FINISHED_REQUEST_RETENTION_US)
 
     def finish(self, at_us: int) -> list[Violation]:
-        """End the run.
+        """End the run: report each overdue request without an answer.
 
         Args:
-            at_us: Time of the last record.
+            at_us: Time of the end of the run, or of the last record.
 
         Returns:
             The violations that were kept.
@@ -104,7 +104,7 @@
         for name, request in self._requests.items():
             is_due = request.answer_due_us + self.limits.slack_us < at_us
             if request.answer_due_us and not request.answer and is_due:
-                self.log.add(Invariant.ONE_ANSWER, at_us, f"{name} never had an answer")
+                self.log.add(Invariant.ONE_ANSWER, at_us, f"request {name} was never answered")
         return self.violations
 
     def _forget_finished(self, until_us: int) -> None:
@@ -137,19 +137,21 @@
         request = self._request_of(record)
         name = record.request_id
         if request.answer:
-            text = f"{name} was answered {request.answer}, then {record.detail}"
+            text = f"request {name} was answered twice: {request.answer}, then {record.detail}"
             self._report(Invariant.ONE_ANSWER, record, text)
         request.answer = record.detail or ENDED_WITHOUT_ANSWER
         late_us = record.at_us - request.answer_due_us
         if not record.detail:
-            self._report(Invariant.ONE_ANSWER, record, f"{name} was ended without an answer")
+            self._report(
+                Invariant.ONE_ANSWER, record, f"connection of {name} ended without an answer"
+            )
         elif late_us > self.limits.slack_us:
-            text = f"{name} was answered {late_us // 1000} ms after its deadline"
+            text = f"request {name} was answered {late_us // 1000} ms after its deadline"
             self._report(Invariant.ONE_ANSWER, record, text)
         if not request.is_established:
             self._mark_finished(record)
-        elif record.detail not in request.receipts:
-            text = f"{name} got {record.detail!r}, which no exam server said"
+        elif record.detail not in request.confirmations:
+            text = f"request {name} was answered {record.detail!r}, which no server sent"
             self._report(Invariant.ONE_ANSWER, record, text)
 
     def _on_migrate_received(self, record: EventRecord) -> None:
@@ -158,15 +160,15 @@
     def _on_connection_lost(self, record: EventRecord) -> None:
         request = self._request_of(record)
         server = self._servers.get(request.established_server)
-        is_excused = (
+        is_expected = (
             request.was_migrated
             or request.was_ended_by_server
             or server is None
             or server.has_stopped
         )
-        if request.is_established and not is_excused:
+        if request.is_established and not is_expected:
             server_name = request.established_server
-            text = f"{record.request_id} was cut off from {server_name} without MOVE"
+            text = f"connection {record.request_id} to {server_name} ended without MOVE"
             self._report(Invariant.MIGRATE_BEFORE_LOSS, record, text)
         self._mark_finished(record)
 
@@ -189,11 +191,11 @@
         for server_name, since_us in request.attempts_since_us.items():
             overlaps = record.at_us - since_us > self.limits.attempt_overlap_us
             if overlaps and server_name != record.server_name:
-                # The proxy ends the old attempt first; its end may be seen a moment later.
+                # The proxy ends the old attempt first, but its server may see that end later.
                 request.superseded_at_us[server_name] = record.at_us
         if len(request.attempts_since_us) > 1:
             servers = ", ".join(request.attempts_since_us)
-            text = f"{record.request_id} is out at {servers} at once"
+            text = f"request {record.request_id} has attempts at several servers at once: {servers}"
             self._report(Invariant.ONE_EXECUTION, record, text)
         request.attempts_since_us[record.server_name] = record.at_us
 
@@ -202,13 +204,13 @@
             return
         late_us = record.at_us - server.draining_since_us - self.limits.drain_grace_us
         if late_us > self.limits.slack_us:
-            arrival = f"{record.request_id} came to {record.server_name}"
-            text = f"{arrival} {late_us // 1000} ms after the grace"
+            arrival = f"request {record.request_id} reached draining {record.server_name}"
+            text = f"{arrival} {late_us // 1000} ms after the drain grace period"
             self._report(Invariant.DRAIN, record, text)
 
     def _on_established(self, record: EventRecord) -> None:
         request = self._request_of(record)
-        request.receipts.add(record.detail)
+        request.confirmations.add(record.detail)
         request.established_server = record.server_name
         request.was_ended_by_server = False
 
@@ -220,7 +222,7 @@
         if superseded_at_us is not None:
             overlap_us = record.at_us - superseded_at_us
             if overlap_us > self.limits.attempt_overlap_us:
-                text = f"{record.request_id} was out at two servers for {overlap_us // 1000} ms"
+                text = f"request {record.request_id} was at two servers for {overlap_us // 1000} ms"
                 self._report(Invariant.ONE_EXECUTION, record, text)
         if request.established_server == record.server_name:
             request.was_ended_by_server = record.detail == AttemptEnd.SERVER
@@ -247,20 +249,20 @@
         if age_us >= server.warm_up_us:
             return
         cold_fraction = self.limits.cold_capacity_fraction
-        present_fraction = cold_fraction + (1 - cold_fraction) * (age_us / server.warm_up_us)
-        if server.attempts <= self.limits.overload_multiple * present_fraction * server.capacity:
+        current_fraction = cold_fraction + (1 - cold_fraction) * (age_us / server.warm_up_us)
+        if server.attempts <= self.limits.overload_multiple * current_fraction * server.capacity:
             server.overloaded_since_us = None
         elif server.overloaded_since_us is None:
             server.overloaded_since_us = record.at_us
         elif record.at_us - server.overloaded_since_us > self.limits.overload_us:
-            text = f"{record.server_name} holds {server.attempts} while it is cold"
+            text = f"{record.server_name} has {server.attempts} connections while in slow start"
             self._report(Invariant.SLOW_START, record, text)
             server.overloaded_since_us = record.at_us
 
     # Discovery and peers
 
     def _on_oversized_datagram(self, record: EventRecord) -> None:
-        text = f"{record.server_name} got one of {record.amount:.0f} bytes"
+        text = f"{record.server_name} received a datagram of {record.amount:.0f} bytes"
         self._report(Invariant.DATAGRAM_SIZE, record, text)
 
     def _on_health_published(self, record: EventRecord) -> None:
--- a/larchhaven/testbed/invariants.py
+++ b/larchhaven/testbed/invariants.py
@@ -1,4 +1,4 @@
-"""The invariants of a deployment: their names, their limits and how a violation is reported."""
+"""The invariants of a deployment: names, limits and reported violations."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Invariant(StrEnum):
-    """What must hold in every run; the values appear in reports."""
+    """Conditions that must hold in every run; the values appear in reports."""
 
     ONE_ANSWER = "one answer"
     DRAIN = "drain"
@@ -27,11 +27,13 @@
 
     Attributes:
         drain_grace_us: How long a draining server may still receive new requests.
-        cold_capacity_fraction: Part of its capacity that a server has as it starts.
-        overload_multiple: Load over present capacity that a cold server does not survive.
-        overload_us: How long a cold server stands that load.
-        slack_us: What sockets and a busy machine may add to any time.
-        attempt_overlap_us: How long two attempts may seem to overlap, as ends are seen late.
+        cold_capacity_fraction: Fraction of its capacity that a server has at a cold start.
+        overload_multiple: Load, as a multiple of the current capacity, that overloads a server in
+            slow start.
+        overload_us: How long a server in slow start survives that load.
+        slack_us: Tolerance on each time limit, for delays of sockets and of a busy machine.
+        attempt_overlap_us: How long two attempts may seem to overlap, as the end of the first one
+            may be observed late.
     """
 
     drain_grace_us: int = 3_000_000
@@ -47,7 +49,13 @@
     frozen=True,
     rename={"invariant": "rule", "at_us": "at", "description": "text"},
 ):
-    """One violation: of which invariant, when and by what."""
+    """One violation of an invariant.
+
+    Attributes:
+        invariant: The invariant.
+        at_us: Time of the record that shows the violation, on the monotonic clock.
+        description: What happened, as a sentence.
+    """
 
     invariant: Invariant
     at_us: int
@@ -55,10 +63,10 @@
 
 
 class ViolationLog:
-    """The first violations of a run and the number of all others.
+    """Keeps the first violations of a run and counts the others.
 
     Attributes:
-        violations: At most ``MAX_KEPT_VIOLATIONS``.
+        violations: The first violations, at most ``MAX_KEPT_VIOLATIONS``.
         omitted: Number of violations beyond these.
     """
 
@@ -67,7 +75,7 @@
         self.omitted = 0
 
     def add(self, invariant: Invariant, at_us: int, description: str) -> None:
-        """Keep a violation, or count it if there are too many already."""
+        """Keep a violation, or only count it once ``MAX_KEPT_VIOLATIONS`` are kept."""
         if len(self.violations) < MAX_KEPT_VIOLATIONS:
             self.violations.append(Violation(invariant, at_us, description))
         else:
--- a/larchhaven/testbed/outcome.py
+++ b/larchhaven/testbed/outcome.py
@@ -1,4 +1,4 @@
-"""What a played scenario showed; the field names of its JSON stay as reports have them."""
+"""The outcome of a scenario; ``rename`` keeps the keys of its JSON reports stable."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
         "established_connections": "standing",
     },
 ):
-    """One look at a proxy, from outside and at its own memory account.
+    """One sample of a proxy: its resource usage and its own memory report.
 
     Attributes:
         at_s: Time since the start of the scenario.
         proxy: Name of the proxy.
-        resident_bytes: Resident size of the process.
-        descriptors: Descriptors that the process holds.
-        memory_report: Its answer to ``/v1/memory``.
-        pending_requests: Requests that wait in it for an answer.
-        established_connections: Established connections of all clients.
+        resident_bytes: Resident set size of the process.
+        descriptors: Number of open file descriptors of the process.
+        memory_report: JSON of the proxy's ``GET /v1/memory``.
+        pending_requests: Requests in the proxy that wait for an answer.
+        established_connections: Established connections of all clients, over all proxies.
     """
 
     at_s: float
@@ -53,7 +53,7 @@
         "idle_memory_reports": "rest",
     },
 ):
-    """What a scenario showed.
+    """The results of a played scenario.
 
     Attributes:
         name: Name of the scenario.
@@ -62,13 +62,13 @@
         violations: The violations that were kept.
         omitted_violations: Number of violations beyond these.
         event_counts: Number of records of each kind.
-        classes: What the clients of each request class met.
-        tenant_answers: Answers by their first word, for each tenant.
-        samples: The looks at the proxies, in order of time.
-        crashed_proxies: Names of proxies that ended by themselves or with an error.
-        errors: Unexpected errors, in the logs of proxies or in the test bed.
-        log_lines: Number of lines that all proxies have logged.
-        idle_memory_reports: Each proxy's ``/v1/memory`` once all clients had left.
+        classes: Results of the clients of each request class.
+        tenant_answers: Number of answers by tenant and first word.
+        samples: The samples of the proxies, in order of time.
+        crashed_proxies: Names of proxies that ended early or with an error.
+        errors: Unexpected errors in the proxies' logs or in the test bed.
+        log_lines: Number of lines logged by all proxies.
+        idle_memory_reports: Memory report of each proxy after all clients had left.
     """
 
     name: str
@@ -92,10 +92,10 @@
 
     @property
     def failures(self) -> tuple[list[Violation], list[str], list[str]]:
-        """The first violations, the crashed proxies and the errors, to show where it failed."""
+        """The first violations, the crashed proxies and the errors, for test failure messages."""
         return self.violations[:5], self.crashed_proxies, self.errors
 
     def summarize(self) -> dict[str, Any]:
-        """Return the outcome for JSON, with the number of samples in place of the samples."""
+        """Return the outcome for JSON, with the number of samples instead of the samples."""
         summary: dict[str, Any] = msgspec.to_builtins(self)
         return summary | {"holds": self.holds, "samples": len(self.samples)}
--- a/larchhaven/testbed/peers.py
+++ b/larchhaven/testbed/peers.py
@@ -1,4 +1,4 @@
-"""Stand-ins for other proxies: they receive datagrams and send valid or random ones."""
+"""Stand-ins for other proxies: they receive datagrams and send random ones."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 MAX_DATAGRAM_BYTES = 256
 MAX_RANDOM_SUFFIX_BYTES = 64
-# Beginnings of real messages, cut or complete, beside noise.
+# Random datagrams begin with the start of a real message, cut or complete, or with noise.
 _PREFIXES = (
     b"",
     b"?",
@@ -23,10 +23,10 @@
 
 
 class PeerStandIn(asyncio.DatagramProtocol):
-    """One other proxy: an address in the list of peers with nothing behind it.
+    """A stand-in for one proxy: an address in the peer table without a real proxy behind it.
 
     Attributes:
-        name: Name in records.
+        name: Its name in records.
         received_datagrams: Number of datagrams received.
     """
 
@@ -38,7 +38,7 @@
         self._transport: asyncio.DatagramTransport | None = None
 
     async def start(self, port: int) -> None:
-        """Listen at a port of the loopback address."""
+        """Listen on a port of the loopback address."""
         loop = asyncio.get_running_loop()
         self._transport, _ = await loop.create_datagram_endpoint(
             lambda: self, local_addr=("127.0.0.1", port)
@@ -50,7 +50,7 @@
             self._transport.close()
 
     def datagram_received(self, data: bytes, _addr: tuple[str, int]) -> None:
-        """Count a datagram, and record one that is larger than the platform allows."""
+        """Count a datagram, and record it if it is larger than the platform allows."""
         self.received_datagrams += 1
         if len(data) > MAX_DATAGRAM_BYTES:
             self._recorder.record(
@@ -63,11 +63,11 @@
     async def send_random_datagrams(
         self, datagrams_per_second: float, targets: Callable[[], Sequence[tuple[str, int]]]
     ) -> None:
-        """Send datagrams of random content to all targets until cancelled.
+        """Send random datagrams to all targets until cancelled.
 
         Args:
-            datagrams_per_second: Mean rate to each target; 0 sends nothing.
-            targets: Returns the present addresses of the proxies.
+            datagrams_per_second: Mean rate to each target; at 0 nothing is sent.
+            targets: Returns the current addresses of the proxies.
         """
         while datagrams_per_second > 0:
             await asyncio.sleep(self._rng.expovariate(datagrams_per_second))
--- a/larchhaven/testbed/proxy_configuration.py
+++ b/larchhaven/testbed/proxy_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration that the platform would give a proxy of a deployment."""
+"""Builds the configuration that the platform would give a proxy of a deployment."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 DEFAULT_MAX_ATTEMPTS = 3
 DEFAULT_MEMORY_MB = 192
 DEFAULT_SOCKETS = 1024
-PARK_US = 6_000_000
+IDLE_PARK_US = 6_000_000
 ANY_LOOPBACK_PORT = "127.0.0.1:0"
 
 
 def drain_grace_us(scenario: Scenario) -> int:
-    """Return how long a draining server may still receive new requests."""
+    """Return how long a draining server may still receive new requests, in microseconds."""
     return int((scenario.drain_grace_ms or DEFAULT_DRAIN_GRACE_MS) * 1000)
 
 
 def build_proxy_settings(scenario: Scenario, index: int = 0) -> dict[str, Any]:
-    """Return the platform's settings for one proxy of a scenario.
+    """Build the platform's settings for one proxy of a scenario.
 
     Args:
         scenario: The scenario.
-        index: Number of the proxy.
+        index: Index of the proxy among the proxies of the deployment.
     """
     classes = list(scenario.classes) or [Scenario().classes.add(name="chat")]
     instances = max(scenario.proxies, 1) + scenario.peers
@@ -49,7 +49,7 @@
         "prices": {"moves": 0.016, "probe": 0.002},
         "family_info": _build_family_info(scenario, len(classes)),
         "policy_limits": _build_policy_limits(
-            scenario, may_tell=instances > 1 and not scenario.proxies_keep_silent
+            scenario, can_gossip=instances > 1 and not scenario.proxies_keep_silent
         ),
         "report": {"fields": ["x0"], "how": "pull"},
         "services": [_build_service(request_class) for request_class in classes],
@@ -72,7 +72,7 @@
     return {
         "message_aim": [100000.0] * class_count,
         "mode": "pass" if scenario.pass_through else "proxy",
-        "park": PARK_US if scenario.pass_through else 0,
+        "park": IDLE_PARK_US if scenario.pass_through else 0,
         "tells_delay": True,
         "tells_load": True,
         "tenant_quota_connections": [member.quota for member in scenario.members],
@@ -81,7 +81,7 @@
     }
 
 
-def _build_policy_limits(scenario: Scenario, *, may_tell: bool) -> dict[str, Any]:
+def _build_policy_limits(scenario: Scenario, *, can_gossip: bool) -> dict[str, Any]:
     return {
         "cancel": True,
         "connect_timeout": 250000,
@@ -90,7 +90,7 @@
         "parallel_tries": False,
         "probes": True,
         "retry_after": True,
-        "may_tell": may_tell,
+        "may_tell": can_gossip,
     }
 
 
@@ -118,16 +118,16 @@
     endpoints: dict[str, object],
     peers: Sequence[str] = (),
 ) -> dict[str, Any]:
-    """Return the configuration of one proxy process.
+    """Build the configuration of one proxy process.
 
     Args:
-        number: Number of the proxy; it is named after it.
-        seed: Seed of its random numbers.
-        discovery_port: Port of discovery on loopback.
-        limits: Cores, memory and sockets that it is granted.
+        number: Number of the proxy; its name is ``n`` and the number.
+        seed: Seed of the proxy's random numbers.
+        discovery_port: Port of discovery on the loopback address.
+        limits: Cores, memory and sockets granted to the proxy.
         settings: The platform's settings.
-        endpoints: The endpoint list with which it starts.
-        peers: Addresses of all proxies in order of their numbers; empty if it has no peers.
+        endpoints: The initial endpoint list.
+        peers: Peer table: addresses of all proxies in order of their numbers; empty for none.
     """
     configuration: dict[str, Any] = {
         "name": f"n{number}",
@@ -145,7 +145,7 @@
 
 
 def build_limits(scenario: Scenario) -> dict[str, float]:
-    """Return what a scenario grants each proxy."""
+    """Return the cores, memory and sockets that a scenario grants each proxy."""
     grant = scenario.grant
     return {
         "cores": 1.0,
--- a/larchhaven/testbed/proxy_fleet.py
+++ b/larchhaven/testbed/proxy_fleet.py
@@ -1,9 +1,9 @@
-"""Many processes of the program with a faulty network between them, controlled by a script.
+"""A fleet of real proxy processes with a faulty network between them, controlled by a script.
 
-A script is a list of steps. What each process reports of its view is read over management and
-judged by ``expect_agreement``: within a time, all that are asked report the same of all others.
-Times on sockets differ from run to run, so every expectation has an upper limit and no lower one,
-and the verdict is the same.
+A script injects faults and waits for expectations. ``expect_agreement`` reads the membership views
+of processes over the management API and waits until all of them report the same, expected view.
+Timing on real sockets differs from run to run. Every expectation therefore has an upper time limit
+and no lower one, so that the verdict does not depend on the timing.
 """
 
 from __future__ import annotations
@@ -37,11 +37,11 @@
 def write_operator_text(
     key: str = MEMBERSHIP_KEY, second_key: str = "", *, enabled: bool = True
 ) -> str:
-    """Return the operators' file of a member.
+    """Return the text of an operators' file that configures the membership.
 
     Args:
-        key: Key of the membership.
-        second_key: Key that is accepted as well; empty for none.
+        key: The membership key, with which datagrams are signed.
+        second_key: A further key that is accepted; empty for none.
         enabled: Whether the membership is turned on.
     """
     second = f' key_too: "{second_key}"' if second_key else ""
@@ -50,14 +50,14 @@
 
 @dataclass(slots=True)
 class FleetStep:
-    """One thing that was done or expected, for the report.
+    """One action or expectation of a script, for the report.
 
     Attributes:
-        at_s: Time since the start.
+        at_s: Time since the start of the fleet.
         description: What was done or expected.
-        duration_s: How long an expectation took to come true.
-        holds: Whether it came true in time.
-        observed: If not, what was observed instead.
+        duration_s: Time until an expectation was met; None for an action or an unmet expectation.
+        holds: Whether the expectation was met in time; always true for an action.
+        observed: What was observed instead; empty if the expectation was met.
     """
 
     at_s: float
@@ -68,15 +68,15 @@
 
 
 class ProxyFleet:
-    """A number of proxies that know each other through the network.
+    """A number of proxies that reach each other through a faulty network.
 
     Attributes:
         size: Number of proxies.
         zones: Number of zones; proxy n is in zone n modulo this.
         network: The network between them.
         proxies: The processes in order of their numbers.
-        steps: What was done and expected so far.
-        stopped: Numbers of processes that are paused or ended.
+        steps: Actions and expectations so far.
+        stopped: Numbers of the processes that are paused or have ended.
     """
 
     def __init__(
@@ -86,16 +86,16 @@
         seed: int = 1,
         *,
         membership_enabled: bool = True,
-        may_tell: bool = True,
+        can_gossip: bool = True,
     ) -> None:
         """Prepare a fleet.
 
         Args:
             size: Number of proxies.
-            folder: Where the processes have their files.
+            folder: Parent directory of the processes' directories.
             seed: Seed of the network and the proxies.
             membership_enabled: Whether the operators' file turns membership on at the start.
-            may_tell: Whether the platform's settings let proxies talk to each other.
+            can_gossip: Whether the platform's settings let proxies exchange datagrams.
         """
         self.size = size
         self.zones = DEFAULT_ZONES
@@ -106,7 +106,7 @@
         self._folder = folder
         self._seed = seed
         self._membership_enabled = membership_enabled
-        self._may_tell = may_tell
+        self._can_gossip = can_gossip
         self._started_at_s = 0.0
         recorder = EventRecorder()
         self._server = UpstreamServer("s0", ServerTraits(), recorder)
@@ -116,7 +116,8 @@
         """Start the network, one upstream server, discovery and all processes.
 
         Raises:
-            ProxyNotStartedError: A proxy did not listen; none is left running then.
+            ProxyNotStartedError: A proxy ended or timed out before it listened. All processes are
+                stopped before this is raised.
         """
         await self.network.start()
         await self._server.start()
@@ -141,7 +142,7 @@
         settings["instances"] = self.size
         settings["zones"] = [f"z{zone}" for zone in range(self.zones)]
         settings["zone"] = number % self.zones
-        settings["policy_limits"]["may_tell"] = self._may_tell
+        settings["policy_limits"]["may_tell"] = self._can_gossip
         configuration = build_proxy_configuration(
             number,
             seed=self._seed + number,
@@ -159,7 +160,8 @@
         """Kill all processes and stop the stand-ins.
 
         Returns:
-            What no process should ever log or send.
+            The log of each process that logged a traceback, and a sentence if a datagram exceeded
+            ``MAX_DATAGRAM_BYTES``; empty if nothing went wrong.
         """
         for number in list(self.stopped):
             self.proxies[number].send_signal(signal.SIGCONT)
@@ -175,7 +177,7 @@
         ]
         longest_bytes = max((link.longest_bytes for link in self.network.links.values()), default=0)
         if longest_bytes > MAX_DATAGRAM_BYTES:
-            errors.append(f"a datagram of {longest_bytes} bytes")
+            errors.append(f"a datagram had {longest_bytes} of at most {MAX_DATAGRAM_BYTES} bytes")
         return errors
 
     def _add_step(self, description: str) -> FleetStep:
@@ -186,38 +188,38 @@
     # Faults of processes
 
     def kill(self, *numbers: int) -> None:
-        """Kill processes."""
+        """Kill processes (SIGKILL)."""
         self._add_step(f"kill {list(numbers)}")
         for number in numbers:
             self.proxies[number].send_signal(signal.SIGKILL)
             self.stopped.add(number)
 
     def shut_down(self, number: int) -> None:
-        """Have a process shut down gracefully."""
-        self._add_step(f"stop {number}")
+        """Shut a process down gracefully (SIGTERM)."""
+        self._add_step(f"shut down {number}")
         self.proxies[number].send_signal(signal.SIGTERM)
         self.stopped.add(number)
 
     def pause(self, *numbers: int) -> None:
-        """Pause processes."""
+        """Pause processes (SIGSTOP)."""
         self._add_step(f"pause {list(numbers)}")
         for number in numbers:
             self.proxies[number].send_signal(signal.SIGSTOP)
             self.stopped.add(number)
 
     def resume(self, *numbers: int) -> None:
-        """Resume paused processes."""
+        """Resume paused processes (SIGCONT)."""
         self._add_step(f"resume {list(numbers)}")
         for number in numbers:
             self.proxies[number].send_signal(signal.SIGCONT)
             self.stopped.discard(number)
 
     async def restart(self, number: int, *, without_files: bool = False) -> None:
-        """Start a process again that has ended.
+        """Restart a process that has ended.
 
         Args:
             number: Number of the process.
-            without_files: Whether all its files but the operators' are lost.
+            without_files: Whether to delete all its files except the operators' file first.
         """
         self._add_step(f"restart {number}{' without its files' if without_files else ''}")
         proxy = self.proxies[number]
@@ -232,31 +234,35 @@
         self.stopped.discard(number)
 
     def replace_operator_file(self, number: int, text: str) -> None:
-        """Give a process another operators' file and have it reload it."""
+        """Replace the operators' file of a process and make the process reload it."""
         self.proxies[number].replace_operator_file(text)
 
     # Expectations
 
     async def read_view(self, number: int) -> dict[str, Any]:
-        """Return what a process reports of its membership view."""
+        """Return the membership view that a process reports."""
         view: dict[str, Any] = await self.proxies[number].call("/v1/members") or {}
         return view
 
     async def wait_until(
-        self, description: str, find_obstacle: Callable[[], Awaitable[str]], timeout_s: float
+        self, description: str, find_mismatch: Callable[[], Awaitable[str]], timeout_s: float
     ) -> FleetStep:
-        """Wait until something holds.
+        """Wait until an expectation is met.
 
         Args:
-            description: What is expected.
-            find_obstacle: Returns what is observed instead; empty once it holds.
+            description: What is expected, for the report.
+            find_mismatch: Returns what is observed instead, or an empty string once the
+                expectation is met.
             timeout_s: How long to wait.
+
+        Returns:
+            The step; its ``holds`` is false if the time ran out.
         """
         step = self._add_step(description)
         started_at_s = time.monotonic()
         observed = ""
         while time.monotonic() < started_at_s + timeout_s:
-            observed = await find_obstacle()
+            observed = await find_mismatch()
             if not observed:
                 step.duration_s = round(time.monotonic() - started_at_s, 3)
                 return step
@@ -272,20 +278,26 @@
         observers: Collection[int] | None = None,
         description: str = "",
     ) -> FleetStep:
-        """Wait until processes report the same and right view.
+        """Wait until processes report the same, expected membership view.
 
         Args:
-            states: Expected states by number, alternatives joined by ``|``; others are alive.
+            states: Expected state of each member by number, alternatives separated by ``|``;
+                members left out are expected to be alive.
             timeout_s: How long to wait.
-            observers: Numbers of the processes that are asked; all if left out. Stopped ones
-                are never asked.
-            description: What is expected, for the report.
+            observers: Numbers of the processes whose views are read; by default all. Stopped
+                processes are always left out.
+            description: What is expected, for the report; by default made from the states.
+
+        Returns:
+            The step; its ``holds`` is false if the time ran out.
         """
-        asked = sorted(set(range(self.size) if observers is None else observers) - self.stopped)
+        observer_numbers = sorted(
+            set(range(self.size) if observers is None else observers) - self.stopped
+        )
 
         async def find_disagreement() -> str:
-            views = await asyncio.gather(*map(self.read_view, asked))
-            return self._find_disagreement(dict(zip(asked, views, strict=True)), states)
+            views = await asyncio.gather(*map(self.read_view, observer_numbers))
+            return self._find_disagreement(dict(zip(observer_numbers, views, strict=True)), states)
 
         text = description or f"agree on {states or 'all alive'}"
         return await self.wait_until(text, find_disagreement, timeout_s)
@@ -295,7 +307,7 @@
         for number, view in views.items():
             wrong = self._find_wrong_states(view, states)
             if wrong or not view.get("sure"):
-                return f"{number} says: {', '.join(wrong) or 'not sure'}"
+                return f"{number} reports {', '.join(wrong) or 'an unconfirmed view'}"
             content = [(m["number"], m["incarnation"], m["state"]) for m in view["members"]]
             observers_by_view.setdefault(str(content), []).append(number)
         if len(observers_by_view) == 1:
@@ -305,7 +317,7 @@
     def _find_wrong_states(self, view: dict[str, Any], states: dict[int, str]) -> list[str]:
         reported = {member["number"]: member["state"] for member in view.get("members", [])}
         return [
-            f"{number} {reported.get(number, 'unheard')}"
+            f"{number} {reported.get(number, 'missing')}"
             for number in range(self.size)
             if reported.get(number) not in states.get(number, "alive").split("|")
         ]
--- a/larchhaven/testbed/proxy_process.py
+++ b/larchhaven/testbed/proxy_process.py
@@ -1,4 +1,4 @@
-"""The real program as a process of the test bed: its configuration, log and resource usage."""
+"""A real proxy as a child process of the test bed: configuration, log and resource usage."""
 
 from __future__ import annotations
 
@@ -26,30 +26,30 @@
 
 
 class ProxyNotStartedError(LarchhavenError):
-    """A proxy ended, or took too long, before it listened.
+    """A proxy ended or timed out before it listened.
 
     Attributes:
         name: Name of the proxy.
-        log: What it has logged.
+        log: The last lines of its log.
     """
 
     def __init__(self, name: str, log: str) -> None:
-        super().__init__(log)
+        super().__init__(f"proxy {name} did not start listening; its log:\n{log}")
         self.name = name
         self.log = log
 
 
 class ProxyProcess:
-    """One proxy, started from a configuration in a folder of its own.
+    """One proxy process with a directory of its own.
 
     Attributes:
         name: Name of the proxy.
-        folder: Where its configuration and its files are.
-        configuration: Its configuration, written at each start.
+        folder: Directory of its configuration and its other files.
+        configuration: Its configuration, written to a file at each start.
         log: The last lines of its log.
-        log_lines: Number of all lines of its log.
-        address: Where it accepts clients, once it listens.
-        management: Where it accepts management calls, once it listens.
+        log_lines: Number of lines that it has logged so far.
+        address: Address for clients; ``NOT_LISTENING`` until it listens.
+        management_address: Address of the management API; ``NOT_LISTENING`` until it listens.
     """
 
     def __init__(self, name: str, folder: Path, configuration: dict[str, Any]) -> None:
@@ -59,14 +59,14 @@
         self.log: deque[str] = deque(maxlen=MAX_LOG_LINES)
         self.log_lines = 0
         self.address = NOT_LISTENING
-        self.management = NOT_LISTENING
+        self.management_address = NOT_LISTENING
         self._process: asyncio.subprocess.Process | None = None
         self._log_reader: asyncio.Task[None] | None = None
         folder.mkdir(parents=True, exist_ok=True)
 
     @property
     def process_id(self) -> int:
-        """The id of the process; 0 if it was never started."""
+        """The process id; 0 if the process was never started."""
         return self._process.pid if self._process is not None else 0
 
     @property
@@ -76,19 +76,19 @@
 
     @property
     def operator_file(self) -> Path:
-        """Where the operators' file of this proxy is, if it has one."""
+        """Path of the operators' file of this proxy; the file may not exist."""
         return self.folder / OPERATOR_FILE_NAME
 
     @property
     def has_logged_traceback(self) -> bool:
-        """Whether the log shows an unexpected error."""
+        """Whether the kept log lines show a traceback, and so an unexpected error."""
         return any("Traceback" in line for line in self.log)
 
     async def start(self) -> None:
-        """Start the program and wait until it listens.
+        """Start the proxy and wait until it accepts clients.
 
         Raises:
-            ProxyNotStartedError: It ended or did not listen in time.
+            ProxyNotStartedError: It ended, or did not listen within ``START_TIMEOUT_S``.
         """
         path = self.folder / "config.json"
         path.write_text(json.dumps(self.configuration))
@@ -135,25 +135,25 @@
             if match.group(1) == "listens":
                 self.address = address
             else:
-                self.management = address
+                self.management_address = address
         return True
 
     async def call(self, path: str, method: str = "GET") -> Any:
-        """Call the management interface.
+        """Call the management API.
 
         Args:
             path: Path of the call.
             method: HTTP method.
 
         Returns:
-            The JSON of the answer, or None if the call failed.
+            The JSON of the answer, or None if its status is not 2xx.
 
         Raises:
             OSError: The connection failed.
-            TimeoutError: No answer came in time.
+            TimeoutError: No answer came within ``CALL_TIMEOUT_S``.
             ValueError: The answer is not JSON.
         """
-        reader, writer = await asyncio.open_connection(*self.management)
+        reader, writer = await asyncio.open_connection(*self.management_address)
         try:
             writer.write(f"{method} {path} HTTP/1.1\r\nHost: lab\r\n\r\n".encode())
             answer = await asyncio.wait_for(reader.read(), CALL_TIMEOUT_S)
@@ -163,7 +163,7 @@
         return json.loads(body) if head.startswith(b"HTTP/1.1 2") else None
 
     def resident_bytes(self) -> int:
-        """Return the resident size of the process; 0 once it has ended."""
+        """Return the resident set size of the process in bytes; 0 once it has ended."""
         try:
             pages = int(Path(f"/proc/{self.process_id}/statm").read_text().split()[1])
         except (OSError, IndexError):
@@ -171,7 +171,7 @@
         return pages * os.sysconf("SC_PAGE_SIZE")
 
     def count_descriptors(self) -> int:
-        """Return how many descriptors the process holds; 0 once it has ended."""
+        """Return the number of open file descriptors of the process; 0 once it has ended."""
         try:
             return len(list(Path(f"/proc/{self.process_id}/fd").iterdir()))
         except OSError:
@@ -180,23 +180,23 @@
     def send_signal(self, number: signal.Signals) -> None:
         """Send a signal to the process, if it is running."""
         if self.is_running:
-            # The process object would reap the child that the event loop waits for.
+            # ``Process.send_signal`` polls, which would reap the child the event loop waits for.
             with contextlib.suppress(ProcessLookupError):
                 os.kill(self.process_id, number)
 
     def replace_operator_file(self, text: str) -> None:
-        """Write another operators' file and have the process reload it."""
+        """Replace the operators' file and make the process reload it."""
         self.operator_file.write_text(text)
         self.send_signal(signal.SIGHUP)
 
     async def stop(self, timeout_s: float = STOP_TIMEOUT_S) -> int | None:
-        """Shut the program down gracefully, or kill it once the timeout is over.
+        """Shut the proxy down gracefully, and kill it if that exceeds the timeout.
 
         Args:
             timeout_s: How long a graceful shutdown may take.
 
         Returns:
-            The exit code; None if it was never started.
+            The exit code; None if the proxy was never started.
         """
         if self._process is None:
             return None
--- a/larchhaven/testbed/proxy_sampler.py
+++ b/larchhaven/testbed/proxy_sampler.py
@@ -1,4 +1,4 @@
-"""Samples the proxies of a deployment at an interval."""
+"""Samples the proxies of a deployment at a fixed interval."""
 
 from __future__ import annotations
 
@@ -13,6 +13,11 @@
 class ProxySampler:
     """Takes samples of all running proxies.
 
+    Args:
+        deployment: The deployment whose proxies are sampled.
+        interval_s: Time between two rounds of samples.
+        sample_taken: Called with each sample, if given.
+
     Attributes:
         samples: The samples so far.
     """
@@ -41,7 +46,7 @@
             memory_report = await proxy.call("/v1/memory") or {}
             metrics = await proxy.call("/v1/metrics") or {}
         except (OSError, ValueError, TimeoutError):
-            return  # it is busy or stopping; the next sample follows
+            return  # the proxy is busy or stopping; the next round tries again
         sample = ProxySample(
             at_s=round(self._deployment.elapsed_s(), 3),
             proxy=proxy.name,
--- a/larchhaven/testbed/random_streams.py
+++ b/larchhaven/testbed/random_streams.py
@@ -1,4 +1,4 @@
-"""Independent streams of random numbers from one seed."""
+"""Independent random number generators derived from one seed."""
 
 from __future__ import annotations
 
@@ -9,6 +9,6 @@
 
 
 def make_random_stream(seed: int, purpose: str) -> random.Random:
-    """Return random numbers for one purpose, so that a change of one leaves the others alone."""
+    """Return a generator for one purpose; its draws do not affect those of other purposes."""
     digest = hashlib.blake2b(f"{seed}/{purpose}".encode(), digest_size=_DIGEST_BYTES).digest()
     return random.Random(digest)
--- a/larchhaven/testbed/scenario_file.py
+++ b/larchhaven/testbed/scenario_file.py
@@ -1,4 +1,4 @@
-"""Reads a scenario from its text and checks the names in it."""
+"""Reads a scenario in protobuf text format and checks the names that it refers to."""
 
 from __future__ import annotations
 
@@ -14,10 +14,11 @@
     """Read a scenario in protobuf text format.
 
     Args:
-        text: The scenario.
+        text: The text of the scenario.
 
     Returns:
-        The scenario and the complaints about it, each with its line and column where it has one.
+        The scenario and a message for each error. Parse errors start with their line and column;
+        names are checked only if parsing found no error.
     """
     from larchhaven.operator.text_parser import parse_message
 
@@ -36,7 +37,7 @@
 
 
 def server_names(scenario: Scenario) -> list[str]:
-    """Return the names of the upstream servers, through all groups."""
+    """Return the names of the upstream servers of all groups."""
     count = sum(max(group.count, 1) for group in scenario.servers)
     return [f"s{number}" for number in range(count)]
 
@@ -50,15 +51,15 @@
 
 
 def _check_client_classes(scenario: Scenario) -> Iterator[str]:
-    known = {request_class.name for request_class in scenario.classes} or {DEFAULT_REQUEST_CLASS}
+    defined = {request_class.name for request_class in scenario.classes} or {DEFAULT_REQUEST_CLASS}
     for group in scenario.terminals:
         name = read_request_class(group)
-        if name not in known:
-            listed = ", ".join(sorted(known))
+        if name not in defined:
+            listed = ", ".join(sorted(defined))
             yield f"terminals: there is no class {name!r}, known are {listed}"
 
 
 def _check_client_members(scenario: Scenario) -> Iterator[str]:
-    known = {member.name for member in scenario.members}
-    for name in {group.member for group in scenario.terminals} - known - {""}:
-        yield f"terminals: there is no member {name!r}, known are {sorted(known)}"
+    defined = {member.name for member in scenario.members}
+    for name in {group.member for group in scenario.terminals} - defined - {""}:
+        yield f"terminals: there is no member {name!r}, known are {sorted(defined)}"
--- a/larchhaven/testbed/scenario_player.py
+++ b/larchhaven/testbed/scenario_player.py
@@ -1,4 +1,4 @@
-"""Plays a scenario on a deployment: arrivals, events, and the outcome at the end."""
+"""Plays a scenario on a deployment: runs its arrivals and events and collects the outcome."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 from larchhaven.testbed.scenario_file import SERVER_EVENTS
 from larchhaven.testbed.scenario_pb2 import Event, Scenario
 
-# How soon a crashed server leaves the endpoint list.
+# Time from the crash of a server until it leaves the endpoint list.
 CRASH_DETECTION_S = 1.0
-# Arrivals that are closer than this need no sleep of their own.
+# Shorter waits for the next arrival are skipped.
 MIN_ARRIVAL_SLEEP_S = 0.005
 PROGRESS_INTERVAL_S = 0.5
 MAX_REPORTED_LOG_LENGTH = 2_000
@@ -32,8 +32,8 @@
     """Runs the arrivals and events of a scenario.
 
     Attributes:
-        deployment: The deployment on which it plays.
-        sampler: Samples its proxies.
+        deployment: The deployment on which the scenario is played.
+        sampler: Samples the proxies of the deployment.
     """
 
     def __init__(self, deployment: Deployment, sampler: ProxySampler) -> None:
@@ -44,7 +44,7 @@
         self._arrivals: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
-        """Have the arrivals and events of the scenario happen from now on."""
+        """Start the tasks for the arrivals and events of the scenario."""
         for number, group in enumerate(self._scenario.terminals):
             profile = make_client_profile(group)
             until_s = min(group.until_seconds or math.inf, self._scenario.seconds)
@@ -119,11 +119,11 @@
                 await server.start(cold=True)
                 discovery.publish_health(server_name, "ready")
 
-    async def settle(self) -> None:
-        """Have the clients that arrived by the end of the scenario get their answers.
+    async def wait_for_answers(self) -> None:
+        """Wait until all clients that arrive during the scenario are answered or give up.
 
-        Those cut off with a request in flight would be missing from the outcome, and so would be
-        an answer that never came.
+        Clients cut off with a request in flight would be missing from the outcome, and requests
+        that are never answered would go unnoticed.
         """
         await asyncio.gather(*self._arrivals, return_exceptions=True)
         await self.deployment.clients.wait_until_answered()
@@ -140,8 +140,8 @@
         idle_memory_reports = await self.deployment.wait_until_idle()
         duration_s = round(self.deployment.elapsed_s(), 2)
         violations = list(self.deployment.checker.finish(read_clock_us()))
-        failed = await self.deployment.stop()
-        crashed += [name for name in failed if name not in crashed]
+        failed_proxies = await self.deployment.stop()
+        crashed += [name for name in failed_proxies if name not in crashed]
         client_outcomes = self.deployment.clients.outcomes
         return ScenarioOutcome(
             name=self._scenario.name,
@@ -181,19 +181,19 @@
 
     Args:
         scenario: The scenario.
-        record_file: Where the records go as JSON lines, if anywhere.
-        sample_interval_s: Time between two looks at the proxies.
-        progress: Called again and again while the scenario is played.
-        sample_taken: Called with each sample.
-        limits: Limits of the invariants; the scenario's if left out.
-        operator_text: The proxies' operators' file, if they have one.
+        record_file: File to which records are written as JSON lines, if any.
+        sample_interval_s: Time between two rounds of samples.
+        progress: Called every ``PROGRESS_INTERVAL_S`` while the scenario is played.
+        sample_taken: Called with each sample, if given.
+        limits: Limits of the invariants; by default those of the scenario.
+        operator_text: Text of the proxies' operators' file, if they have one.
 
     Returns:
-        What the scenario showed.
+        The outcome of the scenario.
 
     Raises:
-        ProxyNotStartedError: A proxy did not listen.
-        OSError: A stand-in could not start.
+        ProxyNotStartedError: A proxy ended or timed out before it listened.
+        OSError: A stand-in could not open its socket.
     """
     with tempfile.TemporaryDirectory(prefix="larchhaven-lab-") as folder:
         deployment = Deployment(scenario, Path(folder), record_file, limits)
@@ -216,7 +216,7 @@
             await asyncio.sleep(min(remaining_s, PROGRESS_INTERVAL_S))
             if progress is not None:
                 progress(player)
-        await player.settle()
+        await player.wait_for_answers()
     finally:
         sampling.cancel()
         outcome = await player.finish()
--- a/larchhaven/testbed/upstream_servers.py
+++ b/larchhaven/testbed/upstream_servers.py
@@ -1,4 +1,4 @@
-"""Stand-in upstream servers: the far end of the text protocol, with the ways real ones fail."""
+"""Stand-in upstream servers: they speak the text protocol and can fail as real servers do."""
 
 from __future__ import annotations
 
@@ -30,10 +30,10 @@
 
 @dataclass(slots=True)
 class ServerTraits:
-    """What an upstream server can do.
+    """Capacity and response times of an upstream server.
 
     Attributes:
-        capacity: Connections that it carries at a load ratio of 1.
+        capacity: Number of connections at a load ratio of 1.
         setup_ms: Time to establish a connection while the server is idle.
         answer_ms: Time to answer a message on an established connection.
     """
@@ -44,16 +44,16 @@
 
 
 class UpstreamServer:
-    """One upstream server at a port of its own.
+    """One upstream server on a port of its own.
 
     Attributes:
         name: Name in the endpoint list.
-        traits: What it can do.
-        health: Health that discovery publishes.
+        traits: Its capacity and response times.
+        health: Health state that discovery publishes.
         started_ms: Wall-clock time of the last cold start; 0 if there was none.
-        is_hanging: Whether it takes everything and answers nothing.
-        flood_bytes: Bytes sent to clients that asked for a flood.
-        port: Its port once it has started.
+        is_hanging: Whether it accepts connections and requests but never answers.
+        flood_bytes: Number of bytes sent to clients that requested a flood.
+        port: Port on which it listens; 0 until it has started.
     """
 
     def __init__(self, name: str, traits: ServerTraits, recorder: EventRecorder) -> None:
@@ -72,14 +72,14 @@
 
     @property
     def load_ratio(self) -> float:
-        """Connections over capacity."""
+        """Number of connections divided by the capacity."""
         return len(self._connections) / self.traits.capacity
 
     async def start(self, *, cold: bool = False) -> None:
-        """Listen, at the same port as before if there was one.
+        """Start listening, on the previous port if there was one.
 
         Args:
-            cold: Whether the server has just been started and has to warm up.
+            cold: Whether this is a cold start, after which the server has to warm up.
         """
         if self._server is None:
             self._server = await asyncio.start_server(
@@ -104,7 +104,7 @@
         """Stop listening and end all connections.
 
         Args:
-            reset: Whether connections are reset instead of closed.
+            reset: Whether connections are aborted instead of closed.
         """
         self._recorder.record(EventKind.SERVER_STOPPED, server_name=self.name)
         if self._server is not None:
@@ -125,7 +125,7 @@
         try:
             await self._serve_lines(reader, writer)
         except (ConnectionError, TimeoutError, asyncio.CancelledError):
-            pass  # cancelled: the event loop of this task ends
+            pass  # cancelled only when the event loop shuts down
         finally:
             with contextlib.suppress(OSError, RuntimeError):
                 writer.close()
@@ -184,15 +184,15 @@
             connection.is_ended = True
             self._record(EventKind.ATTEMPT_REJECTED, connection)
             return None
-        # Setup slows down as the server gets near its capacity.
+        # The setup time grows with the load ratio.
         await asyncio.sleep(self.traits.setup_ms / 1000 * (1 + self.load_ratio))
         if connection.is_ended or connection.writer.is_closing():
             return connection
         self._established_count += 1
-        receipt = f"UP {self.name}-{self._established_count}"
-        self._record(EventKind.ESTABLISHED, connection, receipt)
+        confirmation = f"UP {self.name}-{self._established_count}"
+        self._record(EventKind.ESTABLISHED, connection, confirmation)
         load_line = f"LOAD {1e6 / self.traits.capacity:.0f}"
-        connection.writer.write(f"{receipt}\r\n{load_line}\r\n".encode())
+        connection.writer.write(f"{confirmation}\r\n{load_line}\r\n".encode())
         return connection
 
     async def _handle_message(self, line: bytes, connection: _HeldConnection) -> None:
--- a/tests/testbed/test_proxy_fleet.py
+++ b/tests/testbed/test_proxy_fleet.py
@@ -1,4 +1,4 @@
-"""Membership of real processes through kills, pauses, cuts and forged datagrams."""
+"""Membership of real proxy processes under kills, pauses, network cuts and forged datagrams."""
 
 from __future__ import annotations
 
@@ -16,14 +16,16 @@
 from larchhaven.net.control.membership_switch import derive_key
 from larchhaven.testbed.proxy_fleet import MEMBERSHIP_KEY, ProxyFleet, write_operator_text
 
-# Generous, so that a busy machine gives the same verdict; nothing is expected to take a least time.
-SOON, LATER = 20.0, 40.0
+# Long enough that a busy machine gives the same verdict. No step has a lower time limit.
+TIMEOUT_S, LONG_TIMEOUT_S = 20.0, 40.0
 
 
-def run(folder: Path, size: int, script: Callable[[ProxyFleet], Awaitable[None]]) -> ProxyFleet:
-    """Start a fleet, play a script on it, end it; nothing may have gone wrong inside a process."""
+def run_script(
+    folder: Path, size: int, script: Callable[[ProxyFleet], Awaitable[None]]
+) -> ProxyFleet:
+    """Run a script on a new fleet, and check that no process logged an unexpected error."""
 
-    async def whole() -> ProxyFleet:
+    async def run() -> ProxyFleet:
         fleet = ProxyFleet(size, folder)
         await fleet.start()
         try:
@@ -33,30 +35,33 @@
         assert not errors, errors
         return fleet
 
-    return asyncio.run(whole())
+    return asyncio.run(run())
 
 
-def said_dead(fleet: ProxyFleet) -> list[str]:
+def logged_deaths(fleet: ProxyFleet) -> list[str]:
     return [line for proxy in fleet.proxies for line in proxy.log if "dead" in line]
 
 
-async def refused(fleet: ProxyFleet, number: int) -> dict[str, int]:
+async def read_rejections(fleet: ProxyFleet, number: int) -> dict[str, int]:
     return dict((await fleet.read_view(number))["refused"])
 
 
-async def agreed(
+async def assert_agreed(
     fleet: ProxyFleet,
     states: dict[int, str],
-    seconds: float = SOON,
+    timeout_s: float = TIMEOUT_S,
     observers: Collection[int] | None = None,
 ) -> None:
-    step = await fleet.expect_agreement(states, seconds, observers)
+    step = await fleet.expect_agreement(states, timeout_s, observers)
     assert step.holds, (step, [line for proxy in fleet.proxies for line in list(proxy.log)[-3:]])
 
 
-async def no_harm_by_links(fleet: ProxyFleet) -> None:
-    """Cut pairs that others reach, a lossy network, a short pause: nobody is declared dead."""
-    await agreed(fleet, {})
+async def check_survivable_faults(fleet: ProxyFleet) -> None:
+    """No member is declared dead over a few cut links, a lossy network or a short pause.
+
+    Each member of a cut pair is still reached by the others.
+    """
+    await assert_agreed(fleet, {})
     fleet.network.cut_links([2], [3], one_way=True)
     fleet.network.cut_links([4], [5])
     fleet.network.set_link_quality(loss_ratio=0.15, mean_delay_s=0.004, duplicate_ratio=0.3)
@@ -66,78 +71,95 @@
     await asyncio.sleep(3.5)
     fleet.network.set_link_quality()
     fleet.network.heal_links(range(8), range(8))
-    await agreed(fleet, {})
-    assert not said_dead(fleet)
+    await assert_agreed(fleet, {})
+    assert not logged_deaths(fleet)
 
 
-async def forged(fleet: ProxyFleet) -> None:
-    """Forged, truncated and replayed datagrams, and those of later versions, are only counted."""
-    before = await fleet.read_view(0)
+async def check_invalid_datagrams(fleet: ProxyFleet) -> None:
+    """Forged, truncated, replayed and later-version datagrams are counted and have no effect."""
+    view_before = await fleet.read_view(0)
     key = derive_key(MEMBERSHIP_KEY)
     death = StateUpdate(2, make_stamp(1 << 29, MemberState.DEAD), 1)
-    kill = Message(MessageKind.GOSSIP, 1, 0, 1 << 20, state_updates=(death,))
-    stolen = DatagramAuthenticator(1, 8, 5, (b"another key",))
-    gate = DatagramAuthenticator(1, 8, 5, (key,))
-    right = gate.seal(Message(MessageKind.GOSSIP, 1, 0, make_stamp(1, MemberState.ALIVE)))
-    future = bytearray(right)
-    future[1] = 9
+    forged_death = Message(MessageKind.GOSSIP, 1, 0, 1 << 20, state_updates=(death,))
+    wrong_authenticator = DatagramAuthenticator(1, 8, 5, (b"another key",))
+    authenticator = DatagramAuthenticator(1, 8, 5, (key,))
+    valid = authenticator.seal(Message(MessageKind.GOSSIP, 1, 0, make_stamp(1, MemberState.ALIVE)))
+    later_version = bytearray(valid)
+    later_version[1] = 9
     longest = b"M" * MAX_DATAGRAM_BYTES
-    for data in (stolen.seal(kill), right[:-1], bytes(future), b"M", longest, longest + b"M"):
+    for data in (
+        wrong_authenticator.seal(forged_death),
+        valid[:-1],
+        bytes(later_version),
+        b"M",
+        longest,
+        longest + b"M",
+    ):
         fleet.network.inject(1, 0, data)
-    fleet.network.inject(2, 0, right)  # of another address than it says
-    mine = next(m["incarnation"] for m in before["members"] if m["number"] == 1)
-    again = gate.seal(
-        Message(MessageKind.GOSSIP, 1, 0, make_stamp(mine, MemberState.ALIVE))
-    )  # the incarnation of a living one
-    fleet.network.inject(1, 0, again)
-
-    async def counted() -> str:
-        seen = await refused(fleet, 0)
-        wanted = {"tag": 1, "version": 2, "size": 2, "table": 1, "replayed": 1}
-        more = {name: seen.get(name, 0) - before["refused"].get(name, 0) for name in wanted}
-        return "" if more == wanted else str(more)
-
-    step = await fleet.wait_until("forgeries are counted", counted, SOON)
+    fleet.network.inject(2, 0, valid)  # its sender is 1, but it comes from the address of 2
+    incarnation = next(m["incarnation"] for m in view_before["members"] if m["number"] == 1)
+    # The current incarnation of a live member, but another session: this counts as a replay.
+    replay = authenticator.seal(
+        Message(MessageKind.GOSSIP, 1, 0, make_stamp(incarnation, MemberState.ALIVE))
+    )
+    fleet.network.inject(1, 0, replay)
+
+    async def find_uncounted() -> str:
+        rejections = await read_rejections(fleet, 0)
+        expected = {"tag": 1, "version": 2, "size": 2, "table": 1, "replayed": 1}
+        increases = {
+            name: rejections.get(name, 0) - view_before["refused"].get(name, 0) for name in expected
+        }
+        return "" if increases == expected else str(increases)
+
+    step = await fleet.wait_until("invalid datagrams are counted", find_uncounted, TIMEOUT_S)
     assert step.holds, step
-    await agreed(fleet, {})
+    await assert_agreed(fleet, {})
 
 
-async def roll_key(fleet: ProxyFleet) -> None:
-    """All get the new key as their second, then as their first: no member is lost on the way."""
+async def check_key_rotation(fleet: ProxyFleet) -> None:
+    """No member is declared dead while the members switch to a new key one after the other.
+
+    Every member first gets the new key as its second key, then as its first one.
+    """
     for text in (
         write_operator_text(MEMBERSHIP_KEY, "the next key of all"),
         write_operator_text("the next key of all", MEMBERSHIP_KEY),
     ):
         for number in range(fleet.size):
             fleet.replace_operator_file(number, text)
-            await asyncio.sleep(0.05)  # some have it and some do not
+            await asyncio.sleep(0.05)  # for a while only some members have the file
     await asyncio.sleep(1.0)
-    await agreed(fleet, {})
-    assert not said_dead(fleet)
+    await assert_agreed(fleet, {})
+    assert not logged_deaths(fleet)
 
 
-async def deaths(fleet: ProxyFleet) -> None:
-    """A restart without files; a long pause; a graceful shutdown; half of the fleet killed."""
+async def check_deaths_and_returns(fleet: ProxyFleet) -> None:
+    """All agree after a kill, a restart without files, a long pause, a shutdown and more kills."""
     fleet.kill(3)
     fleet.pause(5)
-    await agreed(fleet, {3: "dead", 5: "dead"})
+    await assert_agreed(fleet, {3: "dead", 5: "dead"})
     await fleet.restart(3, without_files=True)
     fleet.resume(5)
-    await agreed(fleet, {})
+    await assert_agreed(fleet, {})
     assert any(
         "briefly declared dead" in line or "alive: " in line for line in fleet.proxies[0].log
     )
     fleet.shut_down(2)
-    await agreed(fleet, {2: "left|dead"}, 8)
+    await assert_agreed(fleet, {2: "left|dead"}, 8)
     fleet.kill(0, 1, 4)
-    await agreed(fleet, {0: "dead", 1: "dead", 2: "left|dead", 4: "dead"}, LATER)
+    await assert_agreed(fleet, {0: "dead", 1: "dead", 2: "left|dead", 4: "dead"}, LONG_TIMEOUT_S)
+
 
+async def check_partition_between_zones(fleet: ProxyFleet) -> None:
+    """Each side of a partition declares the other dead and reports which side it is on.
 
-async def cut_between_zones(fleet: ProxyFleet) -> None:
-    """Each side says that the other is dead, and which part it is; healed, all views get equal."""
-    await agreed(fleet, {})
+    After the cut heals all views are equal again. A process with a shorter peer table counts the
+    members that its table lacks.
+    """
+    await assert_agreed(fleet, {})
 
-    async def settled() -> str:
+    async def find_incomplete() -> str:
         views = [await fleet.read_view(number) for number in range(fleet.size)]
         return (
             ""
@@ -145,62 +167,77 @@
             else str([v["part"] for v in views])
         )
 
-    assert (await fleet.wait_until("all agree who is here", settled, LATER)).holds
-    ours = [n for n in range(fleet.size) if n % fleet.zones == 1]
-    theirs = [n for n in range(fleet.size) if n % fleet.zones != 1]
-    fleet.network.cut_links(ours, theirs)
+    assert (
+        await fleet.wait_until("all report the whole fleet", find_incomplete, LONG_TIMEOUT_S)
+    ).holds
+    minority = [n for n in range(fleet.size) if n % fleet.zones == 1]
+    majority = [n for n in range(fleet.size) if n % fleet.zones != 1]
+    fleet.network.cut_links(minority, majority)
 
-    async def parts_are(number: int, part: str, zones_lost: list[int], agreed_on: int) -> None:
-        async def says() -> str:
+    async def assert_side(number: int, side: str, lost_zones: list[int], agreed_count: int) -> None:
+        async def find_mismatch() -> str:
             view = await fleet.read_view(number)
-            seen = (view["part"], view["zones_lost"], view["agreed"])
-            return "" if seen == (part, zones_lost, agreed_on) else str(seen)
+            reported = (view["part"], view["zones_lost"], view["agreed"])
+            return "" if reported == (side, lost_zones, agreed_count) else str(reported)
 
-        step = await fleet.wait_until(f"{number} says that it is of the {part}", says, LATER)
+        step = await fleet.wait_until(
+            f"{number} reports side {side}", find_mismatch, LONG_TIMEOUT_S
+        )
         assert step.holds, step
 
-    # The larger side is a majority for AGREEMENT_DELAY_US only, then it is the whole: so first.
-    await parts_are(theirs[0], "majority", [1], fleet.size)
-    await agreed(fleet, dict.fromkeys(theirs, "dead"), LATER, observers=ours)
-    await agreed(fleet, dict.fromkeys(ours, "dead"), LATER, observers=theirs)
-    await parts_are(theirs[0], "whole", [], len(theirs))
-    await parts_are(ours[0], "minority", [0, 2], fleet.size)  # however long it waits
-    fleet.network.heal_links(ours, theirs)
-    await agreed(fleet, {})
-    # One has another table of peers, as after a change that reached some only: it is counted.
-    one = fleet.proxies[0]
-    one.configuration["peers"] = one.configuration["peers"][:-1]
+    # Checked first: after AGREEMENT_DELAY_US the majority counts as the whole fleet.
+    await assert_side(majority[0], "majority", [1], fleet.size)
+    await assert_agreed(fleet, dict.fromkeys(majority, "dead"), LONG_TIMEOUT_S, observers=minority)
+    await assert_agreed(fleet, dict.fromkeys(minority, "dead"), LONG_TIMEOUT_S, observers=majority)
+    await assert_side(majority[0], "whole", [], len(majority))
+    # The minority never counts as the whole fleet.
+    await assert_side(minority[0], "minority", [0, 2], fleet.size)
+    fleet.network.heal_links(minority, majority)
+    await assert_agreed(fleet, {})
+    # One process has a shorter peer table, as after a change that reached only some processes.
+    proxy = fleet.proxies[0]
+    proxy.configuration["peers"] = proxy.configuration["peers"][:-1]
     fleet.kill(0)
     await fleet.restart(0)
-    await agreed(fleet, {}, observers=range(1, fleet.size))
+    await assert_agreed(fleet, {}, observers=range(1, fleet.size))
 
-    async def counted() -> str:
+    async def find_uncounted() -> str:
         view = await fleet.read_view(0)
-        beyond = view["counts"].get("numbers beyond the table", 0)
-        return "" if beyond and len(view["members"]) == fleet.size - 1 else str(view)
+        beyond_table = view["counts"].get("numbers beyond the table", 0)
+        return "" if beyond_table and len(view["members"]) == fleet.size - 1 else str(view)
 
-    assert (await fleet.wait_until("a shorter table is seen", counted, SOON)).holds
+    assert (await fleet.wait_until("a shorter table is counted", find_uncounted, TIMEOUT_S)).holds
 
 
-def test_faults_in_a_tier_of_eight(tmp_path: Path) -> None:
+def test_membership_under_faults_in_a_fleet_of_eight(tmp_path: Path) -> None:
     async def script(fleet: ProxyFleet) -> None:
-        for part in (no_harm_by_links, forged, roll_key, deaths):
-            await part(fleet)
+        for check in (
+            check_survivable_faults,
+            check_invalid_datagrams,
+            check_key_rotation,
+            check_deaths_and_returns,
+        ):
+            await check(fleet)
 
-    run(tmp_path, 8, script)
+    run_script(tmp_path, 8, script)
 
 
-def test_cut_between_zones_and_a_shorter_table(tmp_path: Path) -> None:
-    run(tmp_path, 8, cut_between_zones)
+def test_partition_between_zones_and_a_shorter_peer_table(tmp_path: Path) -> None:
+    run_script(tmp_path, 8, check_partition_between_zones)
 
 
-@pytest.mark.parametrize("off", ["file", "settings"])
-def test_membership_is_off_unless_file_and_settings_allow_it(tmp_path: Path, off: str) -> None:
-    """Where talk is forbidden nothing is sent, whatever the operators' file says."""
+@pytest.mark.parametrize("disabled_by", ["file", "settings"])
+def test_membership_is_off_unless_file_and_settings_allow_it(
+    tmp_path: Path, disabled_by: str
+) -> None:
+    """No datagram is sent if either the operators' file or the settings turn membership off."""
 
-    async def whole() -> None:
+    async def run() -> None:
         fleet = ProxyFleet(
-            2, tmp_path, membership_enabled=off != "file", may_tell=off != "settings"
+            2,
+            tmp_path,
+            membership_enabled=disabled_by != "file",
+            can_gossip=disabled_by != "settings",
         )
         await fleet.start()
         try:
@@ -209,29 +246,33 @@
         finally:
             errors = await fleet.stop()
         assert not errors, errors
-        why = "operators' file" if off == "file" else "settings do not let"
-        assert all(not view["on"] and why in view["why_off"] for view in views)
+        reason = "operators' file" if disabled_by == "file" else "settings do not let"
+        assert all(not view["on"] and reason in view["why_off"] for view in views)
         assert all(link.forwarded == link.lost == 0 for link in fleet.network.links.values())
 
-    asyncio.run(whole())
+    asyncio.run(run())
 
 
-def test_off_and_on_again_while_running(tmp_path: Path) -> None:
+def test_membership_is_turned_off_and_on_while_running(tmp_path: Path) -> None:
     async def script(fleet: ProxyFleet) -> None:
-        await agreed(fleet, {})
+        await assert_agreed(fleet, {})
         fleet.replace_operator_file(1, write_operator_text(enabled=False))
         fleet.stopped.add(1)
-        await agreed(fleet, {1: "left|dead"})
+        await assert_agreed(fleet, {1: "left|dead"})
         fleet.replace_operator_file(1, write_operator_text())
         fleet.stopped.discard(1)
-        await agreed(fleet, {})
-        fleet.proxies[1].send_signal(signal.SIGHUP)  # the same again changes nothing
+        await assert_agreed(fleet, {})
+        fleet.proxies[1].send_signal(signal.SIGHUP)  # reloading unchanged files has no effect
 
-        async def read() -> str:
+        async def find_missing_reloads() -> str:
             reloads = int((await fleet.proxies[1].call("/v1/metrics"))["config_reloads"])
-            return "" if reloads == 6 else f"{reloads} files read again"
+            return "" if reloads == 6 else f"{reloads} of 6 file reloads"
 
-        assert (await fleet.wait_until("both files are read three times", read, SOON)).holds
-        await agreed(fleet, {})
+        assert (
+            await fleet.wait_until(
+                "both files are reloaded three times", find_missing_reloads, TIMEOUT_S
+            )
+        ).holds
+        await assert_agreed(fleet, {})
 
-    run(tmp_path, 3, script)
+    run_script(tmp_path, 3, script)
--- a/tests/testbed/test_scenarios.py
+++ b/tests/testbed/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Scenarios hold against the real program, and those of the repository can be read."""
+"""Scenarios played on real proxies keep the invariants; the repository's scenarios load."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize(
-    "more",
+    "extra",
     [
         'events { at_seconds: 1.5 drain: "s0" } events { at_seconds: 5 gone: "s0" }',
         'events { at_seconds: 1.5 crash: "s1" } events { at_seconds: 3 start: "s1" }',
@@ -37,24 +37,28 @@
     ],
     ids=["drain", "crash", "hang", "discovery", "reconnect", "peers"],
 )
-def test_invariants_hold_in_a_scenario(more: str) -> None:
-    scenario, complaints = load_scenario(SCENARIO + more)
+def test_invariants_hold_in_a_scenario(extra: str) -> None:
+    scenario, complaints = load_scenario(SCENARIO + extra)
     assert not complaints
-    written = io.BytesIO()
-    outcome = asyncio.run(play_scenario(scenario, record_file=written))
+    record_file = io.BytesIO()
+    outcome = asyncio.run(play_scenario(scenario, record_file=record_file))
     assert outcome.holds, outcome.failures
     assert outcome.classes["chat"].answers["UP"] > 30
     assert outcome.classes["exam"].answers["UP"] > 5
     unanswered = outcome.event_counts["ask"] - outcome.event_counts["answer"]
-    assert 0 <= unanswered <= 5  # those in flight as the scenario ended
-    again = InvariantChecker()
-    for line in written.getvalue().splitlines():
-        again.handle(msgspec.json.decode(line, type=EventRecord))
-    assert again.violations == []
+    assert 0 <= unanswered <= 5  # requests in flight at the end of the scenario
+    checker = InvariantChecker()
+    for line in record_file.getvalue().splitlines():
+        checker.handle(msgspec.json.decode(line, type=EventRecord))
+    assert checker.violations == []
 
 
-def test_requests_in_flight_at_the_end_are_answered_and_judged() -> None:
-    """Guards verdicts: a request that was open at the end counted as given up by its client."""
+def test_requests_in_flight_at_the_end_are_answered_and_checked() -> None:
+    """Requests that are open at the end of a scenario are still answered and checked.
+
+    If the clients were stopped at once, such a request would count as abandoned by its client, and
+    an answer that never comes would go unnoticed.
+    """
     scenario, complaints = load_scenario(
         "seed: 4 seconds: 0.6 servers { count: 2 capacity: 500 setup_ms: 500 }"
         ' terminals { class: "chat" arrivals_per_second: 60 stay_seconds: 3 }'
@@ -66,24 +70,28 @@
     assert chat.requests == chat.answers["UP"] > 20
 
 
-def test_arrivals_that_a_busy_test_bed_missed_still_come() -> None:
-    """Guards figures of a busy machine: a test bed held up at the end left its last clients out."""
+def test_overdue_arrivals_of_a_blocked_test_bed_still_happen() -> None:
+    """Clients whose arrival is overdue at the end of a scenario still arrive.
+
+    Otherwise a test bed that is blocked until the end would leave out its last clients, and the
+    results would depend on the load of the machine.
+    """
     scenario, complaints = load_scenario(
         "seed: 4 seconds: 1 servers { count: 2 capacity: 500 }"
         ' terminals { class: "chat" arrivals_per_second: 60 stay_seconds: 3 }'
     )
     assert not complaints
 
-    def hold_up_until_end(player: ScenarioPlayer) -> None:
+    def block_until_end(player: ScenarioPlayer) -> None:
         while player.deployment.elapsed_s() < scenario.seconds:
             pass
 
     usual = asyncio.run(play_scenario(scenario)).classes["chat"]
-    held_up = asyncio.run(play_scenario(scenario, progress=hold_up_until_end)).classes["chat"]
-    assert held_up.requests == usual.requests == usual.answers["UP"] == held_up.answers["UP"]
+    blocked = asyncio.run(play_scenario(scenario, progress=block_until_end)).classes["chat"]
+    assert blocked.requests == usual.requests == usual.answers["UP"] == blocked.answers["UP"]
 
 
-def test_example_scenarios_are_read_without_a_complaint() -> None:
+def test_example_scenarios_load_without_errors() -> None:
     paths = [
         *(ROOT / "example" / "lab").glob("*.textproto"),
         *BUILT_IN_SCENARIOS.glob("*.textproto"),
@@ -98,16 +106,16 @@
     ]
 
 
-def test_member_within_its_quota_does_not_pay_for_the_others_surplus() -> None:
-    """The south asks for several times its quota, in the scenario with members on real proxies."""
+def test_tenant_within_its_quota_is_served_despite_excess_load_of_another() -> None:
+    """Tenant "south" requests several times its quota; "north" stays within its own."""
     scenario, _ = load_scenario((BUILT_IN_SCENARIOS / "charts.textproto").read_text())
     scenario.seconds = 9.0
     del scenario.events[:]
     outcome = asyncio.run(play_scenario(scenario))
     assert outcome.holds, outcome.failures
-    served = {
+    served_ratio = {
         name: words.get("UP", 0) / sum(words.values())
         for name, words in outcome.tenant_answers.items()
     }
-    assert served["north"] > 0.7, outcome.tenant_answers
-    assert served["south"] < 0.6 * served["north"], outcome.tenant_answers
+    assert served_ratio["north"] > 0.7, outcome.tenant_answers
+    assert served_ratio["south"] < 0.6 * served_ratio["north"], outcome.tenant_answers
