--- a/larchhaven/testbed/client_visit.py
+++ b/larchhaven/testbed/client_visit.py
@@ -65,7 +65,18 @@
 
 
 class ClientVisit:
-    """One visit of a client, over a connection that has just been opened."""
+    """One visit of a client, over a connection that has just been opened.
+
+    Args:
+        profile: Profile of the client.
+        connection: The connection; the visit closes it.
+        established: All established connections; contains this one while it is established.
+        outcomes: Receives the results of the visit.
+        recorder: Receives the records of the visit.
+        rng: Random numbers of the client.
+        leave_at_s: When the client leaves, on the clock of the event loop.
+        answered: Resolved once the client expects no more answers.
+    """
 
     def __init__(
         self,
@@ -85,7 +96,7 @@
         self._recorder = recorder
         self._rng = rng
         self._leave_at_s = leave_at_s
-        self._answered = answered  # resolved once the client expects no more answers
+        self._answered = answered
         self._request_id = ""
 
     async def run(self, request_line: RequestLine) -> VisitOutcome:
--- a/larchhaven/testbed/clients.py
+++ b/larchhaven/testbed/clients.py
@@ -22,6 +22,11 @@
 class ClientPopulation:
     """All clients of a run; each client is a task of its own.
 
+    Args:
+        next_address: Returns the address of the proxy for the next connection.
+        recorder: Receives the records of the clients.
+        rng: Random numbers from which each client's generator is seeded.
+
     Attributes:
         outcomes: Results of all clients.
     """
--- a/larchhaven/testbed/discovery.py
+++ b/larchhaven/testbed/discovery.py
@@ -51,7 +51,7 @@
         self._wake_watches()
 
     def set_down(self, is_down: bool) -> None:
-        """Start or end an outage, in which all calls fail, including pending watches."""
+        """Start or end an outage, during which all calls fail; pending watches fail at once."""
         self.is_down = is_down
         self._wake_watches()
 
--- a/larchhaven/testbed/invariants.py
+++ b/larchhaven/testbed/invariants.py
@@ -13,12 +13,12 @@
 class Invariant(StrEnum):
     """Conditions that must hold in every run; the values appear in reports."""
 
-    ONE_ANSWER = "one answer"
-    DRAIN = "drain"
-    ONE_EXECUTION = "one execution"
-    SLOW_START = "cold"
-    MIGRATE_BEFORE_LOSS = "move before loss"
-    DATAGRAM_SIZE = "datagrams"
+    ONE_ANSWER = "one answer"  # each request gets one answer, by its deadline
+    DRAIN = "drain"  # no request reaches a draining server after the grace period
+    ONE_EXECUTION = "one execution"  # no request has attempts at two servers at once
+    SLOW_START = "cold"  # no server in slow start is overloaded
+    MIGRATE_BEFORE_LOSS = "move before loss"  # proxies end connections only after MOVE
+    DATAGRAM_SIZE = "datagrams"  # no datagram exceeds the platform's limit
 
 
 @dataclass(frozen=True, slots=True)
