--- a/larchhaven/model/__init__.py
+++ b/larchhaven/model/__init__.py
@@ -1,1 +1,1 @@
-"""Deterministic simulation of the proxy fleet: pure packages, a network, faults, one seed."""
+"""Deterministic, seeded simulation of the proxy fleet with a simulated network and faults."""
--- a/larchhaven/model/errors.py
+++ b/larchhaven/model/errors.py
@@ -10,11 +10,11 @@
 
 
 class ProcessNumbersError(ModelError):
-    """A list of process numbers that is malformed or names a process that does not exist.
+    """A list of process numbers is malformed or names a process that does not exist.
 
     Attributes:
-        numbers: The part of the list that is at fault.
-        reason: What is wrong, in words for the author of the experiment.
+        numbers: The item of the list that is invalid.
+        reason: Explains the error to the author of the experiment.
     """
 
     def __init__(self, numbers: str, reason: str) -> None:
@@ -24,11 +24,11 @@
 
 
 class InvariantViolationError(ModelError):
-    """A step of the search broke an invariant of the protocol.
+    """A step of the search violated an invariant of the protocol.
 
     Attributes:
-        member: The number of the member that broke it.
-        violation: Which invariant is broken and how.
+        member: The number of the member that violated it.
+        violation: The invariant and how it was violated.
     """
 
     def __init__(self, member: int, violation: str) -> None:
--- a/larchhaven/model/experiment.py
+++ b/larchhaven/model/experiment.py
@@ -1,4 +1,4 @@
-"""Runs one experiment: a fleet in a simulation, faults by a script, and what was observed."""
+"""Runs one experiment: simulates a fleet, injects its faults and collects the results."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from larchhaven.model.simulation import Simulation
 from larchhaven.model.units import PERCENT_PER_WHOLE, US_PER_MS, US_PER_SECOND, to_us
 
-# Monotonic clocks of processes begin anywhere within this.
+# Each process's monotonic clock starts at a random offset below this.
 MAX_CLOCK_OFFSET_US = 1_000_000_000
 SESSION_IDS = 1 << 32
 
@@ -30,21 +30,21 @@
     membership_type: type[Membership] = Membership,
     config: ProtocolConfig | None = None,
 ) -> ExperimentResult:
-    """Run an experiment; the same one gives the same result in every process.
+    """Run an experiment. Equal experiments give equal results, in any Python process.
 
     Args:
-        experiment: What happens.
-        membership_type: The protocol that is run, or a variant with a planted fault.
-        config: Intervals, timeouts and limits other than the defaults.
+        experiment: The experiment to run.
+        membership_type: The protocol to run, or a variant of it with a planted fault.
+        config: The protocol's intervals, timeouts and limits; None selects the defaults.
 
     Returns:
-        What was observed.
+        The measured results.
     """
     return _ExperimentRun(experiment, membership_type, config or ProtocolConfig()).run()
 
 
 def link_conditions(links: Links) -> LinkConditions:
-    """Return the conditions that an experiment states for its links, with defaults for others."""
+    """Return the link conditions of an experiment, with defaults for fields that are not set."""
     default = LinkConditions()
     delay_us = links.delay_ms * US_PER_MS
     jitter_us = links.jitter_ms * US_PER_MS
@@ -64,7 +64,7 @@
 
 
 class _ExperimentRun:
-    """One experiment while it runs."""
+    """A single run of an experiment."""
 
     def __init__(
         self, experiment: Experiment, membership_type: type[Membership], config: ProtocolConfig
--- a/larchhaven/model/experiment_file.py
+++ b/larchhaven/model/experiment_file.py
@@ -1,4 +1,4 @@
-"""Reads experiments from protobuf text and checks what the schema alone cannot."""
+"""Parses experiments in protobuf text format and checks rules that the schema cannot express."""
 
 from __future__ import annotations
 
@@ -14,11 +14,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ParsedExperiment:
-    """An experiment and what is wrong with it.
+    """A parsed experiment and its errors.
 
     Attributes:
-        experiment: What could be read.
-        complaints: Each with its place; the experiment is usable only if there are none.
+        experiment: The fields that could be parsed.
+        complaints: Error messages, each with its location. The experiment is usable only if this
+            list is empty.
     """
 
     experiment: Experiment
@@ -26,12 +27,13 @@
 
 
 def parse_experiment(text: str) -> ParsedExperiment:
-    """Read the text of an experiment.
+    """Parse an experiment and check it.
 
     Args:
-        text: Protobuf text format of ``experiment.proto``.
+        text: An ``Experiment`` message in protobuf text format.
     """
-    # Loads the schema of the operators' file, which the simulation itself does without.
+    # Imported here because it loads the schema of the operators' file, which the simulation
+    # itself does not need.
     from larchhaven.operator.text_parser import parse_message
 
     parsed = parse_message(text, Experiment)
@@ -41,7 +43,7 @@
 
 
 def check_experiment(experiment: Experiment) -> list[str]:
-    """Return what is wrong with an experiment whose fields were set by a program."""
+    """Return the errors of an experiment that was built by a program instead of parsed."""
     from larchhaven.operator.text_parser import parse_message
 
     parsed = parse_message(text_format.MessageToString(experiment), Experiment)
@@ -67,4 +69,4 @@
         except ProcessNumbersError as error:
             yield error.reason
     if kind == "pause" and not fault.for_seconds:
-        yield "a pause needs for_seconds"
+        yield "pause requires for_seconds"
--- a/larchhaven/model/fault_injection.py
+++ b/larchhaven/model/fault_injection.py
@@ -1,4 +1,4 @@
-"""Injects the faults of an experiment: kills, pauses, planned stops, slowness, cut links."""
+"""Injects the faults of an experiment: kills, pauses, graceful leaves, slowness, cut links."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 from larchhaven.model.simulation import Simulation
 from larchhaven.model.units import US_PER_MS, to_us
 
-# A process ends this long after it has announced that it leaves.
+# A leaving process exits this long after announcing its leave.
 LEAVE_GRACE_US = 500_000
-# A process runs between a half and three halves of the mean interval between two pauses, so that
-# its pauses never overlap.
+# The next pause starts 0.5 to 1.5 times the mean interval after the end of the last one, so that
+# the pauses of a process never overlap.
 MIN_PAUSE_INTERVAL_RATIO = 0.5
 MAX_PAUSE_INTERVAL_RATIO = 1.5
 CAUSE_FAULT_ENDS = "fault ends"
@@ -28,10 +28,10 @@
 
 @dataclass(frozen=True, slots=True)
 class WallClocks:
-    """How far the wall clocks of processes are off; what a process says of its start shows it.
+    """Errors of the processes' wall clocks, visible in the start times that members announce.
 
     Attributes:
-        offsets_us: The wall clock less the simulated one, by process number.
+        offsets_us: Wall clock minus simulated clock, in microseconds, by process number.
     """
 
     offsets_us: list[int] = field(default_factory=list)
@@ -42,10 +42,10 @@
     """One occurrence of a fault.
 
     Attributes:
-        fault: What happens.
-        processes: The processes that are affected.
-        end_us: When it ends; None: never.
-        rng: Random numbers of the fault.
+        fault: The fault.
+        processes: The affected processes.
+        end_us: When the fault ends, or None if it never does.
+        rng: The random stream of the fault.
     """
 
     fault: Fault
@@ -58,11 +58,11 @@
     """Schedules the faults of one experiment.
 
     Args:
-        experiment: Where the faults come from.
-        simulation: The simulation that they happen in.
-        observer: Is notified of deaths and of the ends of faults.
-        streams: Random numbers; each fault has a stream of its own.
-        clocks: The wall clocks; a start after a fault may set one off.
+        experiment: Lists the faults and recurring pauses.
+        simulation: The simulation to inject them into.
+        observer: Notified when processes end or start and when faults end.
+        streams: Source of random streams; each fault has its own.
+        clocks: Errors of the wall clocks; a restart after a fault may change one.
     """
 
     def __init__(
@@ -90,7 +90,7 @@
         }
 
     def schedule_all(self) -> None:
-        """Schedule all faults and pauses of the experiment."""
+        """Schedule all faults and recurring pauses of the experiment."""
         for number, fault in enumerate(self._experiment.faults):
             self._schedule_fault(fault, self._streams.stream(f"fault {number}"))
         for number, pauses in enumerate(self._experiment.pauses):
@@ -156,7 +156,7 @@
             return set(self._selector.select(cut.to, rng))
         return set(range(self._selector.members))
 
-    # What happens to processes
+    # Effects on processes
 
     def _apply_to_running(self, occurrence: _Occurrence, action: ProcessAction) -> None:
         for process in occurrence.processes:
@@ -164,7 +164,7 @@
                 action(process)
 
     def _schedule_end(self, occurrence: _Occurrence, action: ProcessAction) -> None:
-        """Apply an action to all affected processes when the fault ends, if it does."""
+        """Apply an action to all affected processes at the end of the fault, if it has one."""
 
         def end() -> None:
             for process in occurrence.processes:
@@ -203,7 +203,7 @@
     # Recurring pauses
 
     def _schedule_pause(self, process: Process, pauses: Pauses, rng: RandomStream) -> None:
-        """Schedule the next pause of a process, and after it the one that follows."""
+        """Schedule the next pause of a process; its end schedules the one after it."""
         interval_ratio = rng.uniform(MIN_PAUSE_INTERVAL_RATIO, MAX_PAUSE_INTERVAL_RATIO)
         interval_us = to_us(pauses.every_seconds * interval_ratio)
         duration_us = to_us(rng.uniform(pauses.least_seconds, pauses.most_seconds))
--- a/larchhaven/model/heartbeat_program.py
+++ b/larchhaven/model/heartbeat_program.py
@@ -1,4 +1,4 @@
-"""All-to-all heartbeats as a program of a simulated process: the baseline of comparisons."""
+"""All-to-all heartbeats as the program of a simulated process: the baseline for comparisons."""
 
 from __future__ import annotations
 
@@ -10,25 +10,26 @@
 from larchhaven.model.process import Datagram
 
 HEARTBEAT_INTERVAL_US = 1_000_000
-# As long as the membership protocol takes until all agree on a death: both are equally fast.
+# As long as the membership protocol takes until all members agree on a death, so that comparisons
+# are made at the same detection time.
 HEARTBEAT_TIMEOUT_US = 4_500_000
-# The least that number, sequence and authentication tag of a heartbeat take.
+# The minimum size of a member number, a sequence number and an authentication tag.
 HEARTBEAT_DATAGRAM = b"B" + bytes(12)
-# Heartbeats know no incarnations.
+# Heartbeats carry no incarnation.
 ONLY_INCARNATION = 1
 
 
 class HeartbeatProgram:
-    """Sends a heartbeat to all others each second; who is silent for too long is dead.
+    """Sends a heartbeat to all others each second and declares silent processes dead.
 
     Args:
-        now_us: The process's own clock.
+        now_us: The current time of the process's own clock.
         own_number: The process's number.
-        fleet_size: How many processes there are.
-        rng: Draws when the first heartbeat is sent.
+        fleet_size: The number of processes.
+        rng: Source of the random delay before the first heartbeat.
 
     Attributes:
-        due_us: When the program wants its next turn.
+        due_us: When ``run_timers`` has to be called next, by the process's own clock.
     """
 
     def __init__(self, now_us: int, own_number: int, fleet_size: int, rng: RandomSource) -> None:
@@ -41,7 +42,7 @@
         self.due_us = self._next_heartbeat_us
 
     def run_timers(self, now_us: int) -> Iterator[object]:
-        """Send heartbeats and declare silent processes dead."""
+        """Send heartbeats that are due and declare silent processes dead."""
         if now_us >= self._next_heartbeat_us:
             missed = (now_us - self._next_heartbeat_us) // HEARTBEAT_INTERVAL_US
             self._next_heartbeat_us += HEARTBEAT_INTERVAL_US * (missed + 1)
--- a/larchhaven/model/membership_program.py
+++ b/larchhaven/model/membership_program.py
@@ -1,4 +1,4 @@
-"""The membership protocol as a program of a simulated process."""
+"""The membership protocol as the program of a simulated process."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 
 
 class MembershipProgram:
-    """The protocol behind its authenticator, joined as the proxy joins them on a real socket.
+    """Connects the protocol to its authenticator, as the proxy does for a real socket.
 
     Args:
-        now_us: The process's own clock.
+        now_us: The current time of the process's own clock.
         own_number: The member's index in the peer table.
-        table_size: How many entries the peer table has.
-        info: What the member says of itself.
-        first_incarnation: The least incarnation to join with.
-        session_id: Drawn at the start of the process.
-        rng: Random numbers of the protocol.
-        config: Intervals, timeouts and limits.
+        table_size: The number of entries in the peer table.
+        info: The metadata that the member announces.
+        first_incarnation: The lowest incarnation to join with.
+        session_id: Random identifier of this run of the process.
+        rng: Source of the protocol's random numbers.
+        config: Intervals, timeouts and limits of the protocol.
         membership_type: The protocol, or a variant of it with a planted fault.
 
     Attributes:
-        authenticator: Signs and checks the datagrams.
-        membership: The protocol.
+        authenticator: Signs outgoing datagrams and verifies incoming ones.
+        membership: The protocol instance.
     """
 
     def __init__(
@@ -51,21 +51,21 @@
 
     @property
     def due_us(self) -> int:
-        """When the protocol wants its next turn."""
+        """When ``run_timers`` has to be called next, by the process's own clock."""
         return self.membership.due_us
 
     def run_timers(self, now_us: int) -> Iterator[object]:
-        """Do all that is due."""
+        """Run the protocol's timers that are due."""
         return self._seal_messages(self.membership.run_timers(now_us))
 
     def receive(self, now_us: int, data: bytes, sender: int) -> Iterator[object]:
-        """Handle a datagram; one that the authenticator rejects is dropped."""
+        """Handle a datagram, or drop it if the authenticator rejects it."""
         message = self.authenticator.open(data, sender)
         actions = self.membership.receive(now_us, message) if message is not None else []
         return self._seal_messages(actions)
 
     def leave(self, now_us: int) -> Iterator[object]:
-        """Leave the fleet as planned."""
+        """Announce a graceful leave."""
         return self._seal_messages(self.membership.leave(now_us))
 
     def _seal_messages(self, actions: list[Action]) -> Iterator[object]:
--- a/larchhaven/model/network.py
+++ b/larchhaven/model/network.py
@@ -1,8 +1,8 @@
 """The network between simulated processes: delay, reordering, loss, duplication, partitions.
 
-Each directed pair of processes is a link of its own. Losses may come in bursts (a Gilbert model):
-a link in a burst loses everything. How often bursts begin follows from the share that is lost
-altogether and from how long a burst lasts on average.
+Each ordered pair of processes has its own link. Losses may come in bursts (Gilbert model): a link
+loses every datagram during a burst. The rate at which bursts begin follows from the overall loss
+ratio and the mean burst length.
 """
 
 from __future__ import annotations
@@ -17,15 +17,16 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkConditions:
-    """What the links between all processes are like.
+    """The conditions of the links between all processes.
 
     Attributes:
-        delay_us: The constant part of the delay.
-        jitter_us: Mean of the exponential part of the delay, by which datagrams are reordered.
-        loss_ratio: Share of the datagrams that are lost.
-        burst_us: Mean length of a burst of losses; 0: datagrams are lost independently.
-        duplication_ratio: Share of the datagrams that arrive twice.
-        max_duplicate_delay_us: The second copy arrives later by up to this.
+        delay_us: The constant part of the delay, in microseconds.
+        jitter_us: Mean of the exponentially distributed part of the delay, in microseconds. It
+            reorders datagrams.
+        loss_ratio: Fraction of the datagrams that is lost.
+        burst_us: Mean length of a loss burst in microseconds; 0 makes losses independent.
+        duplication_ratio: Fraction of the datagrams that arrives twice.
+        max_duplicate_delay_us: Maximum delay of a second copy after the first, in microseconds.
     """
 
     delay_us: float = 500.0
@@ -38,13 +39,13 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkCut:
-    """Blocks all links from some processes to some others, in this direction only."""
+    """Blocks all links from the sources to the targets, in this direction only."""
 
     sources: frozenset[int]
     targets: frozenset[int]
 
     def blocks(self, source: int, target: int) -> bool:
-        """Tell whether a datagram is lost because of this cut."""
+        """Return whether the cut blocks the link from ``source`` to ``target``."""
         return source in self.sources and target in self.targets
 
 
@@ -54,21 +55,21 @@
 
 
 class _LinkState(NamedTuple):
-    """Whether a link was in a burst of losses when it was last used."""
+    """Whether a link was in a loss burst when it was last used."""
 
     at_us: int
     is_in_burst: bool
 
 
 class SimulatedNetwork:
-    """Decides when the copies of a datagram arrive.
+    """Computes the arrival times of datagrams.
 
     Args:
-        conditions: What the links are like.
-        rng: Random numbers of the network.
+        conditions: The conditions of all links.
+        rng: The random stream of the network.
 
     Attributes:
-        conditions: What the links are like.
+        conditions: The conditions of all links.
     """
 
     def __init__(self, conditions: LinkConditions, rng: RandomStream) -> None:
@@ -78,29 +79,29 @@
         self._link_states: dict[_Link, _LinkState] = {}
 
     def cut_links(self, sources: Collection[int], targets: Collection[int]) -> LinkCut:
-        """Cut links in one direction; ``heal_links`` ends it."""
+        """Cut links in one direction until the returned cut is passed to ``heal_links``."""
         cut = LinkCut(frozenset(sources), frozenset(targets))
         self._cuts.append(cut)
         return cut
 
     def heal_links(self, cut: LinkCut) -> None:
-        """End a cut."""
+        """Restore the links of a cut."""
         self._cuts.remove(cut)
 
     def is_cut(self, source: int, target: int) -> bool:
-        """Tell whether any cut blocks a link in this direction."""
+        """Return whether any cut blocks the link from ``source`` to ``target``."""
         return any(cut.blocks(source, target) for cut in self._cuts)
 
     def arrival_times(self, now_us: int, source: int, target: int) -> list[int]:
-        """Return when the copies of a datagram arrive.
+        """Return the arrival times of a datagram.
 
         Args:
-            now_us: When it is sent.
+            now_us: The simulated time at which it is sent.
             source: The sending process.
             target: The receiving process.
 
         Returns:
-            Times in microseconds, one for each copy; none if the datagram is lost.
+            Simulated times in microseconds, one for each copy; empty if the datagram is lost.
         """
         if self.is_cut(source, target) or self._is_lost(now_us, _Link(source, target)):
             return []
@@ -125,14 +126,15 @@
         return self._is_in_burst(now_us, link)
 
     def _is_in_burst(self, now_us: int, link: _Link) -> bool:
-        """Advance the two-state Markov chain of a link, which is evaluated only when it is used."""
+        """Advance the two-state Markov chain of a link from its last use to the current time."""
         loss_ratio = self.conditions.loss_ratio
-        # Drawn even if the link is known: seeds keep the runs that pages and tests refer to.
+        # Drawn even if the link has a state already: skipping the draw would change the runs of
+        # existing seeds, which tests and documentation refer to.
         initial = _LinkState(0, self._rng.random() < loss_ratio)
         state = self._link_states.get(link, initial)
         decay_us = self.conditions.burst_us * (1 - loss_ratio)
-        memory = math.exp(-(now_us - state.at_us) / decay_us)
-        burst_probability = loss_ratio + (state.is_in_burst - loss_ratio) * memory
+        correlation = math.exp(-(now_us - state.at_us) / decay_us)
+        burst_probability = loss_ratio + (state.is_in_burst - loss_ratio) * correlation
         is_in_burst = self._rng.random() < burst_probability
         self._link_states[link] = _LinkState(now_us, is_in_burst)
         return is_in_burst
--- a/larchhaven/model/observer.py
+++ b/larchhaven/model/observer.py
@@ -1,4 +1,4 @@
-"""Observes a simulated fleet: detections, agreement, false deaths, convergence, traffic."""
+"""Measures detection, agreement, false deaths, convergence and traffic in a simulated fleet."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 CAUSE_START = "start"
 MAX_FALSE_DEATH_SAMPLES = 20
 UNKNOWN_STAMP = -1
-# The states are the low bits of stamps; arrays of stamps are masked at once.
+# The low bits of a stamp are the state. The mask extracts it from whole arrays of stamps.
 STATE_MASK = max(MemberState)
 SECONDS_DIGITS = 6
 MESSAGE_RATE_DIGITS = 3
 BYTE_RATE_DIGITS = 1
-# Where views converged at the very end, rates are still finite.
+# Keeps rates finite if the views converge only at the end of the experiment.
 MIN_MEASURED_S = 1e-6
 
 
@@ -39,14 +39,14 @@
 
 
 class _Traffic(NamedTuple):
-    """What one process has sent so far."""
+    """The traffic that one process has sent so far."""
 
     datagrams: int
     bytes_sent: int
 
 
 class _HealedCut(NamedTuple):
-    """A cut of links that has ended."""
+    """A cut that has healed."""
 
     cut: LinkCut
     at_us: int
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _TrafficBaseline:
-    """When the start was over and what each process had sent by then."""
+    """When the views first converged after the start, and the traffic of each process by then."""
 
     at_s: float
     traffic: list[_Traffic]
@@ -64,13 +64,13 @@
     """Observes all processes of a simulation.
 
     Args:
-        simulation: What is observed; its ``observe`` is set.
-        members: How many processes there will be.
+        simulation: The simulation to observe; its ``observe`` is set.
+        members: The number of processes in the experiment.
     """
 
     def __init__(self, simulation: Simulation, members: int) -> None:
         self._simulation = simulation
-        # The stamps that are known: a row for each observer, a column for each member.
+        # The stamps in all views: one row for each viewing process, one column for each member.
         self._stamps = np.full((members, members), UNKNOWN_STAMP, dtype=np.int64)
         self._deaths: list[MemberDeath] = []
         self._open_deaths: dict[int, MemberDeath] = {}
@@ -95,15 +95,15 @@
     # Deaths
 
     def process_ended(self, number: int) -> None:
-        """Note that a process has ended."""
+        """Record that a process has ended."""
         death = MemberDeath(number, self._now_s())
         self._deaths.append(death)
         self._open_deaths[number] = death
         if (self._stamps[:, number] != UNKNOWN_STAMP).any():
-            self._check_agreement(number)  # it may have announced that it leaves
+            self._check_agreement(number)  # it may have announced its leave
 
     def process_starting(self, number: int) -> None:
-        """Note that a process starts again with an empty view."""
+        """Record that a process restarts with an empty view."""
         self._open_deaths.pop(number, None)
         self._stamps[number] = UNKNOWN_STAMP
 
@@ -120,24 +120,24 @@
         if member.number in self._open_deaths:
             self._check_agreement(member.number)
         elif member.state is MemberState.DEAD:
-            self._note_false_death(incarnation, declared_by=process.number)
+            self._record_false_death(incarnation, declared_by=process.number)
 
-    def _note_false_death(self, dead: _Incarnation, declared_by: int) -> None:
+    def _record_false_death(self, dead: _Incarnation, declared_by: int) -> None:
         if dead in self._declared_dead:
-            return  # later observers only believe the first one
+            return  # later observers have adopted the first declaration
         self._declared_dead.add(dead)
         if not self._is_separated(declared_by, dead.number):
             self._false_deaths.append(FalseDeath(self._now_s(), dead.number, declared_by))
 
     def links_healed(self, cuts: Sequence[LinkCut]) -> None:
-        """Note that cuts have just ended."""
+        """Record that cuts have just healed."""
         healed_at_us = self._simulation.events.now_us
         self._healed_cuts += [_HealedCut(cut, healed_at_us) for cut in cuts]
 
     def _is_separated(self, one: int, other: int) -> bool:
-        """Tell whether nothing gets through either way: each may then declare the other dead.
+        """Return whether links are blocked both ways, so that either may declare the other dead.
 
-        So it is until an answer had the time to come since a cut has healed.
+        A healed cut counts for one more probe timeout, so that a probe can be answered first.
         """
         return self._is_blocked(one, other) and self._is_blocked(other, one)
 
@@ -164,7 +164,11 @@
     # Convergence
 
     def watch_convergence(self, cause: str) -> None:
-        """Measure from now on how long it takes until all views are equal."""
+        """Measure the time from now until all views are equal.
+
+        Args:
+            cause: The event that made the views differ.
+        """
         convergence = Convergence(cause, self._now_s())
         self._convergences.append(convergence)
 
@@ -185,9 +189,9 @@
         rows = self._stamps[running]
         for row, number in zip(rows, running, strict=True):
             if row[number] == UNKNOWN_STAMP:
-                row[number] = rows[:, number].max()  # heartbeats say nothing of oneself
-        are_known = rows[0][running] != UNKNOWN_STAMP
-        return bool(are_known.all() and (rows == rows[0]).all())
+                row[number] = rows[:, number].max()  # heartbeat views have no own entry
+        are_all_listed = rows[0][running] != UNKNOWN_STAMP
+        return bool(are_all_listed.all() and (rows == rows[0]).all())
 
     # Results
 
@@ -205,7 +209,7 @@
                 self._counters[f"refused {reason}"] += count
 
     def result(self, experiment: Experiment) -> ExperimentResult:
-        """Return what was measured; called once, at the end."""
+        """Return the results. Must be called only once, at the end of the experiment."""
         processes = self._simulation.processes
         for process in processes:
             self._collect_counters(process)
--- a/larchhaven/model/plot.py
+++ b/larchhaven/model/plot.py
@@ -1,4 +1,4 @@
-"""Draws a sweep as one HTML file."""
+"""Renders the report of a sweep as one HTML file."""
 
 from __future__ import annotations
 
@@ -15,7 +15,10 @@
 
 FIGURE_SIZE_INCHES = (11, 8)
 LINE_STYLES = ("-", "--", ":", "-.")
-NOTE = "Means over seeds with 95% intervals; rates of false deaths with exact Poisson intervals."
+NOTE = (
+    "Means over seeds with 95% confidence intervals;"
+    " false death rates with exact Poisson intervals."
+)
 
 
 class _Point(NamedTuple):
@@ -23,12 +26,12 @@
     value: Interval
 
     def error_below(self) -> float:
-        """Return the length of the bar below the mean; none is drawn if the end is unknown."""
+        """Return the length of the error bar below the mean, 0 for an unbounded interval."""
         value = self.value
         return min(max(value.mean - value.low, 0), value.mean) if value.high < UNBOUNDED else 0
 
     def error_above(self) -> float:
-        """Return the length of the bar above the mean; none is drawn if the end is unknown."""
+        """Return the length of the error bar above the mean, 0 for an unbounded interval."""
         return self.value.high - self.value.mean if self.value.high < UNBOUNDED else 0
 
 
@@ -36,8 +39,8 @@
     """Return the report of a sweep as HTML.
 
     Args:
-        title: Its heading.
-        cells: What is drawn.
+        title: The title of the report.
+        cells: The summary of the sweep.
     """
     body = f"<p>{html.escape(NOTE)}</p>{render_svg(_draw_figure(cells))}{_render_table(cells)}"
     return render_page(title, body)
@@ -46,18 +49,18 @@
 def _draw_figure(cells: Sequence[SweepCell]) -> Figure:
     figure = Figure(figsize=FIGURE_SIZE_INCHES, layout="constrained")
     (detection, agreement), (false_deaths, messages) = figure.subplots(2, 2)
-    _draw(detection, cells, lambda c: c.detection_s, "seconds from a death to its detection")
-    _draw(agreement, cells, lambda c: c.agreement_s, "seconds until all agree")
+    _draw(detection, cells, lambda c: c.detection_s, "time from death to first detection (s)")
+    _draw(agreement, cells, lambda c: c.agreement_s, "time until all members agree (s)")
     _draw(
         false_deaths,
         cells,
         lambda c: c.false_deaths_per_hour,
-        "false deaths an hour, whole fleet",
+        "false deaths per hour, whole fleet",
     )
-    _draw(messages, cells, lambda c: c.messages_per_second, "messages a member and second")
+    _draw(messages, cells, lambda c: c.messages_per_second, "messages per member per second")
     messages.set_yscale("symlog")
     if cells:
-        messages.legend(fontsize=8)  # every cell has messages; not every sweep has deaths
+        messages.legend(fontsize=8)  # drawn for every cell; a sweep may have no deaths
     return figure
 
 
--- a/larchhaven/model/process.py
+++ b/larchhaven/model/process.py
@@ -1,4 +1,4 @@
-"""A simulated process: the program it runs, its clock, its socket buffer and its counters."""
+"""A simulated process: its program, clock, socket buffer and counters."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Datagram:
-    """A datagram that a program wants to be sent.
+    """A datagram for the simulation to send.
 
     Attributes:
         receiver: The number of the receiving process.
@@ -37,46 +37,47 @@
 
 
 class Program(Protocol):
-    """What a process runs.
+    """The program of a process.
 
-    Times are microseconds of the process's own clock. Whatever a program puts out beside
-    datagrams is handed to the observer of the simulation.
+    Times are microseconds of the process's own clock. Both methods return outputs: a ``Datagram``
+    is sent, and any other object is passed to the observer of the simulation. A call of
+    ``run_timers`` is a turn of the program.
     """
 
     @property
     def due_us(self) -> int:
-        """When the program wants its next turn."""
+        """When ``run_timers`` has to be called next."""
 
     def run_timers(self, now_us: int) -> Iterable[object]:
-        """Do all that is due."""
+        """Run all timers that are due."""
 
     def receive(self, now_us: int, data: bytes, sender: int) -> Iterable[object]:
         """Handle a datagram."""
 
 
-# Makes the program of a process at a start, from the process's own clock in microseconds and from
-# how many times the process was started before.
+# Creates the program of a starting process. Arguments: the time of the process's own clock in
+# microseconds, and the number of its earlier starts.
 ProgramFactory = Callable[[int, int], Program]
 
 
 @dataclass(slots=True)
 class Process:
-    """One process: it runs a program, or is down.
+    """A process, which either runs a program or is down.
 
     Attributes:
-        number: Its index in the fleet.
-        make_program: Makes the program at each start.
-        clock_offset_us: Its monotonic clock less the simulated one.
-        program: What it runs; None while it is down.
-        starts: How many times it was started.
-        is_paused: Whether it is stopped where it is; its socket buffer fills meanwhile.
-        turn_cost_us: Processor time for each datagram and each turn.
-        busy_until_us: When it is ready for the next datagram or turn.
-        socket_buffer: What has arrived and was not handled yet.
-        scheduled_turn_us: When a turn is scheduled, or ``NO_TURN_US``.
-        datagrams_sent: Datagrams sent.
-        bytes_sent: Payload bytes sent.
-        socket_overflows: Datagrams that found the socket buffer full.
+        number: The index of the process in the fleet.
+        make_program: Creates the program at each start.
+        clock_offset_us: Monotonic clock of the process minus the simulated clock.
+        program: The running program, or None while the process is down.
+        starts: The number of times that it was started.
+        is_paused: Whether execution is suspended. Its socket buffer continues to fill.
+        turn_cost_us: Processing time of each datagram and each turn.
+        busy_until_us: Simulated time when it can handle the next datagram or turn.
+        socket_buffer: Datagrams that have arrived and are not handled yet.
+        scheduled_turn_us: Simulated time of the next scheduled turn, or ``NO_TURN_US``.
+        datagrams_sent: Number of datagrams sent.
+        bytes_sent: Number of payload bytes sent.
+        socket_overflows: Number of datagrams dropped because the socket buffer was full.
     """
 
     number: int
@@ -95,5 +96,5 @@
 
     @property
     def is_running(self) -> bool:
-        """Tell whether the process is up, paused or not."""
+        """Whether the process is up, even if it is paused."""
         return self.program is not None
--- a/larchhaven/model/process_selection.py
+++ b/larchhaven/model/process_selection.py
@@ -1,4 +1,4 @@
-"""Which processes a fault affects: by number, by zone, or drawn at random."""
+"""Selects the processes that a fault affects: by number, by zone or at random."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 
 
 def parse_numbers(text: str, members: int) -> list[int]:
-    """Return the process numbers of a list such as ``0-9,12``.
+    """Parse a list of process numbers such as ``0-9,12``.
 
     Args:
         text: Numbers and ranges, separated by commas.
-        members: How many processes there are.
+        members: The number of processes.
 
     Raises:
         ProcessNumbersError: The list is malformed or names a process that does not exist.
     """
     numbers: list[int] = []
-    for part in filter(None, text.replace(" ", "").split(",")):
-        first, _, last = part.partition("-")
+    for item in filter(None, text.replace(" ", "").split(",")):
+        first, _, last = item.partition("-")
         last = last or first
         if not (first.isdigit() and last.isdigit()):
-            raise ProcessNumbersError(part, f"numbers are written like 0-9,12, not {part!r}")
+            raise ProcessNumbersError(item, f"numbers must be a list like 0-9,12, not {item!r}")
         if int(last) >= members:
             reason = f"there is no member {last}: the last is {members - 1}"
-            raise ProcessNumbersError(part, reason)
+            raise ProcessNumbersError(item, reason)
         numbers += range(int(first), int(last) + 1)
     return numbers
 
@@ -38,19 +38,19 @@
     """Selects processes of a fleet.
 
     Attributes:
-        members: How many processes there are.
-        zones: How many zones they are spread over, by number modulo zones.
+        members: The number of processes.
+        zones: The number of zones. The zone of a process is its number modulo ``zones``.
     """
 
     members: int
     zones: int
 
     def select(self, who: Who, rng: RandomStream) -> list[int]:
-        """Return the numbers of the processes that are meant, all if nothing is said.
+        """Return the numbers of the selected processes; an empty selection means all processes.
 
         Args:
-            who: Numbers, a zone or a percentage.
-            rng: Where a percentage is drawn from.
+            who: A list of numbers, a zone or a percentage.
+            rng: Random stream that draws the processes of a percentage.
         """
         match who.WhichOneof("which"):
             case "numbers":
@@ -62,6 +62,6 @@
         return list(range(self.members))
 
     def draw(self, percent: float, rng: RandomStream) -> list[int]:
-        """Return the numbers of a percentage of the processes, in the order of drawing."""
+        """Draw a percentage of the processes at random; return their numbers in drawing order."""
         count = round(self.members * percent / PERCENT_PER_WHOLE)
         return rng.sample(count, list(range(self.members)))
--- a/larchhaven/model/random_streams.py
+++ b/larchhaven/model/random_streams.py
@@ -1,6 +1,6 @@
-"""Random numbers by purpose, each from a stream of its own.
+"""A separate random stream for each purpose.
 
-More draws for one purpose leave the numbers of all others unchanged.
+Additional draws for one purpose do not change the numbers of any other purpose.
 """
 
 from __future__ import annotations
@@ -9,14 +9,14 @@
 
 from numpy.random import Generator, Philox, SeedSequence
 
-# Numbers are drawn this many at a time, as a call of the generator costs more than a list.
+# Numbers are drawn in batches, because a generator call costs more than popping from a list.
 _BATCH_SIZE = 256
 _KEY_BYTES = 16
 _WORD_BYTES = 4
 
 
 class RandomStream:
-    """Random numbers for one purpose, from NumPy's Philox generator.
+    """The random numbers of one purpose, from NumPy's Philox generator.
 
     Args:
         sequence: The seed of the stream.
@@ -27,28 +27,28 @@
         self._batch: list[float] = []
 
     def random(self) -> float:
-        """Return a number in the half-open interval from 0 to 1."""
+        """Return a number in the half-open interval [0, 1)."""
         if not self._batch:
             self._batch = self._generator.random(_BATCH_SIZE).tolist()
         return self._batch.pop()
 
     def uniform(self, low: float, high: float) -> float:
-        """Return a number in the half-open interval from ``low`` to ``high``."""
+        """Return a number in the half-open interval [``low``, ``high``)."""
         return low + (high - low) * self.random()
 
     def below(self, bound: int) -> int:
-        """Return an integer from 0 to below a bound."""
+        """Return an integer from 0 to ``bound - 1``."""
         return int(self.random() * bound)
 
     def sample(self, count: int, candidates: list[int]) -> list[int]:
         """Draw distinct candidates.
 
         Args:
-            count: How many are wanted; fewer are drawn if there are fewer candidates.
-            candidates: What is drawn from.
+            count: The number of candidates to draw; all are drawn if there are not more.
+            candidates: The list to draw from.
 
         Returns:
-            Those drawn, in the order of drawing.
+            The drawn candidates, in drawing order.
         """
         remaining = list(candidates)
         for i in range(min(count, len(remaining))):
@@ -58,7 +58,7 @@
 
 
 class RandomStreams:
-    """All streams of one seed.
+    """The random streams of one seed.
 
     Args:
         seed: The seed of the experiment.
@@ -68,7 +68,7 @@
         self._seed = seed
 
     def stream(self, purpose: str) -> RandomStream:
-        """Return the stream of a purpose, from its beginning."""
+        """Return a new stream for a purpose. Equal purposes give equal numbers."""
         digest = blake2b(purpose.encode(), digest_size=_KEY_BYTES).digest()
         words = tuple(
             int.from_bytes(digest[i : i + _WORD_BYTES], "big")
--- a/larchhaven/model/results.py
+++ b/larchhaven/model/results.py
@@ -1,7 +1,7 @@
-"""What is measured of one experiment, as it is stored: a record each, JSON keys at the edge.
+"""The results of one experiment, as stored in JSON.
 
-The keys of the JSON are those of ``results.jsonl`` and ``model run --json``, which older files
-hold too; ``rename`` maps them to the names used here.
+Files of earlier versions contain the same JSON keys, which ``results.jsonl`` and
+``model run --json`` use; ``rename`` maps them to the attribute names.
 """
 
 from __future__ import annotations
@@ -12,14 +12,15 @@
 class MemberDeath(
     msgspec.Struct, rename={"at_s": "at", "detected_s": "detected", "agreed_s": "agreed"}
 ):
-    """A death that happened.
+    """The death of a process.
 
     Attributes:
         number: The process that died.
-        at_s: When.
-        detected_s: Seconds until the first other process declared it; None: nobody did before
-            the end, or before the process was back.
-        agreed_s: Seconds until all running processes agreed; None as above.
+        at_s: Simulated time of the death in seconds.
+        detected_s: Seconds until the first process declared it dead; None if none did before
+            the end of the experiment or the restart of the process.
+        agreed_s: Seconds until all running processes agreed on the death; None if they did not
+            before the end of the experiment or the restart of the process.
     """
 
     number: int
@@ -29,10 +30,12 @@
 
 
 class FalseDeath(msgspec.Struct, array_like=True):
-    """A running process that was declared dead though datagrams got through.
+    """A running process that was declared dead although it was reachable.
+
+    A pair of processes counts as unreachable only if links are blocked in both directions.
 
     Attributes:
-        at_s: When.
+        at_s: Simulated time of the declaration in seconds.
         number: The process that was declared dead.
         declared_by: The process that declared it first.
     """
@@ -43,12 +46,12 @@
 
 
 class Convergence(msgspec.Struct, rename={"cause": "after", "at_s": "at", "duration_s": "seconds"}):
-    """How long it took until all views were equal.
+    """The time until all views were equal after a fault or the start.
 
     Attributes:
-        cause: What made them differ.
-        at_s: Since when they were compared.
-        duration_s: Seconds until they were equal; None: they were not by the end.
+        cause: The event that made the views differ.
+        at_s: Simulated time in seconds from which they were compared.
+        duration_s: Seconds until they were equal; None if they were not by the end.
     """
 
     cause: str
@@ -72,28 +75,28 @@
 
 
 class ExperimentResult(msgspec.Struct, rename=_RESULT_KEYS):
-    """What one run of an experiment has shown.
+    """The results of one run of an experiment.
 
     Attributes:
-        name: The experiment.
-        detector: The failure detector that was run.
-        members: How many processes there were.
+        name: The name of the experiment.
+        detector: The failure detector.
+        members: The number of processes.
         seed: The seed of all random streams.
-        simulated_s: Simulated seconds.
-        loss_percent: Share of the datagrams that links lost.
-        deaths: The deaths that happened.
-        false_deaths: How many running processes were declared dead.
-        false_death_samples: The first of these.
-        suspicions: How many incarnations were suspected.
-        convergences: How long views took to become equal, after each cause.
-        is_converged_at_end: Whether views were equal at the end.
-        messages_per_second: Of one member, on average, since views were equal after the start.
-        max_messages_per_second: Of the member that sent most.
-        bytes_per_second: Of one member, on average.
-        socket_overflows: Datagrams that found a full socket buffer.
-        counters: The protocol's counters and rejected datagrams, all members together.
-        events: Events that the simulation has run.
-        trace_digest: Digest of all datagrams; equal digests mean equal runs.
+        simulated_s: Simulated duration in seconds.
+        loss_percent: Configured percentage of datagrams lost by links.
+        deaths: All deaths of processes.
+        false_deaths: The number of running processes that were declared dead.
+        false_death_samples: The first of these false deaths.
+        suspicions: The number of incarnations that were suspected.
+        convergences: The convergence time after the start and after each fault that ended.
+        is_converged_at_end: Whether all views were equal at the end.
+        messages_per_second: Mean rate of one member since views first converged after the start.
+        max_messages_per_second: Rate of the member that sent most.
+        bytes_per_second: Mean rate of one member in payload bytes.
+        socket_overflows: Number of datagrams dropped because a socket buffer was full.
+        counters: Sums over all members of protocol counters and rejected datagrams.
+        events: Number of events that the simulation ran.
+        trace_digest: Digest of all datagrams with their times; equal digests mean equal runs.
     """
 
     name: str
@@ -118,7 +121,7 @@
 
     @property
     def holds(self) -> bool:
-        """Whether deaths were agreed on, nobody was declared dead wrongly and views converged."""
+        """Whether all deaths were agreed on, no death was false and views always converged."""
         return (
             not self.false_deaths
             and all(death.agreed_s is not None for death in self.deaths)
--- a/larchhaven/model/search.py
+++ b/larchhaven/model/search.py
@@ -1,10 +1,13 @@
-"""A bounded state-space search: few members, every order, loss and duplication of messages.
+"""A bounded state-space search over all orders, losses and duplications of messages.
 
-A search starts where something has just gone wrong. From there all steps are tried up to a depth:
-a message arrives, is lost, or arrives and stays in flight to arrive again; or nothing arrives
-until some member's next turn. States that were met before are not expanded again. Invariants are
-checked after each step, and from each state, as far as it differs in what members know, the
-network is healed: all views must become equal and true.
+A search covers a few members and starts from a state just after a failure. It tries all steps up
+to a depth: a message is delivered, is lost, or is delivered and stays in flight to be delivered
+again; or time advances to the next turn of a member. States that were visited before are not
+expanded again.
+
+Invariants are checked after each step. In addition, the network is healed from each state whose
+combination of views, suspicions and pending updates is new. All views must then become equal and
+correct.
 """
 
 from __future__ import annotations
@@ -41,17 +44,17 @@
 
 
 class SearchReport(msgspec.Struct, rename=_REPORT_KEYS):
-    """What a search has found; the JSON keys are those of ``model search --json``.
+    """The result of a search; ``rename`` gives the JSON keys of ``model search --json``.
 
     Attributes:
-        starting_state: The name of the state where it started.
-        states: Distinct states beside the first one.
-        steps: Steps that were tried.
-        healed_states: States from which the network was healed.
-        completed_depth: The last depth of which all states were examined.
-        is_truncated: Whether there were more states than allowed.
-        violation: The invariant that was broken first; empty if none was.
-        counterexample: The shortest path to it, as the words of its steps.
+        starting_state: The name of the starting state.
+        states: Number of distinct states, without the starting state.
+        steps: Number of steps that were tried.
+        healed_states: Number of states from which the network was healed.
+        completed_depth: The greatest depth whose states were all examined.
+        is_truncated: Whether states were skipped because of the limit on their number.
+        violation: The first violation of an invariant; empty if there was none.
+        counterexample: A shortest path to the violation, one text for each step.
     """
 
     starting_state: str
@@ -66,24 +69,24 @@
 
 @dataclass(frozen=True, slots=True)
 class _Node:
-    """A state and the path to it."""
+    """A state and the steps that lead to it."""
 
     state: SearchState
     path: tuple[Step, ...] = ()
 
 
 class StateSpaceSearch:
-    """Tries all that may follow from a state.
+    """Searches all states that can follow from a first state.
 
     Args:
-        name: The name of the first state.
-        first_state: Where the search starts.
-        max_depth: How many steps are tried one after the other.
-        max_states: How many states are examined at most, the first one included.
-        max_messages: How many messages in flight are considered in a state.
+        name: The name of the starting state.
+        first_state: The state to start from.
+        max_depth: The maximum number of steps on a path.
+        max_states: The maximum number of states to examine, including the first one.
+        max_messages: The maximum number of messages in flight to consider in a state.
 
     Attributes:
-        report: What was found so far.
+        report: The results so far.
     """
 
     def __init__(
@@ -99,12 +102,12 @@
         self._max_depth = max_depth
         self._max_states = max_states
         self._max_messages = max_messages
-        self._met: set[tuple[object, ...]] = set()
+        self._visited: set[tuple[object, ...]] = set()
         self._healed: set[tuple[object, ...]] = set()
 
     def run(self) -> SearchReport:
-        """Search breadth first, so that a counterexample is a shortest one."""
-        self._met.add(self._first_state.fingerprint())
+        """Search breadth-first, so that a counterexample has the fewest steps."""
+        self._visited.add(self._first_state.fingerprint())
         level = [_Node(self._first_state)]
         for depth in range(self._max_depth + 1):
             next_level: list[_Node] = []
@@ -118,11 +121,11 @@
         return self.report
 
     def _examine(self, node: _Node) -> bool:
-        """Heal the network from a state; return whether views became equal and true."""
-        known = node.state.knowledge_fingerprint()
-        if known in self._healed:
+        """Heal the network from a state; return whether views became equal and correct."""
+        fingerprint = node.state.view_fingerprint()
+        if fingerprint in self._healed:
             return True
-        self._healed.add(known)
+        self._healed.add(fingerprint)
         self.report.healed_states += 1
         try:
             run_without_faults(node.state.copy(), CONVERGENCE_TIMEOUT_US)
@@ -132,7 +135,7 @@
         return True
 
     def _expand(self, node: _Node, next_level: list[_Node]) -> bool:
-        """Add the new states that follow from a node; return whether all invariants held."""
+        """Append the new successors of a node; return whether all invariants held."""
         for step in possible_steps(node.state, self._max_messages):
             successor = _Node(node.state.copy(), (*node.path, step))
             self.report.steps += 1
@@ -146,14 +149,14 @@
         return True
 
     def _is_new(self, state: SearchState) -> bool:
-        """Note a state; return whether it is new and there is room for it."""
+        """Record a state; return whether it is new and within the limit on states."""
         fingerprint = state.fingerprint()
-        if fingerprint in self._met:
+        if fingerprint in self._visited:
             return False
-        if len(self._met) >= self._max_states:
+        if len(self._visited) >= self._max_states:
             self.report.is_truncated = True
             return False
-        self._met.add(fingerprint)
+        self._visited.add(fingerprint)
         self.report.states += 1
         return True
 
@@ -174,13 +177,13 @@
 
     Args:
         name: A key of ``STARTING_STATES``.
-        members: How many members there are.
-        max_depth: How many steps are tried one after the other.
-        max_states: How many states are examined at most.
-        membership_type: The protocol that is searched, or a variant with a planted fault.
+        members: The number of members.
+        max_depth: The maximum number of steps on a path.
+        max_states: The maximum number of states to examine.
+        membership_type: The protocol to search, or a variant of it with a planted fault.
 
     Returns:
-        What was found; a violation on the way to the starting state is reported too.
+        The report. It also covers a violation on the way to the starting state.
     """
     try:
         first_state = STARTING_STATES[name](members, membership_type)
--- a/larchhaven/model/search_state.py
+++ b/larchhaven/model/search_state.py
@@ -1,4 +1,4 @@
-"""One state of the exhaustive search: members, messages in flight, time."""
+"""A state of the bounded search: members, messages in flight and time."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from larchhaven.membership.membership import Membership
 from larchhaven.membership.messages import Message
 
-# Knuth's MMIX constants of a linear congruential generator; its upper bits are used.
+# Constants of Knuth's MMIX linear congruential generator. Only its upper bits are used.
 _LCG_MULTIPLIER = 6364136223846793005
 _LCG_INCREMENT = 1442695040888963407
 _LCG_MODULUS = 1 << 64
@@ -19,33 +19,33 @@
 
 @dataclass(slots=True)
 class ReproducibleRandom:
-    """Random numbers that are copied with a state, so that a path always replays alike.
+    """A random number generator that is copied with a state, so that paths are reproducible.
 
     Attributes:
-        state: The state of the generator, at first the seed.
+        state: The state of the generator; its first value is the seed.
     """
 
     state: int
 
     def random(self) -> float:
-        """Return a number in the half-open interval from 0 to 1."""
+        """Return a number in the half-open interval [0, 1)."""
         self.state = (self.state * _LCG_MULTIPLIER + _LCG_INCREMENT) % _LCG_MODULUS
         return (self.state >> _DISCARDED_BITS) / _RESULT_RANGE
 
 
 @dataclass(slots=True)
 class SearchState:
-    """One state of the search.
+    """A state of the search.
 
     Attributes:
-        now_us: The time; all members share one clock.
-        members: The protocol of each member, by number.
-        running: Which members run, by number.
-        in_flight: Messages that were sent and have not arrived yet.
-        duplications_left: How many more messages may be duplicated.
-        left_numbers: Members that have left as planned.
-        earlier_incarnations: The highest incarnation of a member's earlier processes, which others
-            may still know.
+        now_us: The time in microseconds; all members share one clock.
+        members: The protocol instance of each member, by number.
+        running: Whether each member is running, by number.
+        in_flight: Messages that were sent and are neither delivered nor lost yet.
+        duplications_left: The number of messages that may still be duplicated.
+        left_numbers: Numbers of the members that have left gracefully.
+        earlier_incarnations: The highest incarnation of a member's earlier processes, which may
+            still be in the views of others.
     """
 
     now_us: int
@@ -57,22 +57,22 @@
     earlier_incarnations: dict[int, int] = field(default_factory=dict)
 
     def copy(self) -> SearchState:
-        """Return an independent state with the same content."""
+        """Return an independent copy."""
         copied: SearchState = pickle.loads(pickle.dumps(self, pickle.HIGHEST_PROTOCOL))
         return copied
 
     def running_members(self) -> Iterator[Membership]:
-        """Iterate over the members that run, by number."""
+        """Iterate over the running members in the order of their numbers."""
         return (member for member in self.members if self.running[member.own_number])
 
     def fingerprint(self) -> tuple[object, ...]:
-        """Return what tells states apart; what does not influence the next steps is left out."""
+        """Return a value that distinguishes states; it omits what cannot affect later steps."""
         in_flight = tuple(sorted(repr(message) for message in self.in_flight))
         fingerprints = (member.fingerprint() for member in self.members)
         return (self.now_us, self.duplications_left, in_flight, *fingerprints)
 
-    def knowledge_fingerprint(self) -> tuple[object, ...]:
-        """Return what each member knows of the others, suspects, and has still to disseminate."""
+    def view_fingerprint(self) -> tuple[object, ...]:
+        """Return each member's view, suspicions and pending updates in hashable form."""
         return tuple(
             (
                 tuple(sorted((m.number, m.stamp) for m in member.view.members.values())),
--- a/larchhaven/model/search_steps.py
+++ b/larchhaven/model/search_steps.py
@@ -21,14 +21,14 @@
 from larchhaven.model.units import US_PER_SECOND
 
 DELIVERY_US = 1_000
-# Once the network loses nothing, views are equal within this time.
+# Without loss, all views have to be equal within this time.
 CONVERGENCE_TIMEOUT_US = 40 * US_PER_SECOND
 
 MemberOperation = Callable[[Membership], list[Action]]
 
 
 class StepKind(Enum):
-    """What a step does; the values are the words of counterexamples."""
+    """The kinds of steps; the values are used in the text of counterexamples."""
 
     DELIVER = "arrives"
     LOSE = "is lost"
@@ -38,12 +38,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One step from a state.
+    """A step from a state.
 
     Attributes:
-        kind: What it does.
-        index: The message in flight that it concerns; not used when time passes.
-        message: That message, or None when time passes.
+        kind: The kind of step.
+        index: The index of its message in flight; unused by ``ADVANCE_TIME``.
+        message: That message; None for ``ADVANCE_TIME``.
     """
 
     kind: StepKind
@@ -58,11 +58,11 @@
 
 
 def possible_steps(state: SearchState, max_messages: int) -> Iterator[Step]:
-    """Iterate over the steps from a state; of equal messages in flight one stands for all.
+    """Iterate over the steps from a state; only one of several equal messages is considered.
 
     Args:
         state: The state.
-        max_messages: At most this many messages in flight are considered.
+        max_messages: The maximum number of messages in flight to consider.
     """
     considered: set[str] = set()
     for index, message in enumerate(state.in_flight):
@@ -81,7 +81,7 @@
     """Apply a step to a state.
 
     Raises:
-        InvariantViolationError: The step broke an invariant.
+        InvariantViolationError: The step violated an invariant.
     """
     match step.kind:
         case StepKind.DELIVER:
@@ -95,17 +95,17 @@
 
 
 def lose_message(state: SearchState, index: int) -> None:
-    """Remove a message from the flight."""
+    """Drop a message in flight."""
     del state.in_flight[index]
 
 
 def deliver_message(state: SearchState, index: int) -> None:
-    """Deliver a message."""
+    """Deliver a message in flight."""
     _deliver(state, state.in_flight.pop(index))
 
 
 def deliver_duplicated_message(state: SearchState, index: int) -> None:
-    """Deliver a message that stays in flight to arrive once more."""
+    """Deliver a message that stays in flight and can be delivered again."""
     state.duplications_left -= 1
     _deliver(state, state.in_flight[index])
 
@@ -117,7 +117,7 @@
 
 
 def advance_time(state: SearchState) -> None:
-    """Let time pass until a member's next turn, and run all members that are due then."""
+    """Advance time to the next turn of a running member; run all members due by then."""
     running = list(state.running_members())
     state.now_us = max(state.now_us, min(member.due_us for member in running))
     for member in running:
@@ -126,15 +126,15 @@
 
 
 def run_member(state: SearchState, number: int, operation: MemberOperation) -> None:
-    """Let a member do something and check the invariants.
+    """Run an operation of a member and check the invariants.
 
     Args:
-        state: The state; messages that are sent join those in flight.
-        number: The member.
-        operation: What it does.
+        state: The state; sent messages are added to those in flight.
+        number: The number of the member.
+        operation: Calls a method of the member and returns its actions.
 
     Raises:
-        InvariantViolationError: The operation broke an invariant.
+        InvariantViolationError: The operation violated an invariant.
     """
     member = state.members[number]
     before = take_snapshot(member)
@@ -148,10 +148,10 @@
 
 
 def run_without_faults(state: SearchState, duration_us: int) -> None:
-    """Deliver all messages in order for a time, then check that views are equal and true.
+    """Deliver all messages in order for a time, then check that views are equal and correct.
 
     Raises:
-        InvariantViolationError: They are not, or a step broke an invariant.
+        InvariantViolationError: The views differ or are incorrect, or a step violated an invariant.
     """
     end_us = state.now_us + duration_us
     while state.now_us < end_us:
--- a/larchhaven/model/simulation.py
+++ b/larchhaven/model/simulation.py
@@ -1,8 +1,9 @@
 """A deterministic simulation: processes with their own clocks, a network, and one event queue.
 
-It hosts any pure program: something that takes datagrams and a time, and says what is to be sent
-and when it wants its next turn. A process that is paused keeps what arrives, as a socket does, up
-to ``SOCKET_BUFFER_DATAGRAMS``; a slow one takes a time for each datagram and turn.
+It runs any program without I/O of its own: the program takes datagrams and times, returns the
+datagrams to send, and states when its next turn is due. A paused process buffers up to
+``SOCKET_BUFFER_DATAGRAMS`` arriving datagrams, like a socket. A slow process spends a fixed time on
+each datagram and turn.
 """
 
 from __future__ import annotations
@@ -24,21 +25,21 @@
 SOCKET_BUFFER_DATAGRAMS = 270
 TRACE_DIGEST_BYTES = 16
 
-# Called with a process and what its program has put out beside datagrams.
+# Called with a process and an output of its program that is not a datagram.
 Observer = Callable[[Process, object], None]
 
 
 class Simulation:
-    """Processes and the network between them, moved by one event queue.
+    """Processes and the network between them, driven by one event queue.
 
     Args:
         network: The network between the processes.
 
     Attributes:
         network: The network between the processes.
-        events: The simulated clock and what is scheduled.
+        events: The simulated clock and the scheduled events.
         processes: All processes, by number.
-        observe: What is called with the output of programs beside datagrams.
+        observe: Called with the outputs of programs that are not datagrams.
     """
 
     def __init__(self, network: SimulatedNetwork) -> None:
@@ -50,21 +51,21 @@
 
     @property
     def trace_digest(self) -> str:
-        """The digest of all datagrams sent and handled so far, with times, in order."""
+        """The digest of all datagrams sent and handled so far, in order, with their times."""
         return self._trace.hexdigest()
 
     def local_time_us(self, process: Process) -> int:
-        """Return what a process's own monotonic clock shows."""
+        """Return the time of a process's own monotonic clock in microseconds."""
         return self.events.now_us + process.clock_offset_us
 
-    # Faults and the life of processes
+    # Process lifecycle and faults
 
     def add_process(self, make_program: ProgramFactory, clock_offset_us: int = 0) -> Process:
         """Add a process that is down.
 
         Args:
-            make_program: Makes its program at each start.
-            clock_offset_us: Its monotonic clock less the simulated one.
+            make_program: Creates its program at each start.
+            clock_offset_us: Monotonic clock of the process minus the simulated clock.
         """
         process = Process(len(self.processes), make_program, clock_offset_us)
         self.processes.append(process)
@@ -81,16 +82,16 @@
         self._schedule_turn(process)
 
     def kill_process(self, process: Process) -> None:
-        """End a process: its program and its socket buffer are gone."""
+        """End a process and discard its program and its socket buffer."""
         process.program = None
         process.socket_buffer.clear()
 
     def pause_process(self, process: Process) -> None:
-        """Stop a process where it is."""
+        """Suspend a process; datagrams still arrive in its socket buffer."""
         process.is_paused = True
 
     def resume_process(self, process: Process) -> None:
-        """Let a paused process continue: what has arrived meanwhile is handled first."""
+        """Resume a paused process; it first handles the datagrams in its socket buffer."""
         if process.is_paused:
             process.is_paused = False
             self._run_process(process)
@@ -98,7 +99,7 @@
     # Datagrams
 
     def send(self, process: Process, datagram: Datagram) -> None:
-        """Send a datagram of a process."""
+        """Send a datagram from a process."""
         now_us = self.events.now_us
         process.datagrams_sent += 1
         process.bytes_sent += len(datagram.data)
@@ -127,7 +128,7 @@
         )
 
     def _run_process(self, process: Process) -> None:
-        """Handle what has arrived, then what is due, as far as the process has time."""
+        """Handle buffered datagrams, then due timers, until the process is busy or paused."""
         while process.socket_buffer and self._is_ready(process):
             self._handle_datagram(process, process.socket_buffer.popleft())
         program = process.program
@@ -153,7 +154,7 @@
                 self.observe(process, output)
 
     def _schedule_turn(self, process: Process) -> None:
-        """Schedule the next turn, unless one is scheduled that is early enough."""
+        """Schedule the next turn, unless an early enough one is scheduled."""
         if process.program is None or process.is_paused:
             return
         now_us = self.events.now_us
@@ -168,7 +169,7 @@
 
     def _take_turn(self, process: Process, starts: int, scheduled_us: int) -> None:
         if process.starts != starts or process.program is None:
-            return  # the process that it was scheduled for has ended
+            return  # scheduled before a restart, or the process is down
         if process.scheduled_turn_us == scheduled_us:
             process.scheduled_turn_us = NO_TURN_US
         self._run_process(process)
--- a/larchhaven/model/starting_states.py
+++ b/larchhaven/model/starting_states.py
@@ -1,4 +1,4 @@
-"""Where searches start: something has just gone wrong among members that knew each other."""
+"""Starting states of searches: a failure has just occurred among members with equal views."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 ZONES = 3
 # Members start at this incarnation plus their number.
 FIRST_INCARNATION = 100
-# A clock that is behind gives a restarted process less than its earlier incarnation.
+# Lower than the incarnation of the earlier process, as after a restart with a clock that is behind.
 RESTART_INCARNATION = 3
 RESTART_SEED = 77
 
@@ -36,11 +36,11 @@
 
 
 def settled(size: int, membership_type: MembershipType) -> SearchState:
-    """Return members that know each other.
+    """Return a state of running members with equal views.
 
     Args:
-        size: How many members there are.
-        membership_type: The protocol that they run.
+        size: The number of members.
+        membership_type: The protocol to run, or a variant of it with a planted fault.
     """
     state = SearchState(0, [], [True] * size)
     for number in range(size):
@@ -54,7 +54,7 @@
 
 
 def suspected(size: int, membership_type: MembershipType) -> SearchState:
-    """0 suspects 1, which is well."""
+    """Return a state where member 0 suspects member 1, which is healthy."""
     state = settled(size, membership_type)
     stamp = make_stamp(state.members[1].incarnation, MemberState.SUSPECT)
     _receive_gossip(state, 0, StateUpdate(1, stamp, 0), sender=size - 1)
@@ -62,21 +62,24 @@
 
 
 def leaving(size: int, membership_type: MembershipType) -> SearchState:
-    """1 is suspected by 0 and leaves at that moment, as planned."""
+    """Return a state where member 1 leaves gracefully while member 0 suspects it."""
     state = suspected(size, membership_type)
     _leave(state, 1)
     return state
 
 
 def killed(size: int, membership_type: MembershipType) -> SearchState:
-    """1 has ended without a message."""
+    """Return a state where member 1 has crashed without sending a message."""
     state = settled(size, membership_type)
     state.running[1] = False
     return state
 
 
 def restarted(size: int, membership_type: MembershipType) -> SearchState:
-    """1 has restarted with a clock that is behind, while 0 suspects its earlier process."""
+    """Return a state where member 1 has restarted and member 0 suspects its earlier process.
+
+    The new process has a clock that is behind, so its first incarnation is lower.
+    """
     state = suspected(size, membership_type)
     state.earlier_incarnations[1] = state.members[1].incarnation
     info = MemberInfo("n1", 1, started_unix_s=1)
@@ -88,7 +91,7 @@
 
 
 def partitioned(size: int, membership_type: MembershipType) -> SearchState:
-    """0 was partitioned from all others while the last one left; the partition has just healed."""
+    """Return a state just after a partition of member 0, during which the last member left."""
     state = settled(size, membership_type)
     _leave(state, size - 1)
     end_us = state.now_us + PARTITION_US
@@ -102,14 +105,17 @@
 
 
 def paused(size: int, membership_type: MembershipType) -> SearchState:
-    """0 suspected 1 and was paused at once; 1 has refuted it, which 0 has not received."""
+    """Return a state where member 0 was paused right after it began to suspect member 1.
+
+    Member 1 has refuted the suspicion, but member 0 has not received the refutation.
+    """
     state = suspected(size, membership_type)
     _pause_first_member(state)
     return state
 
 
 def paused_after_last_probe(size: int, membership_type: MembershipType) -> SearchState:
-    """As ``paused``, but 0 was paused once it had sent the last probe before the deadline."""
+    """Return a state like ``paused``, with the pause after the last probe before the deadline."""
     state = suspected(size, membership_type)
     config = ProtocolConfig()
     suspicion = Suspicion.begin(state.now_us, 0, size, config)
@@ -123,7 +129,7 @@
 
 
 def _pause_first_member(state: SearchState) -> None:
-    """Pause 0 while the others, which were not paused themselves, go on."""
+    """Pause member 0 while all other members continue to run."""
     state.running[0] = False
     deliver_all_messages(state)
     end_us = state.now_us + REFUTATION_US
@@ -136,7 +142,7 @@
     state.running[0] = True
 
 
-# By the names that ``model search --scene`` takes.
+# The keys are the values of ``model search --scene``.
 STARTING_STATES: dict[str, StartingState] = {
     "accused": suspected,
     "leaving": leaving,
@@ -149,14 +155,14 @@
 
 
 def _receive_gossip(state: SearchState, number: int, update: StateUpdate, sender: int) -> None:
-    """Let a member receive an update from another one that has just learned it."""
+    """Deliver an update to a member in a gossip message from another member."""
     stamp = state.members[sender].stamp
     message = Message(MessageKind.GOSSIP, sender, number, stamp, state_updates=(update,))
     run_member(state, number, lambda member: member.receive(state.now_us, message))
 
 
 def _deliver_all_but_refutations(state: SearchState) -> None:
-    """Deliver messages until none is in flight; those that show 0 that 1 is alive are lost."""
+    """Deliver all messages except those that could show member 0 that member 1 is alive."""
     while state.in_flight:
         if _may_refute(state.in_flight[0]):
             lose_message(state, 0)
--- a/larchhaven/model/summary.py
+++ b/larchhaven/model/summary.py
@@ -18,12 +18,12 @@
 
 
 class Interval(msgspec.Struct):
-    """A mean and its confidence interval.
+    """A mean with its confidence interval.
 
     Attributes:
         mean: The mean.
-        low: The lower end, at ``CONFIDENCE_LEVEL``.
-        high: The upper end.
+        low: The lower end of the interval, at ``CONFIDENCE_LEVEL``.
+        high: The upper end of the interval.
     """
 
     mean: float
@@ -48,26 +48,26 @@
 
 
 class SweepCell(msgspec.Struct, rename=_CELL_KEYS):
-    """What all seeds of one combination show; the JSON keys are those of ``summary.json``.
+    """The summary of all seeds of one combination; ``rename`` gives the keys of ``summary.json``.
 
     Attributes:
         detector: The failure detector.
-        members: How many processes there were.
-        loss_percent: Share of the datagrams that links lost.
-        runs: How many seeds were run.
-        simulated_hours: Simulated time, all runs together.
-        deaths: How many deaths happened.
-        agreed_fraction: Share of the deaths that all agreed on by the end.
-        detection_s: Seconds until the first process declared a death, a mean a run.
-        agreement_s: Seconds until all agreed on a death, a mean a run.
-        max_agreement_s: The longest of these.
-        false_deaths: How many running processes were declared dead.
-        false_deaths_per_hour: Their rate in the whole fleet.
+        members: The number of processes.
+        loss_percent: Configured percentage of datagrams lost by links.
+        runs: The number of runs, one for each seed.
+        simulated_hours: Simulated time of all runs, in hours.
+        deaths: The number of deaths.
+        agreed_fraction: Fraction of the deaths that all processes agreed on by the end.
+        detection_s: Seconds until the first process declared a death, from the means of the runs.
+        agreement_s: Seconds until all processes agreed on a death, from the means of the runs.
+        max_agreement_s: The longest time until agreement on a single death, in seconds.
+        false_deaths: The number of running processes that were declared dead.
+        false_deaths_per_hour: Rate of false deaths in the whole fleet.
         convergence_s: Seconds until views were equal after the end of the last fault.
-        max_convergence_s: The longest of these.
-        unconverged: In how many runs views were not equal by the end.
-        messages_per_second: Of one member.
-        bytes_per_second: Of one member.
+        max_convergence_s: The longest of these times, in seconds.
+        unconverged: The number of runs that did not converge after the last fault.
+        messages_per_second: Mean rate of one member.
+        bytes_per_second: Mean rate of one member.
     """
 
     detector: str
@@ -96,10 +96,10 @@
 
 
 def mean_interval(values: Sequence[float]) -> Interval:
-    """Return the mean of independent values and its t interval.
+    """Return the mean of independent values with its Student's t confidence interval.
 
     Args:
-        values: At least one value; of a single one the interval is unbounded.
+        values: At least one value; the interval of a single value is unbounded.
     """
     mean = sum(values) / len(values)
     if len(values) == 1:
@@ -110,11 +110,11 @@
 
 
 def rate_interval(count: int, hours: float) -> Interval:
-    """Return the rate of rare events and its exact Poisson interval.
+    """Return an hourly rate of rare events with its exact Poisson confidence interval.
 
     Args:
-        count: How many events were seen.
-        hours: In how much time.
+        count: The number of events.
+        hours: The duration in which they were counted.
     """
     low_quantile = (1 - CONFIDENCE_LEVEL) / 2
     high_quantile = (1 + CONFIDENCE_LEVEL) / 2
@@ -124,7 +124,7 @@
 
 
 def summarise(results: Iterable[ExperimentResult]) -> list[SweepCell]:
-    """Summarise the seeds of each combination, in the order of detector, size and loss."""
+    """Summarise the seeds of each combination, sorted by detector, size and loss."""
     runs_by_key: dict[_CellKey, list[ExperimentResult]] = {}
     for result in results:
         key = _CellKey(result.detector, result.members, result.loss_percent)
@@ -136,10 +136,10 @@
     hours = sum(run.simulated_s for run in runs) / SECONDS_PER_HOUR
     deaths = sum(len(run.deaths) for run in runs)
     false_deaths = sum(run.false_deaths for run in runs)
-    detection_s = [_known(death.detected_s for death in run.deaths) for run in runs]
-    agreement_s = [_known(death.agreed_s for death in run.deaths) for run in runs]
+    detection_s = [_without_none(death.detected_s for death in run.deaths) for run in runs]
+    agreement_s = [_without_none(death.agreed_s for death in run.deaths) for run in runs]
     convergences = [last for run in runs for last in _last_convergence(run)]
-    convergence_s = _known(convergence.duration_s for convergence in convergences)
+    convergence_s = _without_none(convergence.duration_s for convergence in convergences)
     return SweepCell(
         detector=key.detector,
         members=key.members,
@@ -161,7 +161,7 @@
     )
 
 
-def _known(values: Iterable[float | None]) -> list[float]:
+def _without_none(values: Iterable[float | None]) -> list[float]:
     return [value for value in values if value is not None]
 
 
@@ -171,6 +171,6 @@
 
 
 def _last_convergence(run: ExperimentResult) -> Iterator[Convergence]:
-    """Yield what followed the end of the last fault, if any fault ended."""
+    """Yield the convergence after the end of the last fault, if any fault ended."""
     after_faults = [c for c in run.convergences if c.cause != CAUSE_START]
     yield from after_faults[-1:]
--- a/larchhaven/model/sweep.py
+++ b/larchhaven/model/sweep.py
@@ -1,4 +1,4 @@
-"""Runs many experiments over seeds, sizes and losses on all cores, and stores what they show."""
+"""Runs an experiment over seeds, sizes, losses and detectors in parallel; stores the results."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 
 @dataclass(frozen=True, slots=True)
 class SweepAxes:
-    """What a sweep varies; an empty axis keeps the value of the experiment.
+    """The axes of a sweep; an empty axis keeps the value of the experiment.
 
     Attributes:
-        members: Sizes of the fleet.
-        loss_percents: Shares of the datagrams that links lose.
-        detectors: Numbers of ``Experiment.Detector``.
-        seeds: How many seeds are run, from the experiment's own on.
+        members: Fleet sizes.
+        loss_percents: Percentages of datagrams lost by links.
+        detectors: Values of ``Experiment.Detector``.
+        seeds: The number of consecutive seeds, starting with the experiment's own seed.
     """
 
     members: Sequence[int] = field(default_factory=tuple)
@@ -38,11 +38,11 @@
 
 
 def expand_axes(base: Experiment, axes: SweepAxes) -> list[Experiment]:
-    """Return an experiment for every combination of a sweep.
+    """Return one experiment for each combination of a sweep.
 
     Args:
-        base: The experiment that is varied.
-        axes: What varies.
+        base: The experiment to vary.
+        axes: The values to combine.
     """
     combinations = product(
         axes.detectors or [base.detector],
@@ -54,7 +54,7 @@
     for detector, members, loss_percent, seed in combinations:
         experiment = Experiment()
         experiment.CopyFrom(base)
-        experiment.detector = detector  # type: ignore[assignment]  # a number of the enumeration
+        experiment.detector = detector  # type: ignore[assignment]  # an int is a valid enum value
         experiment.members = members
         experiment.seed = seed
         experiment.links.loss_percent = loss_percent
@@ -70,14 +70,14 @@
     """Run experiments in parallel.
 
     Args:
-        experiments: What is run.
-        jobs: Processes at a time; 0: as many as the machine has cores.
+        experiments: The experiments to run.
+        jobs: Number of worker processes; 0 means one for each core of the machine.
         notify_progress: Called with the number of completed experiments after each one.
 
     Returns:
         The results, in the order of the experiments.
     """
-    # The longest first, so that no core is left with one at the end.
+    # Longest first, so that no long experiment is left to run alone at the end.
     order = sorted(
         range(len(experiments)),
         key=lambda index: -experiments[index].members * experiments[index].seconds,
@@ -96,19 +96,19 @@
 
 
 def _run_serialized(experiment: bytes) -> bytes:
-    """Run an experiment in a worker process; messages of protobuf are not pickled."""
+    """Run a serialized experiment in a worker process; protobuf messages are not pickled."""
     return msgspec.json.encode(run_experiment(Experiment.FromString(experiment)))
 
 
 def save_results(folder: Path, results: Sequence[ExperimentResult]) -> list[SweepCell]:
-    """Write results, one a line, and their summary: equal experiments give equal files.
+    """Write results, one per line, and their summary; equal experiments give equal files.
 
     Args:
-        folder: Where the files are written; created if it does not exist.
-        results: What is written.
+        folder: The output directory; created if it does not exist.
+        results: The results to write.
 
     Returns:
-        The summary.
+        The summary, one cell for each combination.
     """
     folder.mkdir(parents=True, exist_ok=True)
     lines = b"".join(msgspec.json.encode(result) + b"\n" for result in results)
@@ -120,11 +120,11 @@
 
 
 def read_results(folder: Path) -> list[ExperimentResult]:
-    """Read what ``save_results`` has written.
+    """Read the results written by ``save_results``.
 
     Raises:
         OSError: The file cannot be read.
-        msgspec.DecodeError: It does not contain results.
+        msgspec.DecodeError: The file does not contain results.
     """
     lines = (folder / RESULTS_FILE).read_bytes().splitlines()
     return [msgspec.json.decode(line, type=ExperimentResult) for line in lines]
--- a/larchhaven/model/sweep_table.py
+++ b/larchhaven/model/sweep_table.py
@@ -1,10 +1,10 @@
-"""The table of a sweep: one row of text for each combination."""
+"""Formats the summary of a sweep as a table with one row for each combination."""
 
 from __future__ import annotations
 
 from larchhaven.model.summary import Interval, SweepCell
 
-# An interval end above it means that the end is not known; JSON stores no infinity.
+# An interval with an upper end above this counts as unbounded, because JSON cannot store infinity.
 UNBOUNDED = 1e300
 
 TABLE_HEADS = (
@@ -23,7 +23,7 @@
 
 
 def format_row(cell: SweepCell) -> list[str]:
-    """Return the row of a combination, one text for each of ``TABLE_HEADS``."""
+    """Return the row of a combination, with one text for each of ``TABLE_HEADS``."""
     false_rate = _format_interval(cell.false_deaths_per_hour)
     return [
         cell.detector,
--- a/larchhaven/model/units.py
+++ b/larchhaven/model/units.py
@@ -1,4 +1,4 @@
-"""Units of the simulation, whose instants and durations are whole microseconds."""
+"""Unit conversions of the simulation, whose times and durations are whole microseconds."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def to_us(seconds: float) -> int:
-    """Return a duration in whole microseconds.
+    """Convert a duration in seconds to whole microseconds, rounding towards zero.
 
     Args:
         seconds: The duration in seconds.
--- a/tests/model/test_process_selection.py
+++ b/tests/model/test_process_selection.py
@@ -1,4 +1,4 @@
-"""Faults affect the processes that their experiment names."""
+"""Tests of the selection of processes that a fault affects."""
 
 from __future__ import annotations
 
@@ -20,26 +20,26 @@
     assert select(Who(numbers="7, 0-2,9")) == [7, 0, 1, 2, 9]
 
 
-def test_zone_is_the_number_modulo_the_zones() -> None:
+def test_zone_selects_numbers_modulo_the_zone_count() -> None:
     assert select(Who(zone=1)) == [1, 4, 7]
 
 
-def test_percentage_is_drawn_and_repeats() -> None:
+def test_percentage_selects_a_reproducible_random_sample() -> None:
     drawn = select(Who(percent=40))
     assert len(set(drawn)) == 4
     assert drawn == sorted(drawn) == select(Who(percent=40))
 
 
-def test_nobody_named_means_all() -> None:
+def test_empty_selection_means_all_processes() -> None:
     assert select(Who()) == list(range(10))
 
 
-def test_open_range_is_its_first_number() -> None:
+def test_range_without_end_is_its_first_number() -> None:
     assert parse_numbers("1-", 10) == [1]
 
 
-@pytest.mark.parametrize(("text", "part"), [("0-3,x", "x"), ("2,8-10", "8-10"), ("-1", "-1")])
-def test_error_names_the_part_that_is_wrong(text: str, part: str) -> None:
+@pytest.mark.parametrize(("text", "item"), [("0-3,x", "x"), ("2,8-10", "8-10"), ("-1", "-1")])
+def test_error_names_the_invalid_item(text: str, item: str) -> None:
     with pytest.raises(ProcessNumbersError) as raised:
         parse_numbers(text, 10)
-    assert raised.value.numbers == part
+    assert raised.value.numbers == item
