--- a/tests/model/__init__.py
+++ b/tests/model/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the simulated fleet."""
+"""Tests of the simulation of the proxy fleet."""
--- a/tests/model/harness.py
+++ b/tests/model/harness.py
@@ -1,4 +1,4 @@
-"""Runs experiments from their text."""
+"""Runs experiments from protobuf text."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def run(text: str, membership_type: type[Membership] = Membership) -> ExperimentResult:
-    """Run an experiment that has no mistakes."""
+    """Parse and run an experiment, which must have no errors."""
     parsed = parse_experiment(text)
     assert parsed.complaints == []
     return run_experiment(parsed.experiment, membership_type=membership_type)
--- a/tests/model/planted_faults.py
+++ b/tests/model/planted_faults.py
@@ -1,4 +1,4 @@
-"""Variants of the membership protocol with one fault each, which the search has to catch."""
+"""Variants of the membership protocol with one fault each, which the search must detect."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class LocalMemberWithoutRefutation(LocalMember):
-    """Stays at the incarnation that is suspected."""
+    """Never raises its incarnation to refute a suspicion."""
 
     def apply_state(self, update: StateUpdate) -> None:
         """Ignore updates about the local member once it has joined."""
@@ -31,16 +31,16 @@
 
 
 class DoesNotRefute(Membership):
-    """Stays alive at the incarnation that is suspected."""
+    """Never raises its incarnation to refute a suspicion."""
 
     local_member_type = LocalMemberWithoutRefutation
 
 
-class MergerOfLastUpdates(UpdateMerger):
-    """Applies whatever update arrives last."""
+class LastUpdateWinsMerger(UpdateMerger):
+    """Applies the update that arrives last, even if its stamp is smaller."""
 
     def apply_state(self, update: StateUpdate) -> None:
-        """Apply smaller stamps too."""
+        """Apply updates with smaller stamps too."""
         number = update.number
         known = self._table.get(number)
         is_own = number == self._table.own_number
@@ -51,13 +51,13 @@
 
 
 class LastUpdateWins(Membership):
-    """Applies whatever update arrives last."""
+    """Applies the update that arrives last, even if its stamp is smaller."""
 
-    update_merger_type = MergerOfLastUpdates
+    update_merger_type = LastUpdateWinsMerger
 
 
-class MergerThatSuspectsWhoLeft(UpdateMerger):
-    """Lets a suspicion override a planned stop."""
+class MergerSuspectingDepartedMembers(UpdateMerger):
+    """Lets a suspicion override a graceful leave."""
 
     def apply_state(self, update: StateUpdate) -> None:
         """Suspect members that have left."""
@@ -74,17 +74,17 @@
         super().apply_state(update)
 
 
-class SuspectsWhoLeft(Membership):
-    """Lets a suspicion override a planned stop."""
+class SuspectsDepartedMembers(Membership):
+    """Lets a suspicion override a graceful leave."""
 
-    update_merger_type = MergerThatSuspectsWhoLeft
+    update_merger_type = MergerSuspectingDepartedMembers
 
 
-class MergerThatInventsIncarnations(UpdateMerger):
-    """Raises another's incarnation so that its verdict stands."""
+class MergerInventingIncarnations(UpdateMerger):
+    """Raises the incarnation of another member before declaring it dead."""
 
     def declare_dead(self, number: int) -> None:
-        """Raise the incarnation first."""
+        """Raise the incarnation first, so that earlier refutations do not override the death."""
         known = self._table.get(number)
         if known is not None:
             incarnation = min(known.incarnation + 5, MAX_INCARNATION)
@@ -94,84 +94,84 @@
 
 
 class InventsIncarnations(Membership):
-    """Raises another's incarnation so that its verdict stands."""
+    """Raises the incarnation of another member before declaring it dead."""
 
-    update_merger_type = MergerThatInventsIncarnations
+    update_merger_type = MergerInventingIncarnations
 
 
-class ForgetfulLocalMember(LocalMember):
-    """Knows nothing of an earlier process with its number."""
+class LocalMemberIgnoringEarlierProcess(LocalMember):
+    """Ignores updates about an earlier process with the same member number."""
 
     def join(self) -> None:
-        """Forget what others remember first."""
+        """Discard the entry about the earlier process before joining."""
         view = self._table.view
         self._table.view = replace(view, members=view.members.discard(view.own_number))
         super().join()
 
     def apply_state(self, update: StateUpdate) -> None:
-        """Refute suspicions of the own incarnation only."""
+        """Refute suspicions of the current incarnation only."""
         if stamp_incarnation(update.stamp) == self.incarnation:
             super().apply_state(update)
 
     def apply_info(self, update: InfoUpdate) -> None:
-        """Ignore it: else two processes would still be distinguished by their infos."""
+        """Ignore the update: infos would still distinguish the two processes."""
 
 
-class ForgetsItsEarlierProcess(Membership):
-    """Refutes suspicions of its own incarnation only."""
+class IgnoresEarlierProcess(Membership):
+    """Refutes only suspicions of its current incarnation, not of an earlier process."""
 
-    local_member_type = ForgetfulLocalMember
+    local_member_type = LocalMemberIgnoringEarlierProcess
 
 
-class ExchangeOfTheLiving(StateExchange):
-    """Compares views, but sends only what it knows of the living."""
+class ExchangeOmittingAbsentMembers(StateExchange):
+    """Compares complete views, but sends only the entries of present members."""
 
     def send_differences(self, receiver: int, digests: tuple[int, ...]) -> None:
-        """Hide the dead while differences are sent."""
+        """Hide dead and departed members while differences are sent."""
         complete = self._table.view
-        living = complete.members
-        for member in list(living.values()):
+        present = complete.members
+        for member in list(present.values()):
             if not member.is_present:
-                living = living.discard(member.number)
-        self._table.view = replace(complete, members=living)
+                present = present.discard(member.number)
+        self._table.view = replace(complete, members=present)
         super().send_differences(receiver, digests)
         self._table.view = complete
 
 
-class KeepsTheDeadToItself(Membership):
-    """Compares views, but sends only what it knows of the living."""
+class OmitsAbsentMembers(Membership):
+    """Compares complete views, but sends only the entries of present members."""
 
-    state_exchange_type = ExchangeOfTheLiving
+    state_exchange_type = ExchangeOmittingAbsentMembers
 
 
-class TrustsItselfAfterAPause(Membership):
-    """Keeps its observations when its process was paused."""
+class KeepsObservationsAfterPause(Membership):
+    """Keeps probes and suspicion deadlines from before a pause of its process."""
 
     def _discard_observations(self) -> None:
         self.counters[ProtocolCounter.PROCESS_PAUSES] += 0
 
 
-class QueueOfOwnSuspicions(UpdateQueue):
-    """Passes on every suspicion as its own, and deaths at a later incarnation."""
+class QueueClaimingSuspicions(UpdateQueue):
+    """Passes on every suspicion as its own, and deaths with a raised incarnation."""
 
     def add_state(self, update: StateUpdate) -> None:
-        """Replace the accuser."""
-        accuser = self._table.own_number if update.accuser != NO_MEMBER else NO_MEMBER
+        """Replace the suspector, and raise the incarnation of deaths."""
+        suspector = self._table.own_number if update.accuser != NO_MEMBER else NO_MEMBER
         incarnation = stamp_incarnation(update.stamp)
         state = stamp_state(update.stamp)
         if state is MemberState.DEAD:
             incarnation += 1
-        super().add_state(StateUpdate(update.number, make_stamp(incarnation, state), accuser))
+        super().add_state(StateUpdate(update.number, make_stamp(incarnation, state), suspector))
 
 
-class ClaimsSuspicionsAsItsOwn(Membership):
-    """Passes on every suspicion as its own, so that one accuser looks like many."""
+class ClaimsOthersSuspicions(Membership):
+    """Passes on every suspicion as its own, so that one suspector looks like many."""
 
-    update_queue_type = QueueOfOwnSuspicions
+    update_queue_type = QueueClaimingSuspicions
 
 
 class PlantedFault(NamedTuple):
-    """A variant and the starting state from which the search has to find its fault."""
+    """A protocol variant and the starting state from which the search must find its fault."""
 
     starting_state: str
     membership_type: type[Membership]
@@ -180,11 +180,11 @@
 PLANTED_FAULTS = (
     PlantedFault("accused", DoesNotRefute),
     PlantedFault("accused", LastUpdateWins),
-    PlantedFault("leaving", SuspectsWhoLeft),
+    PlantedFault("leaving", SuspectsDepartedMembers),
     PlantedFault("killed", InventsIncarnations),
-    PlantedFault("restarted", ForgetsItsEarlierProcess),
-    PlantedFault("cut off", KeepsTheDeadToItself),
-    # Paused before the last probe it is harmless: that probe is sent after the pause.
-    PlantedFault("asleep late", TrustsItselfAfterAPause),
-    PlantedFault("killed", ClaimsSuspicionsAsItsOwn),
+    PlantedFault("restarted", IgnoresEarlierProcess),
+    PlantedFault("cut off", OmitsAbsentMembers),
+    # If the pause comes before the last probe, the fault is harmless: the probe is sent after it.
+    PlantedFault("asleep late", KeepsObservationsAfterPause),
+    PlantedFault("killed", ClaimsOthersSuspicions),
 )
--- a/tests/model/test_event_queue.py
+++ b/tests/model/test_event_queue.py
@@ -1,4 +1,4 @@
-"""The simulated clock moves from event to event."""
+"""Tests of the order of simulated events and of the simulated clock."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from larchhaven.model.event_queue import EventQueue
 
 
-def test_events_run_by_time_and_then_in_the_order_of_scheduling() -> None:
+def test_events_run_in_order_of_time_and_then_of_scheduling() -> None:
     queue = EventQueue()
     ran: list[tuple[int, str]] = []
 
@@ -21,7 +21,7 @@
     assert (queue.now_us, queue.events_run) == (30, 3)
 
 
-def test_event_in_the_past_runs_now() -> None:
+def test_event_scheduled_in_the_past_runs_at_the_current_time() -> None:
     queue = EventQueue()
     queue.run_until(50)
     ran: list[int] = []
--- a/tests/model/test_failure_scenarios.py
+++ b/tests/model/test_failure_scenarios.py
@@ -1,4 +1,7 @@
-"""Failures that are hard to tell apart: deaths, partitions, slowness, pauses, losses, restarts."""
+"""Simulated failures that are hard to distinguish.
+
+They cover deaths, partitions, slow and paused processes, losses and restarts.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +13,7 @@
 from tests.model.harness import run
 from tests.proxy_harness import ROOT
 
-# Each scenario has a fleet of its own; the predicate says what must hold of the result.
+# Each scenario is an experiment on this fleet, with a predicate that its result must fulfil.
 FLEET = "seed: 3 members: 12 zones: 3 "
 
 
@@ -32,29 +35,29 @@
         'seconds: 20 faults { at_seconds: 8 who { numbers: "4" } kill: true }',
         agrees_within(6),
     ),
-    "half of the fleet at once": (
+    "simultaneous death of half of the fleet": (
         'seconds: 40 faults { at_seconds: 8 who { numbers: "0-5" } kill: true }',
         agrees_within(14),
     ),
-    "a cut between zones heals": (
+    "a cut between zones that heals": (
         "seconds: 70 faults { at_seconds: 8 for_seconds: 30 who { zone: 1 } cut {} }",
         converges_within(10),
     ),
-    "one-way cut of one from all": (
+    "a one-way cut from one member to all others": (
         (
             'seconds: 60 faults { at_seconds: 8 for_seconds: 20 who { numbers: "2" }'
             " cut { one_way: true } }"
         ),
         converges_within(10),
     ),
-    "one-way cut of one from another": (
+    "a one-way cut from one member to another": (
         (
             'seconds: 60 faults { at_seconds: 8 who { numbers: "2" }'
             ' cut { to { numbers: "3" } one_way: true } }'
         ),
         lambda r: r.false_deaths == 0 and converges_within(4)(r),
     ),
-    "a cut of two that a third reaches both of": (
+    "a cut between two members that others still reach": (
         'seconds: 60 faults { at_seconds: 8 who { numbers: "2" } cut { to { numbers: "3" } } }',
         lambda r: r.false_deaths == 0 and converges_within(4)(r),
     ),
@@ -73,12 +76,12 @@
     ),
     "a pause of twenty seconds": (
         'seconds: 60 faults { at_seconds: 8 for_seconds: 20 who { numbers: "2" } pause: true }',
-        # It is declared dead once, and no other process is.
+        # It is declared dead once; no other process is declared dead.
         lambda r: (
             [death.number for death in r.false_death_samples] == [2] and converges_within(8)(r)
         ),
     ),
-    "flapping each second": (
+    "a process that restarts each second": (
         (
             'seconds: 60 faults { at_seconds: 8 for_seconds: 0.5 who { numbers: "2" } kill: true'
             " every_seconds: 1 }"
@@ -95,11 +98,11 @@
         ),
         converges_within(6),
     ),
-    "a planned stop": (
+    "a graceful leave": (
         'seconds: 20 faults { at_seconds: 8 who { numbers: "2" } leave: true }',
         lambda r: agrees_within(1)(r) and r.suspicions == 0,
     ),
-    "a lost announcement of leaving": (
+    "a graceful leave whose announcement is lost": (
         (
             'seconds: 40 faults { at_seconds: 7.9 for_seconds: 5 who { numbers: "2" } cut {} }'
             ' faults { at_seconds: 8 who { numbers: "2" } leave: true }'
@@ -113,7 +116,7 @@
         ),
         agrees_within(15),
     ),
-    "every message twice and late": (
+    "every message duplicated with a delay": (
         (
             "seconds: 40 links { doubled_percent: 100 doubled_late_ms: 3000 }"
             ' faults { at_seconds: 8 who { numbers: "2" } kill: true }'
@@ -131,8 +134,12 @@
 
 
 @pytest.mark.parametrize("seed", [2, 4, 7, 8])
-def test_nobody_is_declared_dead_as_the_example_partition_heals(seed: int) -> None:
-    """Guards suspects of a healed partition: the deadline came before the next probe of them."""
+def test_no_false_deaths_when_the_example_partition_heals(seed: int) -> None:
+    """Suspected members are probed again before their deadline.
+
+    Otherwise suspicions from the partition expire just after it heals, before the next probe
+    of the suspected members, and members that are reachable again are declared dead.
+    """
     text = (ROOT / "example" / "model" / "cut.textproto").read_text()
     result = run(text.replace("seed: 1", f"seed: {seed}"))
     assert result.seed == seed
--- a/tests/model/test_network.py
+++ b/tests/model/test_network.py
@@ -1,4 +1,4 @@
-"""The simulated network loses, duplicates and blocks as its conditions and cuts say."""
+"""Tests of losses, duplicates and cuts in the simulated network."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
         network = network_with(LinkConditions(loss_ratio=0.3, burst_us=burst_us))
         lost = [not network.arrival_times(now, 1, 2) for now in range(0, 200_000_000, 10_000)]
         assert 0.27 < sum(lost) / len(lost) < 0.33
-        # After a loss the next one 10 ms later: by chance 0.3; within a burst nearly always.
-        both = sum(a and b for a, b in itertools.pairwise(lost)) / sum(lost)
-        assert (both > 0.85) if burst_us else (0.25 < both < 0.35)
+        # Share of losses followed by another one 10 ms later: 0.3 if independent, near 1 in bursts.
+        repeated = sum(a and b for a, b in itertools.pairwise(lost)) / sum(lost)
+        assert (repeated > 0.85) if burst_us else (0.25 < repeated < 0.35)
 
 
 def test_cut_blocks_one_direction_until_it_heals() -> None:
--- a/tests/model/test_observer.py
+++ b/tests/model/test_observer.py
@@ -1,4 +1,4 @@
-"""What the observer counts as a false death."""
+"""Tests of the observer's rule for false deaths: separated members may declare each other dead."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from larchhaven.model.simulation import Simulation
 
 
-def test_members_count_as_separated_until_an_answer_could_come_after_a_cut() -> None:
+def test_members_stay_separated_until_a_probe_could_be_answered_after_a_cut_heals() -> None:
     network = SimulatedNetwork(LinkConditions(), RandomStreams(1).stream("network"))
     simulation = Simulation(network)
     observer = FleetObserver(simulation, members=3)
@@ -27,7 +27,7 @@
     assert not observer._is_separated(0, 1)
 
 
-def test_a_cut_of_one_direction_separates_nobody() -> None:
+def test_one_way_cut_does_not_separate_members() -> None:
     network = SimulatedNetwork(LinkConditions(), RandomStreams(1).stream("network"))
     observer = FleetObserver(Simulation(network), members=2)
     cut = network.cut_links({0}, {1})
--- a/tests/model/test_replay.py
+++ b/tests/model/test_replay.py
@@ -1,4 +1,4 @@
-"""One seed replays in any process; random streams are independent and repeat."""
+"""Tests of reproducible runs and of independent random streams."""
 
 from __future__ import annotations
 
@@ -26,22 +26,22 @@
 )
 
 
-def test_one_seed_replays_to_the_last_event_in_any_process() -> None:
+def test_seed_gives_the_same_run_in_every_process() -> None:
     result = run(EXPERIMENT)
-    seen = {f"{result.trace_digest} {result.events}"}
+    outputs = {f"{result.trace_digest} {result.events}"}
     for hash_seed in ("1", "2"):
         environment = {**os.environ, "PYTHONHASHSEED": hash_seed, "PYTHONPATH": str(ROOT)}
         command = [sys.executable, "-c", RUN_AND_PRINT, EXPERIMENT]
         completed = subprocess.run(
             command, env=environment, capture_output=True, text=True, check=True
         )
-        seen.add(completed.stdout.strip())
-    assert len(seen) == 1
+        outputs.add(completed.stdout.strip())
+    assert len(outputs) == 1
     other_seed = run(EXPERIMENT.replace("seed: 5", "seed: 6"))
-    assert other_seed.trace_digest not in next(iter(seen))
+    assert other_seed.trace_digest not in next(iter(outputs))
 
 
-def test_streams_are_independent_and_repeat() -> None:
+def test_streams_are_independent_and_reproducible() -> None:
     one, again, other = (RandomStreams(7).stream(purpose) for purpose in ("a", "a", "b"))
     drawn = [one.random() for _ in range(600)]
     assert drawn == [again.random() for _ in range(600)]
--- a/tests/model/test_results.py
+++ b/tests/model/test_results.py
@@ -1,4 +1,4 @@
-"""The JSON of results keeps its keys, so that files of earlier versions stay readable."""
+"""Tests that the JSON keys of results do not change, so that earlier files stay readable."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 )
 
 
-def test_result_has_the_keys_of_stored_files() -> None:
+def test_result_keeps_its_json_keys() -> None:
     result = msgspec.json.decode(RESULT_LINE, type=ExperimentResult)
     assert msgspec.json.encode(result) == RESULT_LINE
     assert result.false_death_samples[0].declared_by == 7
@@ -28,7 +28,7 @@
     assert not result.holds
 
 
-def test_summary_has_the_keys_of_stored_files() -> None:
+def test_summary_keeps_its_json_keys() -> None:
     result = msgspec.json.decode(RESULT_LINE, type=ExperimentResult)
     [cell] = summarise([result, result])
     assert list(msgspec.to_builtins(cell)) == [
@@ -54,7 +54,7 @@
     assert (cell.runs, cell.agreed_fraction, cell.unconverged) == (2, 1.0, 2)
 
 
-def test_search_report_has_its_keys() -> None:
+def test_search_report_keeps_its_json_keys() -> None:
     assert list(msgspec.to_builtins(SearchReport("accused"))) == [
         "scene",
         "states",
--- a/tests/model/test_search.py
+++ b/tests/model/test_search.py
@@ -1,4 +1,4 @@
-"""The search finds no violation in the protocol, and finds each planted fault."""
+"""The search finds no violation in the protocol and detects each planted fault."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 @pytest.mark.parametrize("fault", PLANTED_FAULTS, ids=lambda f: f.membership_type.__name__)
-def test_search_catches_a_planted_fault(fault: PlantedFault) -> None:
+def test_search_detects_planted_fault(fault: PlantedFault) -> None:
     report = search_from(
         fault.starting_state,
         max_depth=5,
--- a/tests/model/test_simulation.py
+++ b/tests/model/test_simulation.py
@@ -1,4 +1,4 @@
-"""Simulated processes pause, are slow, end and overflow as real ones do."""
+"""Tests of pauses, slowness, restarts and full socket buffers of simulated processes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Recorder:
-    """Records what it receives, by its own clock."""
+    """A program that records received datagrams with the time of its own clock."""
 
     def __init__(self) -> None:
         self.due_us = NEVER_US
@@ -30,7 +30,7 @@
 
 
 class Fleet:
-    """Two processes; the first one sends and the second one records."""
+    """Two processes; the first one sends to the second one, which records."""
 
     def __init__(self) -> None:
         conditions = LinkConditions(delay_us=DELAY_US, jitter_us=0.0)
@@ -59,7 +59,7 @@
         return self.programs[-1].received
 
 
-def test_datagram_arrives_after_the_delay_by_the_clock_of_its_receiver() -> None:
+def test_datagram_arrives_after_the_delay_on_the_clock_of_its_receiver() -> None:
     fleet = Fleet()
     outputs: list[tuple[int, object]] = []
     fleet.simulation.observe = lambda process, output: outputs.append((process.number, output))
@@ -69,7 +69,7 @@
     assert outputs == [(fleet.receiver.number, fleet.sender.number)]
 
 
-def test_paused_process_handles_what_has_arrived_when_it_resumes() -> None:
+def test_paused_process_handles_buffered_datagrams_when_it_resumes() -> None:
     fleet = Fleet()
     fleet.simulation.pause_process(fleet.receiver)
     fleet.send(b"a")
@@ -92,7 +92,7 @@
     assert len(fleet.received()) == SOCKET_BUFFER_DATAGRAMS
 
 
-def test_slow_process_takes_its_time_for_each_datagram() -> None:
+def test_slow_process_spends_its_turn_cost_on_each_datagram() -> None:
     fleet = Fleet()
     fleet.receiver.turn_cost_us = 400
     fleet.send(b"a")
--- a/tests/model/test_state_machine.py
+++ b/tests/model/test_state_machine.py
@@ -1,4 +1,4 @@
-"""Random courses of events among four members break no invariant, and views converge after them."""
+"""Random event sequences among four members violate no invariant, and their views converge."""
 
 from __future__ import annotations
 
@@ -28,10 +28,10 @@
 
 
 class FleetMachine(RuleBasedStateMachine):
-    """Four members in any course of deaths, starts, stops, pauses, suspicions and losses.
+    """Four members with random deaths, restarts, leaves, pauses, suspicions and losses.
 
-    Invariants are checked after each step as in the search; at the end the network is healed:
-    all views must become equal and true.
+    Invariants are checked after each step, as in the search. At the end the network is healed: all
+    views must become equal and correct.
     """
 
     def __init__(self) -> None:
@@ -47,13 +47,13 @@
     @precondition(lambda self: self.state.in_flight)
     @rule(
         pick=st.integers(0, 50),
-        what=st.sampled_from(["delivered", "delivered", "duplicated", "lost"]),
+        outcome=st.sampled_from(["delivered", "delivered", "duplicated", "lost"]),
     )
-    def message(self, pick: int, what: str) -> None:
+    def message(self, pick: int, outcome: str) -> None:
         i = pick % len(self.state.in_flight)
-        if what == "lost":
+        if outcome == "lost":
             lose_message(self.state, i)
-        elif what == "duplicated":
+        elif outcome == "duplicated":
             deliver_duplicated_message(self.state, i)
         else:
             deliver_message(self.state, i)
