--- a/larchhaven/__init__.py
+++ b/larchhaven/__init__.py
@@ -1,1 +1,1 @@
-"""Balancer decisions for long-lived connections by least ratio routing."""
+"""A load-balancing proxy for long-lived connections that uses least ratio routing."""
--- a/larchhaven/__main__.py
+++ b/larchhaven/__main__.py
@@ -1,4 +1,4 @@
-"""The program: without arguments it serves, with arguments it is the command line."""
+"""The entry point: without arguments it runs a proxy, otherwise the command line."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 
 def serve() -> int:
-    """Serve until SIGTERM, configured by $EDGE_CONFIG and, if it is set, $EDGE_OPERATOR.
+    """Run a proxy until SIGTERM, configured by $EDGE_CONFIG and, if set, $EDGE_OPERATOR.
 
     Returns:
         The exit code.
     """
-    # The process that reads the operators' file ends before the proxy takes its memory, so the
-    # proxy is imported only after that.
+    # The operators' file is read by a child process. The proxy is imported after the child has
+    # ended, so that both are never in memory at the same time.
     reading = None
     operator_path = os.environ.get("EDGE_OPERATOR", "")
     if operator_path:
@@ -45,16 +45,23 @@
     except OSError as error:
         print(f"larchhaven: cannot listen: {error}", file=sys.stderr)
         return EXIT_UNUSABLE
-    gc.freeze()  # what was loaded at the start stays to the end
+    gc.freeze()  # objects loaded at start-up live until the end; exclude them from collections
     proxy.run()
     return EXIT_SERVED
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Serve if there are no arguments, else run the sub-command; return the exit code."""
+    """Run the proxy or a sub-command.
+
+    Args:
+        arguments: Command-line arguments without the program name; ``sys.argv`` if None.
+
+    Returns:
+        The exit code.
+    """
     given = list(sys.argv[1:] if arguments is None else arguments)
     if given in SERVE_ARGUMENTS:
-        return serve()  # without the command line's library, which a proxy has no use for
+        return serve()  # without loading typer, which a proxy does not need
 
     from larchhaven.cli.app import main as run_command_line
 
--- a/larchhaven/cli/__init__.py
+++ b/larchhaven/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: ``app`` declares the sub-commands, each other module does the work of one."""
+"""The command line: ``app`` declares the sub-commands, and the other modules implement them."""
--- a/larchhaven/cli/app.py
+++ b/larchhaven/cli/app.py
@@ -1,4 +1,4 @@
-"""The sub-commands with their options and help; the modules beside this one do their work."""
+"""Declares the sub-commands, their options and help; the other modules implement them."""
 
 from __future__ import annotations
 
@@ -17,21 +17,23 @@
     name="larchhaven",
     no_args_is_help=False,
     pretty_exceptions_enable=False,
-    help="A load-balancing proxy for long-lived connections. Without a sub-command it serves."
-    " Exit codes: 0 it holds, 1 it does not, 2 the input cannot be used.",
+    help="A load-balancing proxy for long-lived connections. Without a sub-command it runs"
+    " one proxy. Exit codes: 0 if the result holds, 1 if it does not, 2 if the input is unusable.",
 )
 lab = typer.Typer(
-    help="Play a scenario around real proxies on loopback sockets, and check the invariants."
+    help="Play scenarios against real proxies on loopback sockets, and check the invariants."
 )
 app.add_typer(lab, name="lab")
 model = typer.Typer(
-    help="Play a fleet in simulated time: membership at sizes that sockets do not reach."
+    help="Simulate the membership of a proxy fleet, at sizes that real sockets cannot reach."
 )
 app.add_typer(model, name="model")
 
 Config = Annotated[
     Path | None,
-    typer.Option(help="The platform's JSON file.", envvar="EDGE_CONFIG", show_envvar=True),
+    typer.Option(
+        help="The platform's configuration file, JSON.", envvar="EDGE_CONFIG", show_envvar=True
+    ),
 ]
 Operator = Annotated[
     Path | None,
@@ -39,12 +41,12 @@
         help="The operators' file, protobuf text.", envvar="EDGE_OPERATOR", show_envvar=True
     ),
 ]
-Json = Annotated[bool, typer.Option("--json", help="Write JSON for a program to read.")]
+Json = Annotated[bool, typer.Option("--json", help="Print JSON.")]
 
 
 @app.command()
 def serve(config: Config = None, operator: Operator = None) -> None:
-    """Run one proxy until SIGTERM; SIGHUP reloads its files.
+    """Run one proxy until SIGTERM; SIGHUP reloads the configuration and the operators' file.
 
     Example: larchhaven serve --config example/config.json --operator deploy/operator.textproto
     """
@@ -54,13 +56,13 @@
     if operator is not None:
         environment["EDGE_OPERATOR"] = str(operator)
     sys.stdout.flush()
-    # A new program, so that the proxy does not keep the command line's library in memory.
+    # Replaces this process, so that the proxy does not keep typer in memory.
     os.execve(sys.executable, [sys.executable, "-m", "larchhaven"], environment)
 
 
 @app.command()
 def run(config: Config = None, operator: Operator = None) -> None:
-    """Run one proxy, as serve does, under the name that the deploy file uses."""
+    """Run one proxy; an alias of serve that the deploy file uses."""
     serve(config, operator)
 
 
@@ -76,10 +78,10 @@
     ] = None,
     json: Json = False,
 ) -> None:
-    """Check the platform's file and the operators' file, and report all that is wrong at once.
+    """Check the platform's file and the operators' file, and report all errors at once.
 
-    Each complaint has file, line and column, and says what to write instead. With both files the
-    sum of the caps is checked against the memory that is granted.
+    Each complaint names the file, the line and the column, and says what to write instead. If both
+    files are given, the sum of the caps is also checked against the granted memory.
 
     Example: larchhaven check --config example/config.json --operator deploy/operator.textproto
     """
@@ -91,17 +93,21 @@
 @app.command()
 def memory(
     live: Annotated[
-        str | None, typer.Option(help="HOST:PORT of a running proxy's mgmt: show its account.")
+        str | None,
+        typer.Option(
+            help="Management address, HOST:PORT, of a running proxy whose account is shown."
+        ),
     ] = None,
-    grant: Annotated[float, typer.Option(help="The memory granted, in MB.", min=8)] = 192.0,
-    sockets: Annotated[int, typer.Option(help="The descriptors granted.", min=64)] = 1024,
+    grant: Annotated[float, typer.Option(help="Granted memory in MB.", min=8)] = 192.0,
+    sockets: Annotated[int, typer.Option(help="Granted descriptors.", min=64)] = 1024,
     start: Annotated[
-        float | None, typer.Option(help="The program's own size in MB; measured if left out.")
+        float | None,
+        typer.Option(help="Resident size of the program itself, in MB; measured if omitted."),
     ] = None,
     operator: Operator = None,
     json: Json = False,
 ) -> None:
-    """Show the plan of memory caps for a grant, or the live account of a running proxy.
+    """Show the memory plan for a grant, or the live memory account of a running proxy.
 
     Examples: larchhaven memory --grant 64 --sockets 512
               larchhaven memory --live 127.0.0.1:9100
@@ -115,14 +121,16 @@
 
 @app.command()
 def members(
-    address: Annotated[str, typer.Argument(help="HOST:PORT of a running proxy's mgmt.")],
-    watch: Annotated[bool, typer.Option(help="Show the view again whenever it changes.")] = False,
+    address: Annotated[
+        str, typer.Argument(help="Management address, HOST:PORT, of a running proxy.")
+    ],
+    watch: Annotated[bool, typer.Option(help="Print the view again whenever it changes.")] = False,
     json: Json = False,
 ) -> None:
-    """Show the membership view of one proxy: state of each member, since when, suspected by whom.
+    """Show the membership view of one proxy: each member's state, its duration and the suspectors.
 
-    It holds if the view is synchronized, nobody is suspected or dead, and the proxy is not on the
-    minority side of a partition.
+    The result holds if the view is synchronized, no member is suspected or dead, and the proxy is
+    not on the minority side of a partition.
 
     Example: larchhaven members 127.0.0.1:9100 --watch
     """
@@ -132,7 +140,7 @@
 
 
 class BuiltInScenario(StrEnum):
-    """The small scenarios that come with the program."""
+    """The scenarios that are shipped with the program."""
 
     HALLS = "halls"
     CHARTS = "charts"
@@ -142,15 +150,15 @@
 def try_scenario(
     scenario: Annotated[
         BuiltInScenario,
-        typer.Argument(help="halls: two classes. charts: two members with quotas."),
+        typer.Argument(help="halls: two request classes. charts: two tenants with quotas."),
     ] = BuiltInScenario.HALLS,
     json: Json = False,
 ) -> None:
-    """Play a small scenario around real proxies on loopback, and report what was served.
+    """Play a small built-in scenario against real proxies on loopback, and report its outcome.
 
-    Nothing has to be prepared. The halls have two proxies that are peers, and a server that
-    drains. The charts have one proxy, two members of which one asks for more than its quota,
-    long-lived connections and a server that crashes and comes back in slow start.
+    No preparation is needed. The scenario halls has two proxies that are peers, and a server that
+    drains. The scenario charts has one proxy, long-lived connections, two tenants of which one
+    exceeds its quota, and a server that crashes and comes back in slow start.
 
     Example: larchhaven try charts
     """
@@ -162,19 +170,21 @@
 @lab.command("play")
 def lab_play(
     scenario: Annotated[
-        Path, typer.Argument(help="A scenario, such as example/lab/morning.textproto.")
+        Path, typer.Argument(help="Scenario file, such as example/lab/morning.textproto.")
     ],
     operator: Operator = None,
     record: Annotated[
-        Path | None, typer.Option(help="Write what the stand-ins observed, as JSON lines.")
+        Path | None, typer.Option(help="Write the observed events to this file, as JSON lines.")
     ] = None,
-    seed: Annotated[int | None, typer.Option(help="Seed in place of the scenario's.")] = None,
+    seed: Annotated[int | None, typer.Option(help="Overrides the scenario's seed.")] = None,
     json: Json = False,
 ) -> None:
     """Play a scenario and check the invariants.
 
-    The invariants: one final answer, drains, one execution at a time, no cold server overloaded,
-    MOVE before a loss, and the size of datagrams.
+    The invariants: each request gets one final answer, draining servers get no new requests after
+    the grace period, a request executes on one server at a time, servers in slow start are not
+    overloaded, clients get MOVE before a connection is closed, and datagrams stay within their
+    maximum size.
 
     Example: larchhaven lab play example/lab/morning.textproto
     """
@@ -185,10 +195,10 @@
 
 @lab.command("check")
 def lab_check(
-    records: Annotated[Path, typer.Argument(help="Records that 'lab play --record' wrote.")],
+    records: Annotated[Path, typer.Argument(help="Events written by 'lab play --record'.")],
     json: Json = False,
 ) -> None:
-    """Check the invariants on records that were written before."""
+    """Check the invariants on recorded events."""
     from larchhaven.cli import lab as implementation
 
     raise typer.Exit(implementation.check_file(records, json))
@@ -196,25 +206,29 @@
 
 @app.command()
 def soak(
-    minutes: Annotated[float, typer.Option(help="How long the churn lasts.", min=0)] = 40.0,
+    minutes: Annotated[
+        float, typer.Option(help="Duration of the churn in minutes; 0 for no churn.", min=0)
+    ] = 40.0,
     abuse: Annotated[
         list[str] | None,
-        typer.Option(help="An abuse to play after the churn; may be given again; or 'all'."),
+        typer.Option(help="Abuse to play after the churn, or 'all'; may be repeated."),
     ] = None,
-    abuse_minutes: Annotated[float, typer.Option(help="How long each abuse lasts.", min=0.1)] = 3.0,
-    arrivals: Annotated[float, typer.Option(help="New connections a second.", min=0.1)] = 54.0,
-    memory_mb: Annotated[float, typer.Option(help="What the proxy is granted.", min=8)] = 32.0,
-    sockets: Annotated[int, typer.Option(help="The descriptors granted.", min=64)] = 1024,
+    abuse_minutes: Annotated[
+        float, typer.Option(help="Duration of each abuse in minutes.", min=0.1)
+    ] = 3.0,
+    arrivals: Annotated[float, typer.Option(help="New connections per second.", min=0.1)] = 54.0,
+    memory_mb: Annotated[float, typer.Option(help="Granted memory in MB.", min=8)] = 32.0,
+    sockets: Annotated[int, typer.Option(help="Granted descriptors.", min=64)] = 1024,
     seed: int = 1,
     out: Annotated[Path, typer.Option(help="Folder for samples, verdicts and the reports.")] = Path(
         "found/soak"
     ),
     json: Json = False,
 ) -> None:
-    """Play churn and abuses on the test bed, and judge whether memory stays flat and caps hold.
+    """Run churn and abuses on the test bed, and judge whether memory stays flat and within caps.
 
-    The verdict: the slope of the resident and of the accounted size after warm-up with its 95%
-    interval, under 1% an hour with 0 inside; no invariant violated; no cap passed.
+    The result holds if no invariant is violated, no cap is exceeded, and the resident and the
+    accounted size are flat after warm-up: a slope under 1% per hour, with 0 in its 95% interval.
 
     Example: larchhaven soak --minutes 5 --abuse never-read --abuse surge --abuse-minutes 1
     """
@@ -230,16 +244,16 @@
 @model.command("run")
 def model_run(
     experiment: Annotated[
-        Path, typer.Argument(help="An experiment, such as example/model/death.textproto.")
+        Path, typer.Argument(help="Experiment file, such as example/model/death.textproto.")
     ],
-    seed: Annotated[int | None, typer.Option(help="Seed in place of the experiment's.")] = None,
+    seed: Annotated[int | None, typer.Option(help="Overrides the experiment's seed.")] = None,
     json: Json = False,
 ) -> None:
-    """Play one experiment.
+    """Run one experiment.
 
-    It holds if every death is agreed upon, nobody is wrongly declared dead, and all views converge.
-    One seed replays to the last event in any process: the trace that is printed is a digest of all
-    messages.
+    The result holds if all members agree on every death, no live member is declared dead, and all
+    views converge. Runs with the same seed are identical in every process; the printed trace is a
+    digest of all messages.
 
     Example: larchhaven model run example/model/death.textproto --seed 7
     """
@@ -250,22 +264,28 @@
 
 @model.command("sweep")
 def model_sweep(
-    experiment: Annotated[Path, typer.Argument(help="The experiment that is varied.")],
+    experiment: Annotated[Path, typer.Argument(help="Experiment file to vary.")],
     members: Annotated[
-        str, typer.Option(help="Sizes, such as 8,50,200; the experiment's if left out.")
+        str, typer.Option(help="Fleet sizes, such as 8,50,200; the experiment's size if omitted.")
     ] = "",
-    loss: Annotated[str, typer.Option(help="Percentages of datagrams lost, such as 0,5,30.")] = "",
+    loss: Annotated[str, typer.Option(help="Datagram loss in percent, such as 0,5,30.")] = "",
     detector: Annotated[
-        list[str] | None, typer.Option(help="membership or heartbeats; may be given again.")
+        list[str] | None,
+        typer.Option(help="Failure detector, membership or heartbeats; may be repeated."),
     ] = None,
     seeds: Annotated[
-        int, typer.Option(help="Number of seeds, from the experiment's on.", min=1)
+        int,
+        typer.Option(
+            help="Number of consecutive seeds, starting with the experiment's seed.", min=1
+        ),
     ] = 8,
-    jobs: Annotated[int, typer.Option(help="Processes at a time; 0: as many as cores.", min=0)] = 0,
+    jobs: Annotated[
+        int, typer.Option(help="Number of worker processes; 0 for one per core.", min=0)
+    ] = 0,
     out: Annotated[Path, typer.Option(help="Folder for the results.")] = Path("found/model"),
     json: Json = False,
 ) -> None:
-    """Play an experiment at several sizes and loss ratios over seeds, and show means and intervals.
+    """Run an experiment at several sizes and loss ratios, and print means and intervals over seeds.
 
     Example: larchhaven model sweep example/model/death.textproto --members 8,50 --loss 0,5
     """
@@ -278,12 +298,12 @@
 
 @model.command("plot")
 def model_plot(
-    results: Annotated[Path, typer.Argument(help="The folder that a sweep has written.")],
-    out: Annotated[Path, typer.Option(help="The HTML file, plots inside.")] = Path(
+    results: Annotated[Path, typer.Argument(help="Folder with the results of a sweep.")],
+    out: Annotated[Path, typer.Option(help="HTML file to write, with embedded plots.")] = Path(
         "found/model.html"
     ),
 ) -> None:
-    """Plot the results of a sweep, as one HTML file.
+    """Plot the results of a sweep in one HTML file.
 
     Example: larchhaven model plot found/model --out found/model.html
     """
@@ -295,14 +315,16 @@
 @model.command("search")
 def model_search(
     scene: Annotated[
-        list[str] | None, typer.Option(help="Initial scene; may be given again; all if left out.")
+        list[str] | None, typer.Option(help="Starting state; may be repeated; all if omitted.")
     ] = None,
     size: Annotated[int, typer.Option(help="Number of members.", min=3, max=5)] = 3,
     depth: Annotated[int, typer.Option(help="Maximum number of steps.", min=0)] = 5,
-    states: Annotated[int, typer.Option(help="Maximum number of states of a scene.", min=1)] = 5000,
+    states: Annotated[
+        int, typer.Option(help="Maximum number of states per starting state.", min=1)
+    ] = 5000,
     json: Json = False,
 ) -> None:
-    """Search every order, loss and duplication of messages among a few members, up to a depth.
+    """Check every order, loss and duplication of messages among a few members, up to a depth.
 
     Example: larchhaven model search --scene accused --depth 7 --states 20000
     """
@@ -312,10 +334,10 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Run the sub-command that the arguments name.
+    """Run the sub-command given by the arguments.
 
     Args:
-        arguments: The arguments without the name of the program.
+        arguments: Command-line arguments without the program name.
 
     Returns:
         The exit code.
--- a/larchhaven/cli/calls.py
+++ b/larchhaven/cli/calls.py
@@ -1,4 +1,4 @@
-"""Calls to the management address of a running proxy."""
+"""HTTP requests to the management address of a running proxy."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 class CallError(LarchhavenError):
-    """A call to a proxy's management address failed.
+    """A request to a proxy's management address failed.
 
     Attributes:
-        address: The address as it was given.
-        reason: What went wrong, as a sentence.
+        address: The address as given by the user.
+        reason: Description of the failure.
     """
 
     def __init__(self, address: str, reason: str) -> None:
@@ -25,18 +25,21 @@
 
 
 def fetch_body(address: str, path: str) -> bytes:
-    """Return the body of the answer to a GET call.
+    """Send a GET request and return the response body.
 
     Args:
-        address: HOST:PORT of a proxy's management.
-        path: Path of the call.
+        address: Management address of a proxy, HOST:PORT.
+        path: Path of the request.
+
+    Returns:
+        The response body.
 
     Raises:
-        CallError: The address is not valid, nobody answers there, or the status is not 200.
+        CallError: The address is invalid, the request failed, or the status is not 200.
     """
     host, _, port = address.rpartition(":")
     if not port.isdigit() or not host:
-        reason = f"the address must be HOST:PORT of a proxy's mgmt, not {address!r}"
+        reason = f"the management address must be HOST:PORT, not {address!r}"
         raise CallError(address, reason)
     connection = http.client.HTTPConnection(host, int(port), timeout=TIMEOUT_S)
     try:
@@ -48,5 +51,5 @@
     finally:
         connection.close()
     if response.status != HTTPStatus.OK:
-        raise CallError(address, f"{address} answers {response.status}")
+        raise CallError(address, f"{address}: GET {path} returned status {response.status}")
     return body
--- a/larchhaven/cli/check.py
+++ b/larchhaven/cli/check.py
@@ -1,4 +1,4 @@
-"""``larchhaven check``: all that is wrong with the platform's and the operators' file, at once."""
+"""``larchhaven check``: reports all errors in the platform's and the operators' file at once."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FileComplaint:
-    """A complaint and the file that it is about."""
+    """A complaint with the file that it refers to."""
 
     path: Path
     complaint: Complaint
@@ -32,26 +32,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """What the platform's file grants a proxy."""
+    """The memory and the sockets that the platform's file grants a proxy."""
 
     memory_bytes: int
     sockets: int
 
 
 def run(config: Path | None, operator: Path | None, write: Path | None, as_json: bool) -> int:
-    """Check files and print what is wrong with them.
+    """Check files and print the complaints.
 
     Args:
-        config: The platform's file, if it is checked.
-        operator: The operators' file, if it is checked.
-        write: Where to write the operators' settings as JSON if nothing is wrong, if anywhere.
+        config: The platform's file, if it is to be checked.
+        operator: The operators' file, if it is to be checked.
+        write: File to which the operators' settings are written as JSON if there are no complaints.
         as_json: Whether to print JSON.
 
     Returns:
         The exit code.
     """
     if config is None and operator is None:
-        print("larchhaven check: name --config, --operator or both", file=sys.stderr)
+        print("larchhaven check: write --config, --operator or both", file=sys.stderr)
         return ExitCode.UNUSABLE_INPUT
     found: list[FileComplaint] = []
     grant: Grant | None = None
@@ -82,7 +82,7 @@
 
 
 def _check_platform_file(config: Path) -> tuple[list[Complaint], Grant | None]:
-    """Return what is wrong with the platform's file, and what it grants if it can be read."""
+    """Return the complaints about the platform's file, and its grant if the file is readable."""
     from larchhaven.net.configuration import ConfigurationError, load_configuration
 
     try:
@@ -92,16 +92,22 @@
     limits = configuration.limits
     complaints = []
     if limits.memory_mb < MIN_MEMORY_MB:
-        text = f"limits.memory_mb is {limits.memory_mb:g}: write {RECOMMENDED_MEMORY_MB} or more"
+        text = (
+            f"limits.memory_mb is {limits.memory_mb:g}, below the minimum of {MIN_MEMORY_MB}:"
+            f" write {RECOMMENDED_MEMORY_MB} or more"
+        )
         complaints.append(Complaint.at(WHOLE_FILE, text))
     if limits.sockets < MIN_SOCKETS:
-        text = f"limits.sockets is {limits.sockets}: write {RECOMMENDED_SOCKETS} or more"
+        text = (
+            f"limits.sockets is {limits.sockets}, below the minimum of {MIN_SOCKETS}:"
+            f" write {RECOMMENDED_SOCKETS} or more"
+        )
         complaints.append(Complaint.at(WHOLE_FILE, text))
     return complaints, Grant(int(limits.memory_mb * plan.BYTES_PER_MB), limits.sockets)
 
 
 def _locate_error(config: Path, error: str) -> Complaint:
-    """Return an error about the platform's file with the place that it names."""
+    """Return a complaint for an error in the platform's file, with the position it refers to."""
     try:
         position = find_position(config.read_bytes(), error)
     except OSError:
--- a/larchhaven/cli/exit_codes.py
+++ b/larchhaven/cli/exit_codes.py
@@ -1,4 +1,4 @@
-"""The exit codes of all sub-commands."""
+"""Exit codes shared by all sub-commands."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ExitCode(IntEnum):
-    """What a sub-command found."""
+    """The result of a sub-command."""
 
     HOLDS = 0
     DOES_NOT_HOLD = 1
@@ -14,5 +14,5 @@
 
 
 def exit_code_for(holds: bool) -> ExitCode:
-    """Return the exit code for a verdict."""
+    """Return the exit code for a verdict that holds or does not."""
     return ExitCode.HOLDS if holds else ExitCode.DOES_NOT_HOLD
--- a/larchhaven/cli/json_positions.py
+++ b/larchhaven/cli/json_positions.py
@@ -1,4 +1,4 @@
-"""Finds the place in a JSON file that an error about its content names."""
+"""Finds the position in a JSON file that an error message about its content refers to."""
 
 from __future__ import annotations
 
@@ -7,17 +7,21 @@
 from larchhaven.operator.settings import WHOLE_FILE, TextPosition
 
 _BYTE_POSITION = re.compile(r"byte (\d+)")
-# A path as msgspec writes it, such as $.limits.memory_mb, or names at the start of a sentence.
+# A path as written by msgspec, such as $.limits.memory_mb.
 _JSON_PATH = re.compile(r"\$((?:\.\w+|\[[^\]]*\])+)")
+# A path at the start of the message, such as limits.memory_mb.
 _LEADING_NAMES = re.compile(r"^((?:\w+\.)*\w+) ")
 
 
 def find_position(content: bytes, error: str) -> TextPosition:
-    """Return the place that an error names by a byte's position or by a path of names.
+    """Return the position that an error message gives as a byte offset or as a path of field names.
 
     Args:
-        content: The file.
-        error: Text of the error.
+        content: Content of the file.
+        error: The error message.
+
+    Returns:
+        The position, or ``WHOLE_FILE`` if the message gives none.
     """
     offset = _find_offset(content, error)
     if offset is None:
--- a/larchhaven/cli/lab.py
+++ b/larchhaven/cli/lab.py
@@ -1,4 +1,4 @@
-"""``larchhaven lab``: plays scenarios on the test bed and checks the invariants on records."""
+"""``larchhaven lab``: plays scenarios on the test bed and checks invariants on event records."""
 
 from __future__ import annotations
 
@@ -28,23 +28,23 @@
 
 
 class RecordFileError(LarchhavenError):
-    """A line of a file of records is not a record.
+    """A line of a record file is not a valid event record.
 
     Attributes:
-        path: The file.
-        line: Number of the line, from 1.
-        reason: What is wrong with it.
+        path: The record file.
+        line: Line number, from 1.
+        reason: Why the line is invalid.
     """
 
     def __init__(self, path: Path, line: int, reason: str) -> None:
-        super().__init__(f"{path}:{line}: not a record: {reason}")
+        super().__init__(f"{path}:{line}: not an event record: {reason}")
         self.path = path
         self.line = line
         self.reason = reason
 
 
 def show_progress(player: ScenarioPlayer) -> None:
-    """Keep one line up to date on a terminal; print nothing elsewhere."""
+    """Update a progress line on stderr if it is a terminal."""
     if not sys.stderr.isatty():
         return
     deployment = player.deployment
@@ -64,10 +64,10 @@
     """Play a scenario and print its outcome.
 
     Args:
-        path: The scenario.
-        operator: The proxies' operators' file, if any.
-        record: Where to write the records, if anywhere.
-        seed: Seed in place of the scenario's, if any.
+        path: The scenario file.
+        operator: The operators' file for the proxies, if any.
+        record: File to which the event records are written, if any.
+        seed: Seed that overrides the scenario's, if any.
         as_json: Whether to print JSON.
 
     Returns:
@@ -81,7 +81,7 @@
     try:
         outcome = _play(scenario, operator, record)
     except ProxyNotStartedError as error:
-        print(f"the proxy did not start:\n{error.log}", file=sys.stderr)
+        print(f"larchhaven lab: a proxy did not start; its log:\n{error.log}", file=sys.stderr)
         return ExitCode.UNUSABLE_INPUT
     except OSError as error:
         print(f"larchhaven lab: {error}", file=sys.stderr)
@@ -94,7 +94,7 @@
 
 
 def _read_scenario(path: Path) -> Scenario | None:
-    """Read a scenario; print what is wrong with it and return None if anything is."""
+    """Read a scenario; print complaints and return None if it is invalid."""
     try:
         scenario, complaints = load_scenario(path.read_text("utf-8"))
     except (OSError, UnicodeDecodeError) as error:
@@ -121,48 +121,52 @@
 def _print_outcome(outcome: ScenarioOutcome) -> None:
     print(f"{outcome.name}, seed {outcome.seed}: {outcome.duration_s:g} s")
     _print_classes(outcome)
-    for name, words in outcome.tenant_answers.items():
-        requests = sum(words.values())
-        served = words.get("UP", 0)
-        print(f"  of {name}: {served} of {requests} served ({served / requests:.0%})")
+    for name, answer_counts in outcome.tenant_answers.items():
+        requests = sum(answer_counts.values())
+        served = answer_counts.get("UP", 0)
+        print(f"  tenant {name}: {served} of {requests} requests served ({served / requests:.0%})")
     if outcome.samples:
         peak_bytes = max(sample.resident_bytes for sample in outcome.samples)
-        print(f"  a proxy's memory at most {peak_bytes / BYTES_PER_MB:.1f} MB")
+        print(f"  peak resident size of a proxy: {peak_bytes / BYTES_PER_MB:.1f} MB")
     _print_violations(outcome.violations)
     for name in outcome.crashed_proxies:
-        print(f"  crashed: {name}")
+        print(f"  proxy crashed: {name}")
     for error in outcome.errors:
         print(f"  {error}")
     print("holds" if outcome.holds else "does not hold")
 
 
 def _print_classes(outcome: ScenarioOutcome) -> None:
-    for name, found in outcome.classes.items():
-        answers = ", ".join(f"{word} {count}" for word, count in sorted(found.answers.items()))
-        ends = f"migrated {found.migrations}, lost {found.lost_connections}"
-        print(f"  {name}: {found.requests} requests: {answers}; {ends}")
-        if found.setup_p50_ms is not None:
-            times = f"{found.setup_p50_ms} ms (median), {found.setup_p99_ms} ms (p99)"
-            print(f"    established in {times}")
+    for name, class_outcome in outcome.classes.items():
+        answers = ", ".join(
+            f"{word} {count}" for word, count in sorted(class_outcome.answers.items())
+        )
+        ends = f"migrated {class_outcome.migrations}, lost {class_outcome.lost_connections}"
+        print(f"  {name}: {class_outcome.requests} requests: {answers}; {ends}")
+        if class_outcome.setup_p50_ms is not None:
+            times = (
+                f"{class_outcome.setup_p50_ms} ms (median), {class_outcome.setup_p99_ms} ms (p99)"
+            )
+            print(f"    connection setup: {times}")
 
 
 def _print_violations(violations: Sequence[Violation]) -> None:
     for violation in violations[:MAX_SHOWN_VIOLATIONS]:
         print(f"  {violation.invariant}: {violation.description}")
     if len(violations) > MAX_SHOWN_VIOLATIONS:
-        print(f"  and {len(violations) - MAX_SHOWN_VIOLATIONS} more")
+        print(f"  and {len(violations) - MAX_SHOWN_VIOLATIONS} more violations")
 
 
 def try_scenario(name: str, as_json: bool) -> int:
-    """Play one of the small scenarios that come with the program; return the exit code."""
+    """Play a scenario that is shipped with the program; return the exit code."""
     return play_file(BUILT_IN_SCENARIOS / f"{name}.textproto", None, None, None, as_json)
 
 
 def check_file(path: Path, as_json: bool) -> int:
-    """Check the invariants on records in a file and print the violations.
+    """Check the invariants on recorded events and print the violations.
 
     Args:
-        path: The records, as ``lab play --record`` wrote them.
+        path: A record file written by ``lab play --record``.
         as_json: Whether to print JSON.
 
     Returns:
--- a/larchhaven/cli/members.py
+++ b/larchhaven/cli/members.py
@@ -1,4 +1,4 @@
-"""``larchhaven members``: which of the other proxies are present, as one running proxy sees it."""
+"""``larchhaven members``: prints the membership view of a running proxy."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 
 
 def show(address: str, watch: bool, as_json: bool) -> int:
-    """Print a proxy's view, once or each time it changes.
+    """Print the membership view of a proxy, once or whenever it changes.
 
     Args:
-        address: HOST:PORT of the proxy's management.
-        watch: Whether to go on until interrupted.
-        as_json: Whether to print the proxy's answer as it is.
+        address: Management address of the proxy, HOST:PORT.
+        watch: Whether to continue until interrupted.
+        as_json: Whether to print the JSON response of the proxy unchanged.
 
     Returns:
-        The exit code: 0 if the view is synchronized, nobody is suspected or dead, and the proxy is
-        not on the minority side of a partition; 1 if not; 2 if the proxy did not answer.
+        The exit code: 0 if the view is synchronized, no member is suspected or dead, and the proxy
+        is not on the minority side of a partition; 1 otherwise; 2 if the request failed.
     """
     last_shown: tuple[object, ...] | None = None
     while True:
@@ -41,7 +41,7 @@
             print(f"larchhaven members: {error}", file=sys.stderr)
             return ExitCode.UNUSABLE_INPUT
         exit_code = exit_code_for(_is_healthy(report))
-        shown = _significant_part(report)
+        shown = _watched_fields(report)
         if shown != last_shown:
             if as_json:
                 print(body.decode(), flush=True)
@@ -56,8 +56,8 @@
             return exit_code
 
 
-def _significant_part(report: MembershipReport) -> tuple[object, ...]:
-    """Return what has to change for the report to be printed again."""
+def _watched_fields(report: MembershipReport) -> tuple[object, ...]:
+    """Return the fields whose change causes the report to be printed again."""
     members = [
         (member.number, member.state, member.incarnation, member.accusers)
         for member in report.members
@@ -76,39 +76,39 @@
 
 def _print_report(report: MembershipReport) -> None:
     if not report.is_enabled:
-        print(f"off: {report.disabled_reason}")
+        print(f"membership is off: {report.disabled_reason}")
         return
     _print_summary(report)
     print(_HEADER)
     for member in report.members:
-        _print_member(member, is_asked=member.number == report.own_number)
-    unheard_count = report.table_size - len(report.members)
-    if unheard_count:
-        print(f"{unheard_count} never heard of")
+        _print_member(member, is_reporter=member.number == report.own_number)
+    unknown_count = report.table_size - len(report.members)
+    if unknown_count:
+        print(f"members not known yet: {unknown_count}")
     rejected = ", ".join(f"{reason} {count}" for reason, count in report.rejected.items())
     if rejected:
         print(f"datagrams rejected: {rejected}")
 
 
 def _print_summary(report: MembershipReport) -> None:
-    side = f"{report.partition_side} of {report.agreed_count} that last agreed"
+    side = f"{report.partition_side} of the {report.agreed_count} members last agreed on"
     summary = f"{report.present_count} of {report.table_size} present, partition side: {side}"
     if not report.is_synchronized:
         summary += ", not synchronized: no answer since the start or the last pause of the proxy"
     print(summary)
     if report.health_score:
         factor = report.health_score + 1
-        print(f"local health score {report.health_score} of 8: probes take {factor} times as long")
+        print(f"local health score {report.health_score} of 8: probes take {factor}x as long")
     if report.lost_zones:
         print(f"zones without a present member: {', '.join(map(str, report.lost_zones))}")
 
 
-def _print_member(member: MemberReport, *, is_asked: bool) -> None:
+def _print_member(member: MemberReport, *, is_reporter: bool) -> None:
     zone = "" if member.zone is None else str(member.zone)
     name = member.name.encode("unicode_escape").decode()
-    accusers = ", ".join(str(number) for number in member.accusers)
-    note = " (this one)" if is_asked else ""
+    suspectors = ", ".join(str(number) for number in member.accusers)
+    note = " (this one)" if is_reporter else ""
     print(
         f"{member.number:>4}  {name:<24}  {zone:>4}  {member.state:<8}"
-        f"  {member.learned_ago_s:>8.1f}s  {member.incarnation:>11}  {accusers}{note}"
+        f"  {member.learned_ago_s:>8.1f}s  {member.incarnation:>11}  {suspectors}{note}"
     )
--- a/larchhaven/cli/memory.py
+++ b/larchhaven/cli/memory.py
@@ -1,4 +1,4 @@
-"""``larchhaven memory``: the memory plan for a grant, and the live account of a running proxy."""
+"""``larchhaven memory``: prints the memory plan for a grant, or the account of a running proxy."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from larchhaven.memory.purposes import PURPOSE_DESCRIPTIONS, MemoryPurpose, caps_by_purpose
 from larchhaven.net.admin.memory_accounting import MemoryState
 
-# A connection has two sockets, each with its end: the client's and the server's.
+# A connection has one stream to the client and one to the server, each with a socket.
 STREAMS_PER_CONNECTION = 2
 
 _PRINT_PROGRAM_BYTES = """
@@ -26,7 +26,18 @@
 
 
 class PlanOutput(msgspec.Struct):
-    """The memory plan as JSON, all sizes in bytes."""
+    """The memory plan as printed with ``--json``; all sizes are in bytes.
+
+    Attributes:
+        grant: Granted memory.
+        start: Resident size of the program itself.
+        margin: Memory that stays unplanned.
+        planned: Sum of the caps.
+        short: Whether the grant is below the minimum.
+        socket_bound: Maximum size of the kernel buffer of a socket in each direction.
+        connections_fit: Number of established connections that fit.
+        caps: Cap of each purpose, by its key.
+    """
 
     grant: int
     start: int
@@ -39,7 +50,7 @@
 
 
 def measure_program_bytes() -> int:
-    """Return the resident size of the program itself, by loading it in a separate process."""
+    """Measure the resident size of the program itself, by loading it in a separate process."""
     completed = subprocess.run(
         [sys.executable, "-c", _PRINT_PROGRAM_BYTES], capture_output=True, text=True, check=True
     )
@@ -56,9 +67,9 @@
     """Print the memory plan for a grant.
 
     Args:
-        grant_mb: The memory granted.
-        sockets: The descriptors granted.
-        program_mb: The program's own size; measured here if None.
+        grant_mb: Granted memory.
+        sockets: Granted descriptors.
+        program_mb: Resident size of the program itself; measured if None.
         operator: The operators' file with caps, if any.
         as_json: Whether to print JSON.
 
@@ -68,7 +79,7 @@
     operator_caps = _read_caps(operator) if operator is not None else {}
     if operator_caps is None:
         return ExitCode.UNUSABLE_INPUT
-    is_given = program_mb is not None
+    is_size_given = program_mb is not None
     program_bytes = _to_bytes(program_mb) if program_mb is not None else measure_program_bytes()
     try:
         memory_plan = plan.make_plan(_to_bytes(grant_mb), program_bytes, sockets, operator_caps)
@@ -77,13 +88,13 @@
     if as_json:
         print(msgspec.json.encode(_plan_output(memory_plan, sockets)).decode())
     else:
-        _print_plan(memory_plan, sockets, "given" if is_given else "measured here")
+        _print_plan(memory_plan, sockets, "given" if is_size_given else "measured")
     return exit_code_for(not memory_plan.is_below_minimum)
 
 
 def _read_caps(operator: Path) -> dict[MemoryPurpose, int] | None:
-    """Return the caps of an operators' file; print complaints and return None if it has any."""
-    # Loads protobuf, which the other commands do without.
+    """Return the caps of an operators' file; print complaints and return None if it is invalid."""
+    # Imported here because it loads protobuf, which other commands do not need.
     from larchhaven.operator.read import read_file
 
     reading = read_file(str(operator))
@@ -92,7 +103,7 @@
     return None if reading.complaints else caps_by_purpose(reading.settings.caps)
 
 
-def _count_connections_that_fit(memory_plan: plan.MemoryPlan, sockets: int) -> int:
+def _count_fitting_connections(memory_plan: plan.MemoryPlan, sockets: int) -> int:
     return min(
         memory_plan.caps[MemoryPurpose.CONNECTIONS] // (STREAMS_PER_CONNECTION * STREAM_BYTES),
         memory_plan.caps[MemoryPurpose.TABLES] // REQUEST_BYTES,
@@ -108,7 +119,7 @@
         planned=memory_plan.planned_bytes,
         short=memory_plan.is_below_minimum,
         socket_bound=memory_plan.socket_buffer_bytes,
-        connections_fit=_count_connections_that_fit(memory_plan, sockets),
+        connections_fit=_count_fitting_connections(memory_plan, sockets),
         caps={purpose.key: cap_bytes for purpose, cap_bytes in memory_plan.caps.items()},
     )
 
@@ -117,25 +128,25 @@
     connection_bytes = STREAMS_PER_CONNECTION * STREAM_BYTES + REQUEST_BYTES
     print(f"{'granted':<14}{_format_kb(memory_plan.grant_bytes)}")
     print(f"{'program':<14}{_format_kb(memory_plan.program_bytes)}  {program_source}")
-    print(f"{'unplanned':<14}{_format_kb(memory_plan.unplanned_bytes)}  what the allocator wastes")
+    print(f"{'unplanned':<14}{_format_kb(memory_plan.unplanned_bytes)}  allocator overhead")
     for purpose, cap_bytes in memory_plan.caps.items():
         description = PURPOSE_DESCRIPTIONS[purpose]
         print(f"{purpose.key:<14}{_format_kb(cap_bytes)}  {description.covers}")
         print(f"{'':<28}at the cap: {description.at_cap}")
     print(
-        f"capacity for some {_count_connections_that_fit(memory_plan, sockets)} established"
+        f"capacity: about {_count_fitting_connections(memory_plan, sockets)} established"
         f" connections, at {connection_bytes:,} bytes each; the kernel buffers at most"
     )
-    print(f"{memory_plan.socket_buffer_bytes:,} bytes each way for a socket")
+    print(f"{memory_plan.socket_buffer_bytes:,} bytes per socket in each direction")
     if memory_plan.is_below_minimum:
-        print("the grant is too small: the least that each purpose needs exceeds it")
+        print("the grant is too small: it is below the sum of the minimum caps")
 
 
 def show_live(address: str, as_json: bool) -> int:
-    """Print a running proxy's memory account.
+    """Print the memory account of a running proxy.
 
     Args:
-        address: HOST:PORT of its management address.
+        address: Management address of the proxy, HOST:PORT.
         as_json: Whether to print JSON.
 
     Returns:
@@ -161,8 +172,8 @@
         f" peak {_format_kb(state.resident_peak_bytes)}"
     )
     print(
-        f"grown by {_format_kb(state.growth_bytes)} since the start;"
-        f" of that unaccounted {_format_kb(state.unaccounted_bytes)}"
+        f"growth since the start {_format_kb(state.growth_bytes)},"
+        f" of which unaccounted {_format_kb(state.unaccounted_bytes)}"
     )
     print(f"{'purpose':<14}{'used':>12}{'high':>12}{'cap':>12}{'refused':>9}")
     for name, usage in state.purposes.items():
--- a/larchhaven/cli/model.py
+++ b/larchhaven/cli/model.py
@@ -1,4 +1,4 @@
-"""``larchhaven model``: the proxy fleet in simulated time."""
+"""``larchhaven model``: runs experiments, sweeps and searches on a simulated proxy fleet."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
 
 
 def run_experiment_file(path: Path, seed: int | None, as_json: bool) -> int:
-    """Run one experiment.
+    """Run one experiment and print its result.
 
     Args:
-        path: The experiment's file.
-        seed: A seed instead of the experiment's own, if any.
+        path: The experiment file.
+        seed: Seed that overrides the experiment's, if any.
         as_json: Whether to print JSON.
 
     Returns:
-        The exit code: whether deaths were agreed on, nobody was declared dead wrongly and views
-        converged.
+        The exit code: ``HOLDS`` if all members agreed on every death, no live member was declared
+        dead, and all views converged.
     """
     try:
         from larchhaven.model.experiment import run_experiment
@@ -59,20 +59,20 @@
     out: Path,
     as_json: bool,
 ) -> int:
-    """Run an experiment in every combination of sizes, losses, detectors and seeds.
+    """Run an experiment for every combination of size, loss, detector and seed.
 
     Args:
-        path: The experiment's file.
-        members: Sizes of the fleet, separated by commas; the experiment's own if empty.
-        loss: Percentages of lost datagrams, likewise.
-        detectors: Names of failure detectors; the experiment's own if there are none.
-        seeds: How many seeds, from the experiment's own on.
-        jobs: Processes at a time; 0: as many as the machine has cores.
-        out: The folder for the results.
+        path: The experiment file.
+        members: Fleet sizes, separated by commas; the experiment's size if empty.
+        loss: Percentages of lost datagrams, separated by commas; the experiment's loss if empty.
+        detectors: Names of failure detectors; the experiment's detector if empty.
+        seeds: Number of consecutive seeds, starting with the experiment's seed.
+        jobs: Number of worker processes; 0 for one per core.
+        out: Folder for the results.
         as_json: Whether to print JSON.
 
     Returns:
-        The exit code: whether every death was agreed on.
+        The exit code: ``HOLDS`` if all members agreed on every death in every run.
     """
     try:
         from larchhaven.model import sweep
@@ -82,7 +82,7 @@
     axes = _parse_axes(members, loss, detectors, seeds) if base is not None else None
     if base is None or axes is None:
         return ExitCode.UNUSABLE_INPUT
-    experiments = _make_experiments(base, axes)
+    experiments = _vary_experiment(base, axes)
     if experiments is None:
         return ExitCode.UNUSABLE_INPUT
     results = _run_experiments(experiments, jobs)
@@ -91,14 +91,14 @@
     return exit_code_for(all(cell.agreed_fraction == 1.0 for cell in cells))
 
 
-def _make_experiments(base: Experiment, axes: SweepAxes) -> list[Experiment] | None:
-    """Vary an experiment; print what is wrong and return None if one of them cannot be run."""
+def _vary_experiment(base: Experiment, axes: SweepAxes) -> list[Experiment] | None:
+    """Return the variants of an experiment; print a complaint and return None if one is invalid."""
     from larchhaven.model.experiment_file import check_experiment
     from larchhaven.model.sweep import expand_axes
 
     try:
         experiments = expand_axes(base, axes)
-    except ValueError as error:  # protobuf: a number that the field cannot hold
+    except ValueError as error:  # protobuf raises it for a number out of the range of a field
         print(f"larchhaven model sweep: {error}", file=sys.stderr)
         return None
     for experiment in experiments:
@@ -123,11 +123,11 @@
 
 
 def plot_sweep(folder: Path, out: Path) -> int:
-    """Draw the results of a sweep.
+    """Plot the results of a sweep.
 
     Args:
-        folder: What the sweep has written.
-        out: The HTML file.
+        folder: Folder with the results of the sweep.
+        out: The HTML file to write.
 
     Returns:
         The exit code.
@@ -151,17 +151,17 @@
 def run_search(
     names: Sequence[str], members: int, max_depth: int, max_states: int, as_json: bool
 ) -> int:
-    """Search exhaustively from starting states.
+    """Explore all reachable states from starting states and check the invariants in each.
 
     Args:
-        names: The names of the starting states; all if empty.
-        members: How many members there are.
-        max_depth: How many steps are tried one after the other.
-        max_states: How many states are examined at most from each starting state.
+        names: Names of the starting states; all if empty.
+        members: Number of members.
+        max_depth: Maximum number of consecutive steps.
+        max_states: Maximum number of states per starting state.
         as_json: Whether to print JSON.
 
     Returns:
-        The exit code: whether all invariants held.
+        The exit code: ``HOLDS`` if no invariant was violated.
     """
     try:
         from larchhaven.model.search import search_from
@@ -170,8 +170,11 @@
         return _report_missing_extra(error)
     for name in names:
         if name not in STARTING_STATES:
-            known = ", ".join(STARTING_STATES)
-            print(f"there is no scene {name!r}; known are {known}", file=sys.stderr)
+            choices = ", ".join(STARTING_STATES)
+            print(
+                f"larchhaven model search: unknown scene {name!r}: write one of {choices}",
+                file=sys.stderr,
+            )
             return ExitCode.UNUSABLE_INPUT
     reports = [
         search_from(name, members=members, max_depth=max_depth, max_states=max_states)
@@ -192,7 +195,7 @@
 
 
 def _read_experiment(path: Path) -> Experiment | None:
-    """Read an experiment; print complaints and return None if it has any."""
+    """Read an experiment; print complaints and return None if it is invalid."""
     from larchhaven.model.experiment_file import parse_experiment
 
     try:
@@ -206,7 +209,7 @@
 
 
 def _parse_axes(members: str, loss: str, detectors: Sequence[str], seeds: int) -> SweepAxes | None:
-    """Read what a sweep varies; print what is wrong with it and return None if it is unusable."""
+    """Parse the axes of a sweep; print an error and return None if they are invalid."""
     from larchhaven.model.experiment_pb2 import Experiment
     from larchhaven.model.sweep import SweepAxes
 
@@ -223,7 +226,7 @@
 
 
 def _parse_numbers(text: str) -> list[float]:
-    return [float(part) for part in text.split(",") if part.strip()]
+    return [float(number) for number in text.split(",") if number.strip()]
 
 
 def _print_result(result: ExperimentResult) -> None:
@@ -231,16 +234,16 @@
     print(f"{result.name}, seed {result.seed}: {size}")
     for death in result.deaths:
         print(
-            f"  {death.number} died at {death.at_s:g} s:"
+            f"  member {death.number} died at {death.at_s:g} s:"
             f" first detected after {_format_seconds(death.detected_s)},"
             f" agreed after {_format_seconds(death.agreed_s)}"
         )
     for convergence in result.convergences:
         duration = _format_seconds(convergence.duration_s)
         print(f"  {convergence.cause} at {convergence.at_s:g} s: all views equal after {duration}")
-    print(f"  {result.suspicions} suspected, {result.false_deaths} wrongly declared dead")
+    print(f"  {result.suspicions} suspicions, {result.false_deaths} false death declarations")
     print(
-        f"  {result.messages_per_second:g} messages a second and member,"
+        f"  per member and second: {result.messages_per_second:g} messages,"
         f" {result.max_messages_per_second:g} at most; {result.bytes_per_second:g} bytes"
     )
     print(f"  trace {result.trace_digest}, {result.events} events")
@@ -268,7 +271,8 @@
     truncated = ", truncated" if report.is_truncated else ""
     print(
         f"{report.starting_state}: {report.states} states, {report.steps} steps"
-        f" to depth {report.completed_depth}{truncated}; healed {report.healed_states} times"
+        f" to depth {report.completed_depth}{truncated}; network healed from"
+        f" {report.healed_states} states"
     )
     if report.violation:
         print(f"  {report.violation}")
--- a/larchhaven/cli/soak.py
+++ b/larchhaven/cli/soak.py
@@ -1,4 +1,4 @@
-"""``larchhaven soak``: long runs and abuses, with a verdict and a report."""
+"""``larchhaven soak``: runs churn and abuses, and writes a verdict and a report of each phase."""
 
 from __future__ import annotations
 
@@ -26,19 +26,19 @@
 
 
 class SoakPlanError(LarchhavenError):
-    """The options name no soak that can be played."""
+    """The options do not describe a valid soak."""
 
 
 @dataclass(frozen=True, slots=True)
-class PlannedPart:
-    """One part of a soak that is to be played."""
+class PlannedPhase:
+    """A phase of a soak before it runs: churn, or the abuse with the given name."""
 
     abuse_name: str
     duration_s: float
 
     @property
     def label(self) -> str:
-        """Name of its files and in the output."""
+        """Name of the phase in the output, also the base name of its files."""
         return self.abuse_name or CHURN_LABEL
 
 
@@ -53,13 +53,13 @@
     out: Path,
     as_json: bool,
 ) -> int:
-    """Play the parts of a soak and write what they showed.
+    """Run the phases of a soak and write their results.
 
     Args:
-        minutes: How long the churn lasts; 0 for none.
-        abuses: Names of abuses that follow, or ``all``.
-        abuse_minutes: How long each abuse lasts.
-        arrivals: New connections a second.
+        minutes: Duration of the churn; 0 for no churn.
+        abuses: Names of the abuses that follow, or ``all``.
+        abuse_minutes: Duration of each abuse.
+        arrivals: New connections per second.
         memory_mb: Memory granted to the proxy.
         sockets: Descriptors granted to the proxy.
         seed: Seed of the scenarios.
@@ -70,8 +70,8 @@
         The exit code.
     """
     try:
-        planned = _plan_parts(minutes, abuses, abuse_minutes)
-        verdicts = _play_parts(planned, arrivals, memory_mb, sockets, seed, out, as_json)
+        planned = _plan_phases(minutes, abuses, abuse_minutes)
+        verdicts = _run_phases(planned, arrivals, memory_mb, sockets, seed, out, as_json)
     except SoakPlanError as error:
         return _fail(str(error))
     except ModuleNotFoundError as error:
@@ -80,12 +80,12 @@
         output = {label: verdict.to_builtins() for label, verdict in verdicts.items()}
         print(msgspec.json.encode(output).decode())
     else:
-        print(f"reports and samples are in {out}")
+        print(f"reports, verdicts and samples written to {out}")
     return exit_code_for(not any(verdict.complaints for verdict in verdicts.values()))
 
 
-def _play_parts(
-    planned: Sequence[PlannedPart],
+def _run_phases(
+    planned: Sequence[PlannedPhase],
     arrivals: float,
     memory_mb: float,
     sockets: int,
@@ -93,43 +93,47 @@
     out: Path,
     as_json: bool,
 ) -> dict[str, SoakVerdict]:
-    """Play the parts, write what they showed, and return their verdicts by label."""
-    # Loads the numeric and plotting libraries, which the other commands do without.
+    """Run the phases, write their results, and return their verdicts by label."""
+    # Imported here because it loads numpy, scipy and matplotlib, which other commands do not need.
     from larchhaven.soak.results import write_results
-    from larchhaven.soak.run import run_part
+    from larchhaven.soak.run import run_phase
     from larchhaven.soak.scenario import SoakLoad
 
     load = SoakLoad(arrivals, memory_mb, sockets, seed)
     out.mkdir(parents=True, exist_ok=True)
     verdicts: dict[str, SoakVerdict] = {}
-    for plan in planned:
-        samples_path = out / f"{plan.label}.jsonl"
+    for planned_phase in planned:
+        samples_path = out / f"{planned_phase.label}.jsonl"
         samples_path.unlink(missing_ok=True)
-        part = run_part(plan.duration_s, load, plan.abuse_name, samples_path, show_progress)
-        verdicts[plan.label] = part.verdict
-        write_results(out, plan.label, plan.duration_s, load, part)
+        phase = run_phase(
+            planned_phase.duration_s, load, planned_phase.abuse_name, samples_path, show_progress
+        )
+        verdicts[planned_phase.label] = phase.verdict
+        write_results(out, planned_phase.label, planned_phase.duration_s, load, phase)
         if not as_json:
-            _print_verdict(plan.label, part.verdict)
+            _print_verdict(planned_phase.label, phase.verdict)
     return verdicts
 
 
-def _plan_parts(minutes: float, abuses: Sequence[str], abuse_minutes: float) -> list[PlannedPart]:
-    """Return the parts of a soak in order.
+def _plan_phases(minutes: float, abuses: Sequence[str], abuse_minutes: float) -> list[PlannedPhase]:
+    """Return the phases of a soak in order.
 
     Raises:
-        SoakPlanError: An abuse is not known, or there is nothing to do.
+        SoakPlanError: An abuse is unknown, or no phase was requested.
     """
     from larchhaven.soak.abuses import ABUSES
 
     names = list(ABUSES) if ALL_ABUSES in abuses else list(abuses)
     unknown = [name for name in names if name not in ABUSES]
     if unknown:
-        known = ", ".join(ABUSES)
-        raise SoakPlanError(f"there is no abuse {unknown[0]!r}; known are {known}")
-    planned = [PlannedPart("", SECONDS_PER_MINUTE * minutes)] if minutes else []
-    planned += [PlannedPart(name, SECONDS_PER_MINUTE * abuse_minutes) for name in names]
+        choices = ", ".join(ABUSES)
+        raise SoakPlanError(
+            f"larchhaven soak: unknown abuse {unknown[0]!r}: write one of {choices}"
+        )
+    planned = [PlannedPhase("", SECONDS_PER_MINUTE * minutes)] if minutes else []
+    planned += [PlannedPhase(name, SECONDS_PER_MINUTE * abuse_minutes) for name in names]
     if not planned:
-        raise SoakPlanError("larchhaven soak: nothing to do: write --minutes or --abuse")
+        raise SoakPlanError("larchhaven soak: nothing to run: write --minutes above 0, or --abuse")
     return planned
 
 
@@ -154,5 +158,6 @@
     high_kb = slope.high_bytes_per_hour / BYTES_PER_KB
     print(
         f"  {name}: {slope.mean_bytes / BYTES_PER_MB:.2f} MB,"
-        f" {100 * slope.fraction_per_hour:+.2f}% an hour ({low_kb:+.0f} to {high_kb:+.0f} KB)"
+        f" {100 * slope.fraction_per_hour:+.2f}% per hour"
+        f" ({low_kb:+.0f} to {high_kb:+.0f} KB per hour)"
     )
--- a/larchhaven/plots.py
+++ b/larchhaven/plots.py
@@ -1,4 +1,4 @@
-"""Plots and pages of reports that are one HTML file; only report writers load this module."""
+"""Renders self-contained HTML reports with plots; imported only by commands that write reports."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import matplotlib as mpl
 from matplotlib.figure import Figure
 
-mpl.rcParams["svg.hashsalt"] = "larchhaven"  # the same samples give the same file
+mpl.rcParams["svg.hashsalt"] = "larchhaven"  # equal samples give identical files
 
 _STYLE = """body{font:15px sans-serif;max-width:64em;margin:2em auto}
 td,th{padding:.2em 1em;text-align:right}
@@ -16,7 +16,7 @@
 
 
 def render_svg(figure: Figure) -> str:
-    """Return a figure as an SVG element that can stand in an HTML page."""
+    """Render a figure as an SVG element for embedding in an HTML page."""
     out = io.StringIO()
     figure.savefig(out, format="svg", metadata={"Date": None})
     text = out.getvalue()
@@ -24,11 +24,14 @@
 
 
 def render_page(title: str, body: str) -> str:
-    """Return a whole HTML page.
+    """Render a complete HTML page.
 
     Args:
         title: Title in plain text.
-        body: Content below the title, in HTML.
+        body: Content below the title, as HTML.
+
+    Returns:
+        The page.
     """
     plain_title = html.escape(title)
     head = f'<meta charset="utf-8"><title>{plain_title}</title>\n<style>{_STYLE}</style>'
--- a/larchhaven/soak/__init__.py
+++ b/larchhaven/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Long runs of a real proxy on the test bed: memory stays flat and each cap holds under abuse."""
+"""Soak tests of a real proxy on the test bed: memory must stay flat and within its caps."""
--- a/larchhaven/soak/abuses.py
+++ b/larchhaven/soak/abuses.py
@@ -1,4 +1,4 @@
-"""Abuses by name: ways to wear a proxy out, each pressing on one memory purpose."""
+"""The abuses of a soak: client behavior and events that each stress one memory purpose."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Abuse:
-    """One way to wear a proxy out: clients that misbehave, or events.
+    """One kind of abuse: misbehaving clients, or events that affect all clients.
 
     Attributes:
-        description: What happens.
-        purpose: The memory purpose that it presses on.
-        behavior: How its clients behave.
-        arrivals_per_second: Rate of its clients; 0 if events alone make it.
-        mean_stay_s: How long its clients stay.
-        flood_bytes: Bytes of a flood or of an endless line.
-        request_id_bytes: Length of a request's identity.
-        surge_interval_s: Time between two surges; 0 for none.
-        surge_clients: Clients that arrive at once in a surge.
-        reconnect_interval_s: Time between two breaks of all connections; 0 for none.
+        description: What the clients do, in a few words.
+        purpose: Key of the memory purpose that it stresses.
+        behavior: Behavior of its clients.
+        arrivals_per_second: Arrival rate of its clients; 0 if the abuse consists of events only.
+        mean_stay_s: Mean time for which a client stays connected.
+        flood_bytes: Bytes that a client requests without reading, or sends without a line end.
+        request_id_bytes: Length of a request's id.
+        surge_interval_s: Time between two surges; 0 for no surges.
+        surge_clients: Number of clients that arrive at once in a surge.
+        reconnect_interval_s: Time between two breaks of all connections; 0 for no breaks.
     """
 
     description: str
@@ -38,7 +38,7 @@
 
 ABUSES: dict[str, Abuse] = {
     "never-read": Abuse(
-        "clients that ask for 2 MB and read nothing",
+        "clients that request 2 MB and never read the response",
         "kernel",
         behavior=ClientBehavior.NEVER_READ,
         arrivals_per_second=4,
@@ -46,28 +46,28 @@
         flood_bytes=2_000_000,
     ),
     "silent": Abuse(
-        "clients that connect and say nothing",
+        "clients that connect and send nothing",
         "connections",
         behavior=ClientBehavior.SILENT,
         arrivals_per_second=60,
         mean_stay_s=30,
     ),
     "slow-lines": Abuse(
-        "first lines that come byte by byte",
+        "request lines that arrive byte by byte",
         "buffers",
         behavior=ClientBehavior.SLOW_LINES,
         arrivals_per_second=20,
         mean_stay_s=30,
     ),
     "half-command": Abuse(
-        "half a first line",
+        "request lines of which only the first half arrives",
         "buffers",
         behavior=ClientBehavior.HALF_REQUEST_LINE,
         arrivals_per_second=40,
         mean_stay_s=30,
     ),
     "endless": Abuse(
-        "60 MB without an end of line",
+        "60 MB without a line end",
         "buffers",
         behavior=ClientBehavior.ENDLESS_LINE,
         arrivals_per_second=0.5,
@@ -81,26 +81,26 @@
         arrivals_per_second=30,
     ),
     "cut": Abuse(
-        "first lines cut off at any byte",
+        "request lines truncated at a random byte",
         "connections",
         behavior=ClientBehavior.CUT_REQUEST_LINE,
         arrivals_per_second=60,
     ),
     "long-ids": Abuse(
-        "ids of 2,000 bytes",
+        "request ids of 2,000 bytes",
         "tables",
         arrivals_per_second=10,
         mean_stay_s=4,
         request_id_bytes=2_000,
     ),
     "surge": Abuse(
-        "three times as many clients as fit, at once",
+        "three times as many clients at once as the proxy can hold",
         "connections",
         surge_interval_s=15,
         surge_clients=1_440,
     ),
     "reconnect": Abuse(
-        "all break and connect again within 1.7 s",
+        "all connections break, and the clients reconnect within 1.7 s",
         "connections",
         reconnect_interval_s=10,
     ),
--- a/larchhaven/soak/report.py
+++ b/larchhaven/soak/report.py
@@ -1,4 +1,4 @@
-"""The report of a soak: one HTML file with its plots inside."""
+"""Renders the report of a soak phase: one HTML page with embedded plots."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
         for sample in samples
     ]
     axes.plot(minutes, resident_mb, label="resident", lw=1)
-    axes.plot(minutes, explained_mb, label="start size and accounted", lw=1)
+    axes.plot(minutes, explained_mb, label="start size plus accounted", lw=1)
     grant_mb = verdict.grant_bytes / BYTES_PER_MB
     axes.axhline(grant_mb, color="0.4", ls="--", lw=1, label="granted")
     axes.axvline(warm_up_s / 60, color="0.7", lw=1, label="end of warm-up")
@@ -65,8 +65,8 @@
     high_kb = slope.high_bytes_per_hour / BYTES_PER_KB
     return (
         f"<tr><td>{name}</td><td>{slope.mean_bytes / BYTES_PER_MB:.2f} MB</td>"
-        f"<td>{100 * slope.fraction_per_hour:+.2f}% an hour</td>"
-        f"<td>{low_kb:+.0f} to {high_kb:+.0f} KB an hour</td></tr>"
+        f"<td>{100 * slope.fraction_per_hour:+.2f}% per hour</td>"
+        f"<td>{low_kb:+.0f} to {high_kb:+.0f} KB per hour</td></tr>"
     )
 
 
@@ -81,13 +81,16 @@
 def render_report(
     title: str, samples: Sequence[ProxySample], warm_up_s: float, verdict: SoakVerdict
 ) -> str:
-    """Return the report as HTML.
+    """Render the report as an HTML page.
 
     Args:
         title: Title in plain text.
-        samples: The samples in order of time.
-        warm_up_s: How long samples do not count for slopes.
-        verdict: What the samples showed.
+        samples: The samples in chronological order.
+        warm_up_s: Initial period that is excluded from the slopes.
+        verdict: The verdict on the samples.
+
+    Returns:
+        The page.
     """
     reported = [sample for sample in samples if sample.memory_report]
     complaints = "".join(f"<li>{html.escape(text)}</li>" for text in verdict.complaints)
@@ -97,7 +100,7 @@
     grant_mb = verdict.grant_bytes / BYTES_PER_MB
     body = f"""<ul>{complaints}</ul>
 <p>Peak {peak_mb:.2f} MB of {grant_mb:.0f} MB granted; at most
-{verdict.peak_unaccounted_bytes >> 10} KB that no purpose explains.</p>
+{verdict.peak_unaccounted_bytes >> 10} KB not accounted to any purpose.</p>
 <table><tr><th>size<th>mean<th>slope<th>95% interval</tr>{slopes}</table>
 {_plot_sizes(reported, warm_up_s, verdict)}
 <h2>By purpose</h2><table><tr><th>purpose<th>cap, KB<th>most, KB<th>refused</tr>
--- a/larchhaven/soak/run.py
+++ b/larchhaven/soak/run.py
@@ -1,4 +1,4 @@
-"""Runs one part of a soak: churn or an abuse; samples are written to a file as they are taken."""
+"""Runs one phase of a soak, churn or an abuse, and writes each sample to a file as it is taken."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 from larchhaven.testbed.scenario_player import ScenarioPlayer, play_scenario
 
 SAMPLE_INTERVAL_S = 2.0
-# The first part of a run does not count for slopes: tables fill, the allocator settles.
+# Excluded from the slopes: at first the tables still fill and the allocator has not settled.
 WARM_UP_FRACTION = 0.2
 MAX_WARM_UP_S = 300.0
 MAX_REPORTED_VIOLATIONS = 10
 
 
 @dataclass(frozen=True, slots=True)
-class SoakPart:
-    """One part of a soak.
+class SoakPhase:
+    """The results of one phase of a soak.
 
     Attributes:
         abuse_name: The abuse that was played; empty for none.
-        warm_up_s: How long samples do not count for slopes.
-        samples: The samples in order of time.
-        verdict: What they showed.
+        warm_up_s: Initial period that is excluded from the slopes.
+        samples: The samples in chronological order.
+        verdict: The verdict on the samples.
     """
 
     abuse_name: str
@@ -39,29 +39,29 @@
     verdict: SoakVerdict
 
 
-def run_part(
+def run_phase(
     duration_s: float,
     load: SoakLoad,
     abuse_name: str,
     samples_path: Path | None,
     progress: Callable[[ScenarioPlayer], None] | None = None,
-) -> SoakPart:
-    """Play one part of a soak.
+) -> SoakPhase:
+    """Run one phase of a soak and return its samples with the verdict.
 
     Args:
-        duration_s: How long it lasts.
+        duration_s: Duration of the phase.
         load: The traffic and the grant.
-        abuse_name: The abuse on top of the traffic; empty for none.
-        samples_path: Where the samples are appended as JSON lines, if anywhere.
-        progress: Called again and again while it is played.
+        abuse_name: The abuse that is added to the traffic; empty for none.
+        samples_path: File to which the samples are appended as JSON lines, if any.
+        progress: Called periodically during the phase.
 
     Raises:
-        ProxyNotStartedError: The proxy did not listen.
+        ProxyNotStartedError: The proxy did not start to listen.
     """
     samples: list[ProxySample] = []
     with samples_path.open("ab") if samples_path is not None else nullcontext() as file:
 
-        def keep_sample(sample: ProxySample) -> None:
+        def store_sample(sample: ProxySample) -> None:
             samples.append(sample)
             if file is not None:
                 row = {"abuse": abuse_name, **msgspec.to_builtins(sample)}
@@ -72,31 +72,41 @@
             play_scenario(
                 build_soak_scenario(duration_s, load, abuse_name),
                 sample_interval_s=SAMPLE_INTERVAL_S,
-                sample_taken=keep_sample,
+                sample_taken=store_sample,
                 progress=progress,
             )
         )
     warm_up_s = min(duration_s * WARM_UP_FRACTION, MAX_WARM_UP_S)
-    verdict = judge_part(outcome, samples, warm_up_s, judges_slope=not abuse_name)
-    return SoakPart(abuse_name, warm_up_s, samples, verdict)
+    verdict = judge_phase(outcome, samples, warm_up_s, judges_slope=not abuse_name)
+    return SoakPhase(abuse_name, warm_up_s, samples, verdict)
 
 
-def judge_part(
+def judge_phase(
     outcome: ScenarioOutcome,
     samples: Sequence[ProxySample],
     warm_up_s: float,
     *,
     judges_slope: bool,
 ) -> SoakVerdict:
-    """Join what the samples and what the invariants say."""
+    """Judge a phase by its samples, violated invariants, crashes and idle connections.
+
+    Args:
+        outcome: The outcome of the scenario.
+        samples: The samples in chronological order.
+        warm_up_s: Initial period that is excluded from the slopes.
+        judges_slope: Whether the slopes count.
+
+    Raises:
+        NoSamplesError: There are no samples.
+    """
     verdict = judge_samples(samples, warm_up_s, judges_slope=judges_slope)
     verdict.violations = [
-        f"rule broken: {violation.invariant}: {violation.description}"
+        f"invariant violated: {violation.invariant}: {violation.description}"
         for violation in outcome.violations[:MAX_REPORTED_VIOLATIONS]
     ]
     if outcome.omitted_violations:
-        verdict.violations.append(f"and {outcome.omitted_violations} more")
-    verdict.errors = [f"crashed: {name}" for name in outcome.crashed_proxies] + outcome.errors
+        verdict.violations.append(f"and {outcome.omitted_violations} more violations")
+    verdict.errors = [f"proxy crashed: {name}" for name in outcome.crashed_proxies] + outcome.errors
     verdict.classes = outcome.classes
     verdict.idle_connection_bytes = {
         name: report["purposes"]["connections"]["used"]
--- a/larchhaven/soak/scenario.py
+++ b/larchhaven/soak/scenario.py
@@ -1,4 +1,4 @@
-"""The scenarios of a soak: churn faster than in production, and an abuse on top of it."""
+"""Builds the scenarios of a soak: connection churn above the production rate, and abuses."""
 
 from __future__ import annotations
 
@@ -7,16 +7,18 @@
 from larchhaven.soak.abuses import ABUSES, Abuse
 from larchhaven.testbed.scenario_pb2 import Event, Scenario, Terminals
 
-# Production sees 2.7 arrivals a second that stay for 32 to 67 s. Twenty times as many with short
-# stays give a day's connections in 40 minutes, with as many established at a time as fit.
+# In production 2.7 clients arrive per second and stay for 32 to 67 s. Twenty times that rate gives
+# the connections of a day in 40 minutes. The short stay keeps as many connections established at a
+# time as the grant allows.
 MEAN_STAY_S = 4.0
 MESSAGE_INTERVAL_S = 1.0
 SERVER_COUNT = 10
 SERVER_SETUP_MS = 4
 MIN_SERVER_CAPACITY = 150
-# Ten servers of a quarter each carry more than twice what is established: they reject nobody.
+# Ten servers with a quarter each have more than twice the capacity that the established connections
+# need, so no server rejects a request.
 SERVER_CAPACITY_FRACTION = 0.25
-# The last events leave so long for their effects.
+# No event is scheduled in this last period, so that the effects of the last one still show.
 QUIET_END_S = 3.0
 USUAL_CLASS = "cevap-kaydet"
 URGENT_CLASS = "sinav-bitir"
@@ -26,12 +28,12 @@
 
 @dataclass(frozen=True, slots=True)
 class SoakLoad:
-    """What a soak puts on the proxy and what it grants it.
+    """The traffic of a soak and the resources that the proxy is granted.
 
     Attributes:
-        arrivals_per_second: New connections.
-        memory_mb: Memory granted.
-        sockets: Descriptors granted.
+        arrivals_per_second: New connections per second.
+        memory_mb: Memory granted to the proxy.
+        sockets: Descriptors granted to the proxy.
         seed: Seed of the scenario.
     """
 
@@ -42,12 +44,12 @@
 
 
 def build_soak_scenario(duration_s: float, load: SoakLoad, abuse_name: str = "") -> Scenario:
-    """Return a scenario of usual traffic, and an abuse on top if one is named.
+    """Build a scenario of usual traffic, with an abuse added if one is named.
 
     Args:
-        duration_s: How long it lasts.
+        duration_s: Duration of the scenario.
         load: The traffic and the grant.
-        abuse_name: One of ``ABUSES``; empty for none.
+        abuse_name: A key of ``ABUSES``; empty for no abuse.
     """
     name = f"soak {abuse_name}".strip()
     scenario = Scenario(name=name, seed=load.seed, seconds=duration_s)
@@ -76,7 +78,7 @@
 
 
 def _set_class(group: Terminals, request_class: str) -> None:
-    """Set the class of a group's requests; the field's name is a keyword of Python."""
+    """Set the class of a group's requests; the field is named ``class``, a Python keyword."""
     setattr(group, "class", request_class)
 
 
--- a/larchhaven/soak/slope.py
+++ b/larchhaven/soak/slope.py
@@ -1,4 +1,4 @@
-"""The slope of a series of sizes, with a confidence interval that allows for autocorrelation."""
+"""Fits the slope of a series of sizes; its confidence interval accounts for autocorrelation."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from scipy import stats
 
 CONFIDENCE = 0.95
-# Samples are averaged over blocks before a line is fitted: neighbours say much the same.
+# Samples are averaged over blocks before the fit, as neighbouring samples are strongly correlated.
 BLOCK_S = 30.0
 MIN_BLOCKS = 8
 MIN_SAMPLES = 2
@@ -18,7 +18,7 @@
 MAX_CORRELATION = 0.95
 MIN_EFFECTIVE_BLOCKS = 3.0
 SECONDS_PER_HOUR = 3600
-# A flat slope is under this part of the mean an hour, and its interval holds 0.
+# A slope is flat below this fraction of the mean per hour, if its interval also contains 0.
 MAX_FLAT_FRACTION_PER_HOUR = 0.01
 
 
@@ -32,15 +32,15 @@
         "high_bytes_per_hour": "high",
     },
 ):
-    """A fitted line.
+    """A line fitted to sizes over time.
 
     Attributes:
         mean_bytes: Mean size.
         bytes_per_hour: Slope.
-        low_bytes_per_hour: Lower end of its confidence interval.
-        high_bytes_per_hour: Upper end of its confidence interval.
-        blocks: Number of blocks that were averaged.
-        correlation: Of one block with the next, after the line is taken off.
+        low_bytes_per_hour: Lower bound of the confidence interval of the slope.
+        high_bytes_per_hour: Upper bound of the confidence interval of the slope.
+        blocks: Number of blocks in the fit.
+        correlation: Lag-1 autocorrelation of the residuals of the blocks.
     """
 
     mean_bytes: float
@@ -52,29 +52,29 @@
 
     @property
     def fraction_per_hour(self) -> float:
-        """The slope as a part of the mean."""
+        """The slope as a fraction of the mean size."""
         return self.bytes_per_hour / self.mean_bytes if self.mean_bytes else 0.0
 
     @property
     def is_flat(self) -> bool:
-        """Whether nothing grows that an hour would show."""
+        """Whether the slope is small and its confidence interval contains 0."""
         is_small = abs(self.fraction_per_hour) < MAX_FLAT_FRACTION_PER_HOUR
         return is_small and self.low_bytes_per_hour <= 0 <= self.high_bytes_per_hour
 
 
 def fit_slope(times_s: Sequence[float], sizes_bytes: Sequence[float]) -> Slope | None:
-    """Fit a line through samples.
+    """Fit a line to samples.
 
-    Blocks are averaged, and the interval is widened for what neighbouring blocks share (a residual
-    of first-order autoregression, by the effective number of blocks n(1-r)/(1+r)): without that a
-    slow oscillation would look like a leak.
+    The samples are averaged over blocks. The residuals of the blocks are modelled as a first-order
+    autoregressive process with coefficient r. Their effective number n(1-r)/(1+r) takes the place
+    of n and widens the interval; otherwise a slow oscillation would look like a leak.
 
     Args:
         times_s: Times of the samples.
-        sizes_bytes: Their sizes.
+        sizes_bytes: Sizes at these times.
 
     Returns:
-        The slope, or None for too few samples.
+        The fitted slope, or None if there are too few samples.
     """
     if len(times_s) < MIN_SAMPLES:
         return None
@@ -104,7 +104,7 @@
 
 
 def _measure_correlation(residuals: np.ndarray) -> float:
-    """Return the correlation of each residual with the next, limited to 0 and below 1."""
+    """Return the lag-1 autocorrelation of the residuals, clamped to 0..``MAX_CORRELATION``."""
     spread = float((residuals**2).sum())
     if not spread:
         return 0.0
@@ -113,8 +113,14 @@
 
 
 def _half_width(standard_error: float, count: int, effective: float) -> float:
-    """Return half the width of the confidence interval for an effective number of blocks."""
-    freedom = effective - FITTED_PARAMETERS
-    # linregress divides by count - 2; the effective number takes its place.
-    error = standard_error * math.sqrt((count - FITTED_PARAMETERS) / freedom)
-    return float(stats.t.ppf((1 + CONFIDENCE) / 2, freedom)) * error
+    """Return half the width of the confidence interval of the slope.
+
+    Args:
+        standard_error: Standard error of the slope for independent blocks.
+        count: Number of blocks.
+        effective: Effective number of blocks.
+    """
+    degrees_of_freedom = effective - FITTED_PARAMETERS
+    # linregress assumes count - 2 degrees of freedom; rescale to the effective number.
+    error = standard_error * math.sqrt((count - FITTED_PARAMETERS) / degrees_of_freedom)
+    return float(stats.t.ppf((1 + CONFIDENCE) / 2, degrees_of_freedom)) * error
--- a/larchhaven/soak/verdict.py
+++ b/larchhaven/soak/verdict.py
@@ -1,4 +1,4 @@
-"""The verdict on a soak: slopes of the sizes, and each memory purpose against its cap."""
+"""Judges a soak: the slopes of the memory sizes, and the peak of each purpose against its cap."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 
 
 class NoSamplesError(LarchhavenError, ValueError):
-    """There is no sample to judge."""
+    """A soak took no samples, so it cannot be judged."""
 
     def __init__(self) -> None:
-        super().__init__("there is no sample to judge")
+        super().__init__("the soak took no samples of the proxy; there is nothing to judge")
 
 
 class CapUsage(
     msgspec.Struct,
     rename={"cap_bytes": "cap", "peak_bytes": "high", "rejections": "refused"},
 ):
-    """One memory purpose over the whole run.
+    """The use of one memory purpose over a whole phase.
 
     Attributes:
-        cap_bytes: Its cap.
-        peak_bytes: The most that was used.
-        rejections: How often more was asked for than the cap allows.
+        cap_bytes: Cap of the purpose.
+        peak_bytes: Peak use.
+        rejections: Number of charges that were rejected because they would have exceeded the cap.
     """
 
     cap_bytes: int
@@ -38,7 +38,7 @@
 
     @property
     def holds(self) -> bool:
-        """Whether the use stayed within the cap."""
+        """Whether the peak use stayed within the cap."""
         return self.peak_bytes <= self.cap_bytes
 
 
@@ -56,21 +56,23 @@
         "idle_connection_bytes": "rest",
     },
 ):
-    """What a soak has shown.
+    """The measurements of one phase of a soak, with the verdict that follows from them.
 
     Attributes:
         resident_slope: Slope of the resident size after warm-up; None for too few samples.
-        accounted_slope: Slope of the start size and what the account explains.
-        resident_peak_bytes: The largest resident size.
-        grant_bytes: The memory granted.
+        accounted_slope: Slope of the start size plus the accounted bytes after warm-up; None for
+            too few samples.
+        resident_peak_bytes: Peak of the resident size.
+        grant_bytes: Memory granted to the proxy.
         caps: Use of each memory purpose.
-        peak_unaccounted_bytes: The most that no purpose explained.
-        violations: Sentences on violated invariants.
-        errors: Sentences on crashes and unexpected errors.
-        excess_releases: How often more was released than had been charged.
-        classes: What the clients of each request class met.
-        idle_connection_bytes: Charged to connections once all clients had left, by proxy.
-        judges_slope: Whether slopes count; an abuse lasts too short for them.
+        peak_unaccounted_bytes: Peak of the growth that is not accounted to any purpose.
+        violations: Descriptions of violated invariants.
+        errors: Descriptions of crashes and unexpected errors.
+        excess_releases: Number of releases that exceeded what had been charged.
+        classes: Outcomes of the requests, by request class.
+        idle_connection_bytes: Bytes still charged to connections after all clients have left, by
+            proxy.
+        judges_slope: Whether the slopes count; an abuse is too short for them.
     """
 
     resident_slope: Slope | None
@@ -88,7 +90,7 @@
 
     @property
     def complaints(self) -> list[str]:
-        """Why this does not hold, in plain sentences; empty if it does."""
+        """The reasons why the verdict is negative; empty if it holds."""
         found = [*self.violations, *self.errors]
         if self.resident_peak_bytes > self.grant_bytes:
             peak_kb = self.resident_peak_bytes >> 10
@@ -96,19 +98,19 @@
             found.append(f"the resident size reached {peak_kb} KB of {grant_kb} KB")
         found += [f"{name} passed its cap" for name, cap in self.caps.items() if not cap.holds]
         found += [
-            f"{name} still counted {used_bytes} bytes of connections at rest"
+            f"{name} still accounts {used_bytes} bytes to connections after all clients have left"
             for name, used_bytes in self.idle_connection_bytes.items()
             if used_bytes
         ]
         if self.excess_releases:
-            found.append(f"{self.excess_releases} give-backs exceeded what was taken")
+            found.append(f"{self.excess_releases} releases exceeded what had been charged")
         if self.judges_slope:
             found += _judge_slope("resident", self.resident_slope)
             found += _judge_slope("accounted", self.accounted_slope)
         return found
 
     def to_builtins(self) -> dict[str, Any]:
-        """Return all of it for JSON, with what follows from it."""
+        """Return the measurements and the verdict as built-in types, for JSON."""
         output: dict[str, Any] = msgspec.to_builtins(self)
         output["resident"] = _describe_slope(self.resident_slope)
         output["accounted"] = _describe_slope(self.accounted_slope)
@@ -124,7 +126,7 @@
         return [f"too few samples for the slope of the {name} size"]
     if slope.is_flat:
         return []
-    return [f"the {name} size is not flat: {100 * slope.fraction_per_hour:+.2f}% an hour"]
+    return [f"the {name} size is not flat: {100 * slope.fraction_per_hour:+.2f}% per hour"]
 
 
 def _describe_slope(slope: Slope | None) -> dict[str, Any] | None:
@@ -137,39 +139,39 @@
 def judge_samples(
     samples: Sequence[ProxySample], warm_up_s: float, *, judges_slope: bool = True
 ) -> SoakVerdict:
-    """Judge the samples of a run.
+    """Judge the samples of a phase.
 
     Args:
-        samples: The samples in order of time.
-        warm_up_s: Earlier samples count for caps only.
+        samples: The samples in chronological order.
+        warm_up_s: Initial period that is excluded from the slopes.
         judges_slope: Whether the slopes count.
 
     Raises:
-        NoSamplesError: There is no sample.
+        NoSamplesError: There are no samples.
     """
     if not samples:
         raise NoSamplesError
     reported = [sample for sample in samples if sample.memory_report]
-    warm = [sample for sample in reported if sample.at_s >= warm_up_s]
-    times_s = [sample.at_s for sample in warm]
-    resident_bytes = [sample.resident_bytes for sample in warm]
+    warmed_up = [sample for sample in reported if sample.at_s >= warm_up_s]
+    times_s = [sample.at_s for sample in warmed_up]
+    resident_bytes = [sample.resident_bytes for sample in warmed_up]
     explained_bytes = [
-        sample.memory_report["accounted"] + sample.memory_report["start"] for sample in warm
+        sample.memory_report["accounted"] + sample.memory_report["start"] for sample in warmed_up
     ]
-    empty: dict[str, Any] = {"grant": 0, "purposes": {}, "errors": 0}
-    last = reported[-1].memory_report if reported else empty
+    empty_report: dict[str, Any] = {"grant": 0, "purposes": {}, "errors": 0}
+    last_report = reported[-1].memory_report if reported else empty_report
     caps = {
         name: CapUsage(purpose["cap"], purpose["high"], purpose["refused"])
-        for name, purpose in last["purposes"].items()
+        for name, purpose in last_report["purposes"].items()
     }
     unaccounted_bytes = [sample.memory_report["unaccounted"] for sample in reported]
     return SoakVerdict(
         resident_slope=fit_slope(times_s, resident_bytes),
         accounted_slope=fit_slope(times_s, explained_bytes),
         resident_peak_bytes=max(sample.resident_bytes for sample in samples),
-        grant_bytes=last["grant"],
+        grant_bytes=last_report["grant"],
         caps=caps,
         peak_unaccounted_bytes=max(unaccounted_bytes, default=0),
-        excess_releases=last["errors"],
+        excess_releases=last_report["errors"],
         judges_slope=judges_slope,
     )
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -114,7 +114,7 @@
     )
     assert "without an answer" in run("lab", "check", str(records), code=1).stdout
     records.write_text("what\n")
-    assert ":1: not a record" in run("lab", "check", str(records), code=2).stderr
+    assert ":1: not an event record" in run("lab", "check", str(records), code=2).stderr
     scenario.write_text("servrs { }")
     assert "write 'servers'" in run("lab", "play", str(scenario), code=2).stderr
 
@@ -141,7 +141,10 @@
     assert report.count("<svg") == 2
     assert "holds" in report
     assert (tmp_path / "cut.jsonl").stat().st_size > 1_000
-    assert "known are" in run("soak", "--abuse", "nope", code=2).stderr
+    assert (
+        "unknown abuse 'nope': write one of never-read"
+        in run("soak", "--abuse", "nope", code=2).stderr
+    )
 
 
 def test_serving_proxy_loads_nothing_that_only_tools_need() -> None:
@@ -176,7 +179,7 @@
     assert printed["deaths"][0]["agreed"] < 9
     text = run("model", "run", str(path), "--seed", "3").stdout
     assert printed["trace"] in text
-    assert "2 died at 5 s" in text
+    assert "member 2 died at 5 s" in text
     assert text.endswith("holds\n")
     path.write_text(SMALL.replace("seconds: 14", "seconds: 6"))  # too short for anybody to agree
     assert "agreed after never" in run("model", "run", str(path), code=1).stdout
@@ -240,13 +243,19 @@
     assert printed[0]["states"] > 20
     assert printed[0]["deepest"] == 3
     assert not printed[0]["broken"]
-    assert "known are" in run("model", "search", "--scene", "none", code=2).stderr
+    assert (
+        "unknown scene 'none': write one of "
+        in run("model", "search", "--scene", "none", code=2).stderr
+    )
 
 
 @pytest.mark.parametrize("proxy", [{"instances": 2}], indirect=True)
 def test_members_are_shown_or_why_they_are_not(proxy: ProxyProcess) -> None:
     address = "{}:{}".format(*proxy.management)
-    assert "off: the operators' file does not turn it on" in run("members", address, code=1).stdout
+    assert (
+        "membership is off: the operators' file does not turn it on"
+        in run("members", address, code=1).stdout
+    )
     assert json.loads(run("members", address, "--json", code=1).stdout)["on"] is False
     (proxy.folder / "operator.textproto").write_text(
         'membership { on: true key: "sixteen letters!" }'
@@ -259,7 +268,7 @@
         "(this one)" not in printed
     ):  # it takes an incarnation when nobody has answered for a second
         printed = run("members", "{}:{}".format(*proxy.management), code=1).stdout
-    assert "1 never heard of" in printed
+    assert "members not known yet: 1\n" in printed
     assert "not synchronized" in printed
     assert "HOST:PORT" in run("members", "nowhere", code=2).stderr
     assert "members" in run("members", "127.0.0.1:1", code=2).stderr
