--- a/larchhaven/cli/memory.py
+++ b/larchhaven/cli/memory.py
@@ -139,7 +139,7 @@
     )
     print(f"{memory_plan.socket_buffer_bytes:,} bytes per socket in each direction")
     if memory_plan.is_below_minimum:
-        print("the grant is too small: it is below the sum of the minimum caps")
+        print("the grant is too small: it leaves less than the sum of the minimum caps")
 
 
 def show_live(address: str, as_json: bool) -> int:
--- a/larchhaven/cli/model.py
+++ b/larchhaven/cli/model.py
@@ -235,12 +235,12 @@
     for death in result.deaths:
         print(
             f"  member {death.number} died at {death.at_s:g} s:"
-            f" first detected after {_format_seconds(death.detected_s)},"
-            f" agreed after {_format_seconds(death.agreed_s)}"
+            f" time to first detection: {_format_seconds(death.detected_s)},"
+            f" time to agreement: {_format_seconds(death.agreed_s)}"
         )
     for convergence in result.convergences:
         duration = _format_seconds(convergence.duration_s)
-        print(f"  {convergence.cause} at {convergence.at_s:g} s: all views equal after {duration}")
+        print(f"  {convergence.cause} at {convergence.at_s:g} s: time to equal views: {duration}")
     print(f"  {result.suspicions} suspicions, {result.false_deaths} false death declarations")
     print(
         f"  per member and second: {result.messages_per_second:g} messages,"
--- a/larchhaven/soak/report.py
+++ b/larchhaven/soak/report.py
@@ -106,5 +106,5 @@
 <h2>By purpose</h2><table><tr><th>purpose<th>cap, KB<th>most, KB<th>refused</tr>
 {_cap_rows(verdict)}</table>
 {_plot_purposes(reported)}"""
-    word = "does not hold" if complaints else "holds"
-    return render_page(f"{title}: {word}", body)
+    result = "does not hold" if complaints else "holds"
+    return render_page(f"{title}: {result}", body)
--- a/larchhaven/soak/results.py
+++ b/larchhaven/soak/results.py
@@ -25,7 +25,7 @@
     """
     title = (
         f"Soak, {label}: {duration_s / 60:g} minutes at {load.memory_mb:g} MB,"
-        f" {load.arrivals_per_second:g} arrivals a second"
+        f" {load.arrivals_per_second:g} arrivals per second"
     )
     report = render_report(title, phase.samples, phase.warm_up_s, phase.verdict)
     (folder / f"{label}.html").write_text(report, "utf-8")
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -183,7 +183,7 @@
     assert text.endswith("holds\n")
     # The experiment ends before the members can agree on the death.
     path.write_text(SMALL_EXPERIMENT.replace("seconds: 14", "seconds: 6"))
-    assert "agreed after never" in run("model", "run", str(path), code=1).stdout
+    assert "time to agreement: never" in run("model", "run", str(path), code=1).stdout
     path.write_text("members: 3 faults { }")
     assert "say what happens" in run("model", "run", str(path), code=2).stderr
 
