--- a/larchhaven/gossip/codec.py
+++ b/larchhaven/gossip/codec.py
@@ -6,7 +6,7 @@
 ``H``  ``StickyEntries``           entries of a key hash (4 bytes) and a server hash (2 bytes)
 ``Q``  ``StickyEntryQuery``        a key hash
 ``S``  ``ProxyStarted``            empty
-``L``  ``LearnedState``            doubles (little-endian): three totals, then a load per class
+``L``  ``LearnedState``            doubles (little-endian): three values, then a load per class
 ``R``  ``SharedLoadReports``       entries of a server hash (2 bytes, big-endian) and a level (1)
 =====  ==========================  =============================================================
 """
@@ -38,7 +38,7 @@
 STICKY_ENTRY_BYTES = KEY_HASH_BYTES + SERVER_HASH_BYTES
 SERVER_LOAD = struct.Struct(">HB")
 DOUBLE_BYTES = 8
-LEARNED_COUNTS = 3  # arrival count, mean load, migration credit
+LEARNED_SCALARS = 3  # arrival count, mean load, migration credit
 
 
 def encode(message: GossipMessage) -> bytes:
@@ -96,13 +96,13 @@
 
 
 def _encode_learned(message: LearnedState) -> bytes:
-    counts = message.arrival_count, message.mean_load, message.migration_credit
-    values = *counts, *message.class_loads
+    scalars = message.arrival_count, message.mean_load, message.migration_credit
+    values = *scalars, *message.class_loads
     return struct.pack(f"<{len(values)}d", *values)
 
 
 def _is_learned(body: bytes) -> bool:
-    return len(body) % DOUBLE_BYTES == 0 and len(body) >= LEARNED_COUNTS * DOUBLE_BYTES
+    return len(body) % DOUBLE_BYTES == 0 and len(body) >= LEARNED_SCALARS * DOUBLE_BYTES
 
 
 def _decode_learned(body: bytes) -> LearnedState:
--- a/larchhaven/gossip/shared_health_checks.py
+++ b/larchhaven/gossip/shared_health_checks.py
@@ -32,12 +32,12 @@
 LOAD_RATIO_STEP = 0.02
 MAX_LOAD_LEVEL = 253
 FAILED_LEVEL = 255
-MAX_ENTRIES_PER_MESSAGE = 85  # what fits into a datagram of 256 bytes
+MAX_ENTRIES_PER_MESSAGE = 85  # fits into a datagram of 256 bytes
 
 # In smaller fleets each proxy learns the load of each server often enough on its own.
 MIN_PROXIES = 12
 
-CHECK_INTERVAL_US = 1_000_000  # servers refresh their reports about once a second
+CHECK_INTERVAL_US = 1_000_000  # servers refresh their reports about once per second
 SIGNIFICANT_CHANGE_RATIO = 0.1  # smaller changes are reported only when a refresh is due
 REFRESH_INTERVAL_US = 5_000_000  # between reports of an unchanged load
 HEARTBEAT_INTERVAL_US = 2_000_000  # maximum time between two reports of a partition
@@ -142,7 +142,7 @@
         self._schedule()
 
     def update_live_peers(self, now_us: int, proxies: frozenset[int]) -> None:
-        """Replace the set of live proxies; a dead proxy's successors move up in the order."""
+        """Replace the set of live proxies; the proxies after a dead one move up in the order."""
         if proxies == self._live_peers:
             return
         self._live_peers = proxies
@@ -273,7 +273,7 @@
         return HealthCheckCompleted(server_id, AttemptResult.OK, 0, report)
 
     def _postpone_checks(self, now_us: int) -> None:
-        """Postpone checks of partitions reported right now.
+        """Postpone checks of the partitions that a report has just covered.
 
         If this proxy was isolated until now, checks of the other partitions are brought forward to
         the regular takeover time.
--- a/larchhaven/routing/actions.py
+++ b/larchhaven/routing/actions.py
@@ -16,7 +16,7 @@
     Attributes:
         request_id: Id of the request.
         server_id: The server to send it to.
-        timeout_us: Time limit of the attempt; 0 for no limit but the deadline of the request.
+        timeout_us: Time limit of the attempt; 0 if only the deadline of the request limits it.
     """
 
     request_id: int
@@ -30,7 +30,7 @@
 
     Attributes:
         request_id: Id of the request.
-        retry_after_us: Advice to the client when to retry; 0 for none.
+        retry_after_us: Delay after which the client is advised to retry; 0 for no advice.
     """
 
     request_id: int
--- a/larchhaven/routing/admission.py
+++ b/larchhaven/routing/admission.py
@@ -68,7 +68,8 @@
         rank = self._rank(density)
         self._recent_densities.append(density)
         usable = [server for _, server in self._ranking.usable_servers(request)]
-        # Without load reports, slow messages are the only sign of a full fleet.
+        # Without load reports, slow messages are the only sign of a full fleet. Servers that look
+        # full are therefore left out only if there are reports.
         has_reports = self._load_estimate.has_reports()
         occupancy_ratio = self._load_estimate.occupancy_ratio
         open_servers = usable
--- a/larchhaven/routing/arrival_statistics.py
+++ b/larchhaven/routing/arrival_statistics.py
@@ -8,7 +8,7 @@
 from larchhaven.routing.scheduler import Scheduler
 
 INITIAL_LOAD_CORES = 0.04  # assumed load of a connection until loads are reported
-SAMPLE_WEIGHT = 0.05  # of a new sample in the moving averages
+SAMPLE_WEIGHT = 0.05  # weight of a new sample in the moving averages
 INITIAL_SAMPLES = 2  # weight of the initial load in the observed load, in samples
 MIN_LOAD_CORES = 1e-6  # lower bound for loads used as divisors
 ARRIVAL_WINDOW_US = 5_000_000  # several report lags, so that bursts are visible
@@ -61,13 +61,13 @@
     def expected_load(self, duration_us: int) -> float:
         """Return the load, in cores, that a proxy at this arrival rate places within a duration."""
         self._remove_old_arrivals()
-        # The arrival that is being placed says nothing about the rate and is not counted. If it is
-        # the only one, half an arrival is assumed, since some are to be expected.
-        others = max(len(self._arrivals_us) - 1, 0.5)
-        return others * duration_us / ARRIVAL_WINDOW_US * self.mean_load
+        # The arrival that is being placed is not counted, as it does not show the rate. If it is
+        # the only one, half an arrival is assumed, since further arrivals are to be expected.
+        other_arrivals = max(len(self._arrivals_us) - 1, 0.5)
+        return other_arrivals * duration_us / ARRIVAL_WINDOW_US * self.mean_load
 
     def restore(self, mean_load: float, class_loads: Sequence[float], arrival_count: int) -> None:
-        """Restore the statistics of this proxy's previous process after a hot restart."""
+        """Restore the statistics that the predecessor hands over at a hot restart."""
         self.mean_load = mean_load
         self.class_loads = list(class_loads)
         self._arrivals_us = deque([self._scheduler.now_us] * arrival_count)
--- a/larchhaven/routing/attempts.py
+++ b/larchhaven/routing/attempts.py
@@ -70,7 +70,7 @@
         self._placement = placement
 
     def on_connection_restored(self, event: ConnectionRestored) -> None:
-        """Add a connection that this proxy's previous process established before a hot restart."""
+        """Add a connection that the predecessor established before a hot restart."""
         request = self._placement.add_request(event.arrival)
         request.begin_attempt(self._servers.get(event.server_id))
         request.establish()
--- a/larchhaven/routing/circuit_breaker.py
+++ b/larchhaven/routing/circuit_breaker.py
@@ -9,8 +9,8 @@
 from larchhaven.routing.settings import RoutingSettings
 
 FAILURE_THRESHOLD = 2
-OPEN_OBJECTIVES = 0.5  # open time at the threshold, in multiples of the shortest objective
-MAX_OPEN_OBJECTIVES = 8
+OPEN_OBJECTIVES = 0.5  # open time at the threshold, in multiples of the shortest latency objective
+MAX_OPEN_OBJECTIVES = 8  # longest open time before jitter, in the same unit
 MAX_DOUBLINGS = 20
 
 # Failures with a cause that servers may share, such as a slow store behind all of them.
--- a/larchhaven/routing/endpoint_list.py
+++ b/larchhaven/routing/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list: watch events, polls after a failure, and administrative ejection."""
+"""The endpoint list: its updates, retries of the watch, and administrative ejection."""
 
 from __future__ import annotations
 
@@ -24,21 +24,23 @@
 from larchhaven.routing.settings import RoutingSettings
 from larchhaven.routing.slow_start import SlowStart
 
-MIN_JITTER_FRACTION = 0.1  # of the maximum backoff; lower bound of the jitter window
-MAX_JITTER_FRACTION = 0.5  # of the maximum backoff; the first poll is sent within this time
-POLL_INTERVAL_PER_PROXY_US = 125_000  # closer polls may all time out at the endpoint service
-MIN_RETRY_DELAY_FRACTION = 1 / 3  # of the backoff; lower bound of the jittered retry delay
+# Bounds of the jitter window, as fractions of the maximum backoff. The first poll is sent within
+# this window.
+MIN_JITTER_FRACTION = 0.1
+MAX_JITTER_FRACTION = 0.5
+POLL_INTERVAL_PER_PROXY_US = 125_000  # discovery may time out on all polls if they are closer
+MIN_RETRY_DELAY_FRACTION = 1 / 3  # shortest retry delay, as a fraction of the backoff
 MIN_WEIGHT = 1e-3  # weights are divisors
 
 
 class PollBackoff:
-    """Schedules polls of the endpoint list: one at the start, and retries with backoff."""
+    """Schedules the opening of the watch: at the start, and with backoff after a failure."""
 
     def __init__(self, settings: RoutingSettings, scheduler: Scheduler, rng: random.Random) -> None:
         self._scheduler = scheduler
         self._rng = rng
-        # A proxy is deemed to know a pushed list at once, so that retries have to come
-        # within the drain grace.
+        # If lists are pushed, a proxy is assumed to know each one at once, so that retries have to
+        # come within the drain grace.
         if settings.subscribes_to_endpoints:
             self._max_backoff_us = settings.poll_deadline_us
         else:
--- a/larchhaven/routing/events.py
+++ b/larchhaven/routing/events.py
@@ -101,12 +101,12 @@
         request_id: Id of the request, valid until its final answer or the end of its connection.
         class_index: Index of the request class in the settings.
         budget_us: Time left until the deadline.
-        tenant_index: Index of the tenant in the settings; past the last one for no tenant.
+        tenant_index: Index of the tenant in the settings; any higher index means no tenant.
         affinity_key: Key of the connection, by which its server is found again mid-flow.
         load: Load that the client announces, if any.
         affinity_group: Group of clients that cost less if they share a server, if any.
         is_retry: Whether the client has sent this request before.
-        is_mid_flow: Whether the connection was established through another proxy.
+        is_mid_flow: Whether the connection is already established, possibly through another proxy.
         is_reconnect: Whether the client was connected before.
         pinned_server_id: The only server that may be used, as it already holds the connection;
             None if any server may be used.
@@ -152,7 +152,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GossipReceived:
-    """A message from another proxy, or from the other process at a hot restart."""
+    """A message from another proxy, or from the predecessor or successor at a hot restart."""
 
     sender_index: int
     message: GossipMessage
@@ -180,7 +180,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerUnresponsive:
-    """A message on a connection has gone unanswered for so long that the connection must move."""
+    """A message has been unanswered for ``silent_us``, and its connection must be migrated."""
 
     request_id: int
     attempt: int
@@ -205,7 +205,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LivePeersChanged:
-    """The proxies, this one included, not known to have failed or left; initially all of them."""
+    """The live proxies: all, including this one, that are not known to have failed or left."""
 
     proxies: frozenset[int]
 
--- a/larchhaven/routing/gossip_messages.py
+++ b/larchhaven/routing/gossip_messages.py
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StickyEntries:
-    """Sticky entries of connections that are established."""
+    """Sticky entries of established connections."""
 
     entries: tuple[StickyEntry, ...]
 
@@ -39,7 +39,7 @@
     Attributes:
         arrival_count: Number of arrivals in the window that the arrival rate is taken from.
         mean_load: Average load of a connection, in cores.
-        migration_credit: Number of migrations that rebalancing may still spend.
+        migration_credit: Number of migrations that rebalancing may still make.
         class_loads: Average load of a connection, by class, in cores.
     """
 
--- a/larchhaven/routing/health_checks.py
+++ b/larchhaven/routing/health_checks.py
@@ -16,15 +16,16 @@
 MIN_CHECKS_PER_REQUEST = 1
 MAX_CHECKS_PER_REQUEST = 8
 MAX_WAIT_OBJECTIVES = 0.2  # longest wait of a request for its checks, in latency objectives
-MIN_TIME_LEFT_WAITS = 4  # a request with less time left, in such waits, gets no checks
+MIN_TIME_LEFT_WAITS = 4  # a request with less time left than this many waits gets no checks
 MAX_GROUP_CHECKS = 3  # servers checked one by one for a request of an affinity group
 
 
 class HealthChecks:
     """Starts health checks within a credit that each arriving request adds to.
 
-    Checks precede placements, and refresh the oldest report. A periodic sweep of all servers would
-    be expensive, or leave reports stale.
+    Most checks precede a placement or refresh the oldest report; the others follow a rebalancing or
+    the end of an administrative ejection. A periodic check of all servers would be expensive, or
+    leave reports stale.
     """
 
     def __init__(
@@ -109,7 +110,7 @@
         """Check a server without charging the credit.
 
         Returns:
-            Whether a check was started; not if checks are disabled or one is already in flight.
+            Whether a check was started; False if checks are disabled or one is already in flight.
         """
         if not self._is_allowed or server.id in self._waiting:
             return False
--- a/larchhaven/routing/load_estimate.py
+++ b/larchhaven/routing/load_estimate.py
@@ -1,4 +1,4 @@
-"""Estimated load of a server: its last report, decayed with age, and own placements since."""
+"""Estimated load of a server: its last report, decayed with age, and placements since then."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from larchhaven.routing.scheduler import Scheduler
 from larchhaven.routing.server import MAX_UNREPORTED_CHANGES, Server
 
-REPORT_LAG_US = 800_000  # age of the load in a report on arrival: refresh interval, transport
+REPORT_LAG_US = 800_000  # age of the load in a received report: refresh interval plus transport
 REPORT_HALF_LIFE_US = 10_000_000
 SATURATED_RATIO = 2.0  # cap on reported ratios, which overstate the load under overload
 FULL_PENALTY_RATIO = 1.0  # added to the load ratio of a full or slow server
 FULL_LOAD_RATIO = 0.85  # a server above this gets no new connections
-MIN_TOTAL_WEIGHT = 1e-6  # with less, no server counts as reporting
-MAX_EXTRAPOLATED_PROXIES = 4  # own placements are scaled up for at most this many proxies
+MIN_TOTAL_WEIGHT = 1e-6  # below this total weight, no server counts as reporting
+MAX_EXTRAPOLATED_PROXIES = 4  # own placements are scaled up by at most this many proxies
 
 
 class LoadEstimate:
--- a/larchhaven/routing/migration.py
+++ b/larchhaven/routing/migration.py
@@ -40,7 +40,8 @@
 
     Attributes:
         max_arrival_multiple: Maximum rate, as a multiple of the arrival rate of new connections.
-        max_grace_multiple: Maximum duration, in drain graces; takes precedence over the rate.
+        max_grace_multiple: Maximum duration, as a multiple of the drain grace; takes precedence
+            over the rate.
     """
 
     max_arrival_multiple: float = 4.0
@@ -49,7 +50,7 @@
 
 REBALANCING = RebalancingLimits()
 DRAIN_PACE = DrainPace()
-SHUTDOWN_FRACTION = 0.8  # of the time left to a draining proxy, spent on migrations
+SHUTDOWN_FRACTION = 0.8  # a draining proxy spreads its migrations over this fraction of its time
 
 
 class Migration:
--- a/larchhaven/routing/peer_gossip.py
+++ b/larchhaven/routing/peer_gossip.py
@@ -1,4 +1,4 @@
-"""Gossip between proxies, and between two processes of one proxy at a hot restart."""
+"""Gossip between proxies, and between predecessor and successor at a hot restart."""
 
 from __future__ import annotations
 
--- a/larchhaven/routing/placement.py
+++ b/larchhaven/routing/placement.py
@@ -23,10 +23,11 @@
 from larchhaven.routing.settings import RoutingSettings
 from larchhaven.routing.slow_start import SlowStart
 
-# An attempt leaves the next one the latency objective, or this part of the time left if shorter.
+# The timeout of an attempt leaves the latency objective for the next attempt, or this fraction of
+# the time left if that is shorter.
 ATTEMPT_TIME_FRACTION = 0.5
 HOLD_OBJECTIVES = 0.25  # retry interval of a request without a ready server, in latency objectives
-MAX_STICKY_QUERY_US = 100_000  # longest wait of a mid-flow connection for other proxies
+MAX_STICKY_QUERY_US = 100_000  # longest wait of a mid-flow connection for a sticky entry
 
 
 class Placement:
--- a/larchhaven/routing/ranking.py
+++ b/larchhaven/routing/ranking.py
@@ -1,6 +1,6 @@
 """Least ratio routing: ranks the ready servers by load over capacity, and finds near ties.
 
-Follows Alanyali and Hajek: a connection goes to the server of the lowest ratio, and stays there.
+Follows Alanyali and Hajek: a connection goes to the server with the lowest ratio, and stays there.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 RANKING_INTERVAL_US = 1_000_000  # all servers are ranked again at this interval, as reports age
 SLOW_OR_FULL_US = 2_000_000  # a server counts as slow or full for this long
-HEAVY_MULTIPLE = 2.0  # of the mean load; a heavier connection adds its own load to the ratios
+HEAVY_MULTIPLE = 2.0  # a load above this multiple of the mean is added to the compared ratios
 GROUP_BAND_RATIO = 0.4  # maximum width of a group's near-tie band above the lowest ratio
 MIN_SHARE = 1e-9  # a weighted draw needs a positive total
 _RENDEZVOUS_MULTIPLIER = 0x9E3779B97F4A7C15  # 2**64 over the golden ratio
@@ -135,7 +135,7 @@
         ejections_enforced = self._ejection.is_enforced(self.entries)
         entries = self.entries
         tried_servers = request.tried_servers
-        is_first = request.first_executed_on is None
+        is_unexecuted = request.first_executed_on is None
         if request.load > HEAVY_MULTIPLE * self._arrivals.mean_load:
             load = request.load
             entries = sorted((r + load / server.weight, t, server) for r, t, server in entries)
@@ -146,7 +146,7 @@
                 or server in tried_servers
             ):
                 continue
-            if is_first or self._retry_policy.is_in_scope(request, server):
+            if is_unexecuted or self._retry_policy.is_in_scope(request, server):
                 yield ratio, server
 
     def count_unavailable_servers(self) -> int:
--- a/larchhaven/routing/request.py
+++ b/larchhaven/routing/request.py
@@ -51,23 +51,23 @@
         deadline_us: Time at which its final answer is due.
         load: Load of its connection in cores, estimated until reported (``attempts``).
         key_hash: Short hash of its affinity key; empty if it has none.
-        is_mid_flow: Whether its connection was established through another proxy.
+        is_mid_flow: Whether its connection is already established, possibly through another proxy.
         group_hash: Hash of its affinity group, if it has one.
         pinned_server_id: The only server that it may go to, if it is pinned to one.
         tenant_index: Index of its tenant in the settings.
         state: Current state.
         attempt_count: Attempts started so far.
-        attempt_in_flight: Number of the attempt in flight, or of that which became the connection.
+        attempt_in_flight: Number of the attempt that is in flight or became the connection, if any.
         server: Server of the last attempt.
         first_executed_on: Server that may have executed it first, if any (``retries``).
         first_executed_at_us: Start of that attempt (``retries``).
-        tried_servers: Servers on which an attempt failed (``retries``).
+        tried_servers: Servers on which an attempt ended (``retries``).
         suspected_outliers: Servers that failed fast; the request may be at fault instead
             (``attempts``).
         pending_checks: Number of health checks that it waits for (``health_checks``).
         checked_servers: Servers that were health-checked for it (``health_checks``).
-        wait_count: Starts and ends of waits, so that a stale timer does not end a later wait
-            (``placement``).
+        wait_count: Number of starts and ends of waits, so that a stale timer does not end a later
+            wait (``placement``).
     """
 
     id: int
--- a/larchhaven/routing/retries.py
+++ b/larchhaven/routing/retries.py
@@ -78,7 +78,7 @@
     def record_end(
         self, request: Request, server: Server, result: AttemptResult, latency_us: int
     ) -> None:
-        """Record that an attempt failed on a server, and whether it may have been executed."""
+        """Record the end of an attempt, and whether the server may have executed the request."""
         if result in MAYBE_EXECUTED_RESULTS and request.first_executed_on is None:
             request.first_executed_on = server
             request.first_executed_at_us = self._scheduler.now_us - latency_us
--- a/larchhaven/routing/server.py
+++ b/larchhaven/routing/server.py
@@ -7,7 +7,7 @@
 
 from larchhaven.routing.events import Endpoint, ServerState
 
-# Load changes kept until a report contains them; more do not occur within the report lag.
+# Load changes kept until a report contains them; there are fewer within the report lag.
 MAX_UNREPORTED_CHANGES = 512
 
 # An ejection that ended this long ago no longer lengthens the next one.
@@ -40,11 +40,12 @@
         full_until_us: Time until which it counts as full after a rejection (``ranking``).
         reported_ratio: Load over capacity in its last report (``load_estimate``).
         reported_at_us: When that report was received (``load_estimate``).
-        unreported_load: Load changes by this proxy that no report can contain yet, in cores
+        unreported_load: Sum of load changes by this proxy that no report can contain yet, in cores
             (``load_estimate``).
         unreported_changes: Time and size of each of these changes (``load_estimate``).
         next_rebalance_at_us: Earliest time of the next check for an overload (``migration``).
-        migrated_until_us: Time until which reports may not show migrations (``migration``).
+        migrated_until_us: Time until which reports may not show its last rebalancing yet
+            (``migration``).
         ejection_us: Length of the last ejection, before jitter (``outlier_ejection``).
         ejected_until_us: End of the last ejection (``outlier_ejection``).
         warm_at_us: End of its slow start (``slow_start``).
--- a/larchhaven/routing/settings.py
+++ b/larchhaven/routing/settings.py
@@ -126,7 +126,7 @@
         over_quota_priority_factor: Factor on the priority weight of a tenant over its quota.
         subscribes_to_endpoints: Whether the proxy has to watch the endpoint list; if not, lists
             are pushed.
-        poll_deadline_us: Time without a poll after which a proxy is deemed to know the list.
+        poll_deadline_us: Time after which a proxy is assumed to know the list even without a poll.
         response_slack_us: Extra time after a deadline in which an answer is still accepted.
         can_cancel: Whether an attempt can be cancelled at the server.
         can_hedge: Whether a request may have two attempts in flight at once.
--- a/larchhaven/routing/settings_codec.py
+++ b/larchhaven/routing/settings_codec.py
@@ -121,8 +121,8 @@
             raise FormatError(f"a value for setting {path}, which is missing")
         return default
 
-    def whole(self, path: str, default: int | None = None) -> int:
-        """Return a whole number; a fraction is rounded."""
+    def integer(self, path: str, default: int | None = None) -> int:
+        """Return an integer; a fraction is rounded."""
         return round(self.number(path, None if default is None else float(default)))
 
     def number(self, path: str, default: float | None = None) -> float:
@@ -150,7 +150,7 @@
 
     def count(self, path: str, default: int | None = None) -> int:
         """Return the number of objects in a list."""
-        return self.whole(f"{path}.count", default)
+        return self.integer(f"{path}.count", default)
 
 
 def _decode(reader: _SettingsReader) -> RoutingSettings:
@@ -163,32 +163,32 @@
 def _routing_settings(reader: _SettingsReader) -> RoutingSettings:
     return RoutingSettings(
         classes=tuple(_request_class(reader, i) for i in range(reader.count("services"))),
-        proxy_count=reader.whole("instances"),
-        proxy_index=reader.whole("index"),
-        drain_grace_us=reader.whole("contract.stop_sending_within"),
-        slow_start_us=reader.whole("contract.cold"),
+        proxy_count=reader.integer("instances"),
+        proxy_index=reader.integer("index"),
+        drain_grace_us=reader.integer("contract.stop_sending_within"),
+        slow_start_us=reader.integer("contract.cold"),
         slow_start_initial_fraction=reader.number("contract.cold_from"),
         collapse_multiple=reader.number("contract.tip_multiple"),
-        collapse_delay_us=reader.whole("contract.tip_after"),
-        max_attempts=reader.whole("policy_limits.most_tries"),
-        zone=reader.whole("zone", 0),
+        collapse_delay_us=reader.integer("contract.tip_after"),
+        max_attempts=reader.integer("policy_limits.most_tries"),
+        zone=reader.integer("zone", 0),
         zone_count=max(1, len(reader.items("zones"))),
-        timer_resolution_us=reader.whole("tick"),
+        timer_resolution_us=reader.integer("tick"),
         tenants=tuple(_tenant(reader, i) for i in range(reader.count("parties", 0))),
         over_quota_priority_factor=reader.number("over_share_worth", 1.0),
         subscribes_to_endpoints=reader.word("discovery", SUBSCRIPTION_WORDS),
-        poll_deadline_us=reader.whole("contract.ask_within", POLL_DEADLINE_US),
-        response_slack_us=reader.whole("contract.answer_slack", 0),
+        poll_deadline_us=reader.integer("contract.ask_within", POLL_DEADLINE_US),
+        response_slack_us=reader.integer("contract.answer_slack", 0),
         can_cancel=reader.flag("policy_limits.cancel"),
         can_hedge=reader.flag("policy_limits.parallel_tries"),
         can_check_health=reader.flag("policy_limits.probes"),
         can_gossip=reader.flag("policy_limits.may_tell"),
         sends_retry_after=reader.flag("policy_limits.retry_after"),
-        max_retry_after_us=reader.whole("policy_limits.max_retry_after", 0),
-        max_open_connections=reader.whole("policy_limits.max_open", 0),
-        connect_timeout_us=reader.whole("policy_limits.connect_timeout", CONNECT_TIMEOUT_US),
+        max_retry_after_us=reader.integer("policy_limits.max_retry_after", 0),
+        max_open_connections=reader.integer("policy_limits.max_open", 0),
+        connect_timeout_us=reader.integer("policy_limits.connect_timeout", CONNECT_TIMEOUT_US),
         pass_through=reader.text("family_info.mode", "proxy") == "pass",
-        idle_park_us=reader.whole("family_info.park", 0),
+        idle_park_us=reader.integer("family_info.park", 0),
         has_load_updates=reader.flag("family_info.tells_load"),
         has_delay_updates=reader.flag("family_info.tells_delay"),
         has_affinity_groups=reader.flag("family_info.groups"),
@@ -210,13 +210,13 @@
     path = f"services.{index}"
     message_objective_us = reader.number_at("family_info.message_aim", index, 0.0)
     return RequestClass(
-        latency_objective_us=reader.whole(f"{path}.aim"),
-        deadline_us=reader.whole(f"{path}.deadline"),
+        latency_objective_us=reader.integer(f"{path}.aim"),
+        deadline_us=reader.integer(f"{path}.deadline"),
         priority_weight=reader.number(f"{path}.credit", 1.0),
         late_priority_weight=reader.number(f"{path}.late_worth", 0.0),
         idempotency=reader.word(f"{path}.repeat", IDEMPOTENCY_WORDS),
         deduplication_scope=reader.word(f"{path}.group", SCOPE_WORDS, "all"),
-        deduplication_window_us=reader.whole(f"{path}.window", 0),
+        deduplication_window_us=reader.integer(f"{path}.window", 0),
         is_long_lived=reader.flag(f"{path}.stream"),
         message_latency_objective_us=round(message_objective_us),
     )
--- a/larchhaven/routing/slow_start.py
+++ b/larchhaven/routing/slow_start.py
@@ -29,7 +29,7 @@
 
     Attributes:
         interval_us: Warm time between two tokens.
-        valid_fraction: Fraction of that time for which the first one is valid.
+        valid_fraction: Fraction of this interval for which a token is valid.
     """
 
     interval_us: float
@@ -58,12 +58,12 @@
         """Begin the slow start of a server, as of ``server.started_at_us``.
 
         Args:
-            server: The server; it is warm at once if its start time is unknown.
+            server: The server; it is warm at once if it has no start time.
             jitter: Position of this proxy's first token within its turn, from 0 to 1.
         """
         slow_start_us = self._settings.slow_start_us
-        is_known = server.started_at_us and slow_start_us
-        server.warm_at_us = server.started_at_us + slow_start_us if is_known else 0
+        warms_up = server.started_at_us and slow_start_us
+        server.warm_at_us = server.started_at_us + slow_start_us if warms_up else 0
         if server.warm_at_us <= self._scheduler.now_us:
             return
         turn = (self._settings.proxy_index + jitter) / self._settings.proxy_count
@@ -139,8 +139,8 @@
         capacity = server.weight / self._connection_load()
         limit = settings.collapse_multiple * capacity * warm_window_us / settings.slow_start_us
         proxies = self._live_peers.count
-        # A collapse takes two square roots of the limit more, to allow for random arrivals; one of
-        # them is used here.
+        # A server collapses only at two square roots above the limit, to allow for random arrivals;
+        # one of them is used here.
         share = (FILL_FRACTION * limit + math.sqrt(limit) + 1) / proxies
         arrivals = self._arrivals.arrivals_per_us() * collapse_delay_us
         optimum = share / (1 + math.sqrt(2 / arrivals))
--- a/larchhaven/simulator/codec.py
+++ b/larchhaven/simulator/codec.py
@@ -221,8 +221,8 @@
 
 
 def _decode_connection_restored(line: Sequence[str]) -> ConnectionRestored:
-    _, op_id, budget, stray, profile, effort, reconnect, *rest = line
-    affinity, customer, server, retry, group = rest
+    _, op_id, budget, stray, profile, effort, reconnect, *remaining = line
+    affinity, customer, server, retry, group = remaining
     arrival = RequestArrived(
         request_id=read_int(op_id, "op_id"),
         class_index=read_int(profile, "profile"),
--- a/larchhaven/simulator/host.py
+++ b/larchhaven/simulator/host.py
@@ -44,7 +44,7 @@
 
 
 class SimulatorHost:
-    """Runs the simulated proxies of one process, which share nothing but its input and output.
+    """Runs the simulated proxies of one process, which share only its input and output.
 
     Args:
         lines: The lines that the simulator sends.
