--- a/tests/gossip/test_shared_health_checks.py
+++ b/tests/gossip/test_shared_health_checks.py
@@ -64,12 +64,12 @@
 
     def run(self, start_us: int, end_us: int) -> None:
         for now in range(start_us, end_us, 50_000):
-            for i, checks in enumerate(self.proxies):
+            for index, checks in enumerate(self.proxies):
                 if not self.is_partitioned and now % 1_000_000 == 0:
                     checks.record_contact(now)  # other gossip, which each placement causes
-                actions = checks.run_due(now) if i not in self.dead else []
+                actions = checks.run_due(now) if index not in self.dead else []
                 for gossip in actions_of(SendGossip, actions):
-                    self._send(now, i, gossip.message)
+                    self._send(now, index, gossip.message)
                 for check in actions_of(CheckHealth, actions):
                     self.check_counts[check.server_id] += 1
                     ratio = self.ratios[check.server_id]
@@ -84,10 +84,10 @@
     def _send(self, now: int, sender: int, message: GossipMessage) -> None:
         assert len(encode(message)) <= 256
         self.messages_sent += 1
-        for i, receiver in enumerate(self.proxies):
-            if i != sender and i not in self.dead and not self.is_partitioned:
+        for index, receiver in enumerate(self.proxies):
+            if index != sender and index not in self.dead and not self.is_partitioned:
                 assert isinstance(message, SharedLoadReports)
-                self.received[i] += receiver.receive_reports(now, message)
+                self.received[index] += receiver.receive_reports(now, message)
 
 
 def test_checks_do_not_grow_with_the_fleet_and_all_proxies_learn_of_changes() -> None:
@@ -104,12 +104,12 @@
     fleet.ratios["s7"] = -1
     fleet.run(START_US + 10_000_000, START_US + 11_100_000)
     assert fleet.messages_sent <= sent + 4 + 2
-    for i, received in fleet.received.items():
+    for index, received in fleet.received.items():
         last = {result.server_id: result for result in received}
-        if (i - (crc32(b"s3") >> 16) % 4 * 10) % 40:  # all but the proxy that checks s3
+        if (index - (crc32(b"s3") >> 16) % 4 * 10) % 40:  # all but the proxy that checks s3
             assert last["s3"].report is not None
             assert last["s3"].report.load_ratio == 1.5
-        if (i - (crc32(b"s7") >> 16) % 4 * 10) % 40:
+        if (index - (crc32(b"s7") >> 16) % 4 * 10) % 40:
             assert last["s7"].result is AttemptResult.RESET
 
 
@@ -280,8 +280,8 @@
         fleet.dead = {i for i in range(40) if i % 10 < 7}
         fleet.check_counts.clear()
         if knows_deaths:
-            for i, checks in enumerate(fleet.proxies):
-                if i not in fleet.dead:
+            for index, checks in enumerate(fleet.proxies):
+                if index not in fleet.dead:
                     checks.update_live_peers(
                         START_US + 3_000_000, frozenset(range(40)) - fleet.dead
                     )
--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -58,9 +58,10 @@
     servers = [Endpoint(f"s{i}", zone=int(i > 0)) for i in range(5)]
     balancer.handle(START_US, [EndpointListUpdate(EndpointListKind.COMPLETE, 2, tuple(servers))])
     balancer.handle(START_US, [load_report(0, 0.7), *(load_report(i, 0.1) for i in range(1, 5))])
-    for i in range(40):  # earlier arrivals, against which priorities are ranked
+    for request in range(40):  # earlier arrivals, against which priorities are ranked
         balancer.handle(
-            START_US, [RequestArrived(i, 0, 1_200_000, load=0.001), ClientDisconnected(i)]
+            START_US,
+            [RequestArrived(request, 0, 1_200_000, load=0.001), ClientDisconnected(request)],
         )
     assert (
         actions_of(RejectRequest, balancer.handle(START_US + 1, [request_arrived(99, load=0.002)]))
@@ -144,12 +145,13 @@
     """
     balancer = make_balancer(6)
     balancer.handle(START_US, [load_report(i, 0.3 if i < 4 else 0.8) for i in range(6)])
-    for i in range(40):  # earlier arrivals, against which priorities are ranked
+    for request in range(40):  # earlier arrivals, against which priorities are ranked
         balancer.handle(
-            START_US, [RequestArrived(i, 0, 1_200_000, load=0.001), ClientDisconnected(i)]
+            START_US,
+            [RequestArrived(request, 0, 1_200_000, load=0.001), ClientDisconnected(request)],
         )
-    for i in range(4):
-        balancer.servers[f"s{i}"].full_until_us = START_US + 2_000_000
+    for full_server in range(4):
+        balancer.servers[f"s{full_server}"].full_until_us = START_US + 2_000_000
     for server in balancer.servers.values():
         balancer.ranking.reorder_server(server)
     assert actions_of(
@@ -187,9 +189,10 @@
     """
     balancer = make_balancer(4)
     balancer.handle(START_US, [load_report(i, 0.82) for i in range(3)])
-    for i in range(40):
+    for request in range(40):
         balancer.handle(
-            START_US, [RequestArrived(i, 0, 1_200_000, load=0.001), ClientDisconnected(i)]
+            START_US,
+            [RequestArrived(request, 0, 1_200_000, load=0.001), ClientDisconnected(request)],
         )
     assert actions_of(
         RejectRequest, balancer.handle(START_US + 1, [request_arrived(98, load=0.002)])
--- a/tests/routing/test_affinity_groups.py
+++ b/tests/routing/test_affinity_groups.py
@@ -78,12 +78,12 @@
     """
     balancer = make_balancer(12, can_check_health=True)
     balancer.handle(START_US, [load_report(i, 0.1) for i in range(12)])
-    for i in range(1, 9):  # arrivals earn credit for health checks
+    for request in range(1, 9):  # arrivals earn credit for health checks
         balancer.handle(
             START_US,
             [
-                RequestArrived(i, 0, 1_200_000, load=0.001, pinned_server_id="s0"),
-                ClientDisconnected(i),
+                RequestArrived(request, 0, 1_200_000, load=0.001, pinned_server_id="s0"),
+                ClientDisconnected(request),
             ],
         )
     order, now = list[str](), START_US + 1_000_000
@@ -123,12 +123,12 @@
     balancer = make_balancer(12, can_check_health=True)
     # Only these two servers have reports; for the others, the mean of these reports is assumed.
     balancer.handle(START_US, [load_report(i, 0.1) for i in range(2, 4)])
-    for i in range(1, 9):  # arrivals earn credit for health checks
+    for request in range(1, 9):  # arrivals earn credit for health checks
         balancer.handle(
             START_US,
             [
-                RequestArrived(i, 0, 1_200_000, load=0.001, pinned_server_id="s2"),
-                ClientDisconnected(i),
+                RequestArrived(request, 0, 1_200_000, load=0.001, pinned_server_id="s2"),
+                ClientDisconnected(request),
             ],
         )
     order, actions = list[str](), balancer.handle(START_US + 100, [*events, group_request(9, 20)])
--- a/tests/routing/test_large_fleets.py
+++ b/tests/routing/test_large_fleets.py
@@ -64,21 +64,21 @@
     answered: set[int] = set()
     failed = 0
     while queue and queue[0][0] < START_US + 20_000_000:
-        now, _, i, event = heapq.heappop(queue)
-        for action in proxies[i].handle(now, [event]):
+        now, _, index, event = heapq.heappop(queue)
+        for action in proxies[index].handle(now, [event]):
             order += 1
             if isinstance(action, StartTimer):
                 heapq.heappush(
-                    queue, (now + action.delay_us, order, i, TimerFired(action.timer_id))
+                    queue, (now + action.delay_us, order, index, TimerFired(action.timer_id))
                 )
             elif isinstance(action, WatchEndpoints):
                 free_at_us = max(free_at_us, now) + service_time_us
                 if free_at_us > now + MAX_WAIT_US:
                     failed += 1
                     answer = EndpointListUpdate(EndpointListKind.FAILED)
-                    heapq.heappush(queue, (now + MAX_WAIT_US, order, i, answer))
+                    heapq.heappush(queue, (now + MAX_WAIT_US, order, index, answer))
                 else:
-                    answered.add(i)
+                    answered.add(index)
     assert len(answered) == count
     assert failed <= count // 10
 
@@ -159,12 +159,12 @@
                 if action.peer_index is None
                 else [action.peer_index]
             )
-            for i in set(peer_indices) & set(alive):
+            for peer in set(peer_indices) & set(alive):
                 answers = actions_of(
                     SendGossip,
-                    proxies[i].handle(START_US + 2, [GossipReceived(proxy, action.message)]),
+                    proxies[peer].handle(START_US + 2, [GossipReceived(proxy, action.message)]),
                 )
-                pending += [(i, answer) for answer in answers]
+                pending += [(peer, answer) for answer in answers]
 
     established = {}
     for key in range(120):
