--- a/larchhaven/soak/run.py
+++ b/larchhaven/soak/run.py
@@ -94,7 +94,7 @@
         outcome: The outcome of the scenario.
         samples: The samples in chronological order.
         warm_up_s: Initial period that is excluded from the slopes.
-        judges_slope: Whether the slopes count.
+        judges_slope: Whether the verdict includes the slopes.
 
     Raises:
         NoSamplesError: There are no samples.
--- a/larchhaven/soak/scenario.py
+++ b/larchhaven/soak/scenario.py
@@ -15,10 +15,10 @@
 SERVER_COUNT = 10
 SERVER_SETUP_MS = 4
 MIN_SERVER_CAPACITY = 150
-# Ten servers with a quarter each have more than twice the capacity that the established connections
-# need, so no server rejects a request.
+# Capacity of one server as a fraction of all established connections. The servers together have
+# more than twice the capacity that these connections need, so no server rejects a request.
 SERVER_CAPACITY_FRACTION = 0.25
-# No event is scheduled in this last period, so that the effects of the last one still show.
+# No event is scheduled this close to the end, so that the effects of the last one can be observed.
 QUIET_END_S = 3.0
 USUAL_CLASS = "cevap-kaydet"
 URGENT_CLASS = "sinav-bitir"
--- a/larchhaven/soak/slope.py
+++ b/larchhaven/soak/slope.py
@@ -10,7 +10,7 @@
 from scipy import stats
 
 CONFIDENCE = 0.95
-# Samples are averaged over blocks before the fit, as neighbouring samples are strongly correlated.
+# Samples are averaged over blocks before the fit, as neighboring samples are strongly correlated.
 BLOCK_S = 30.0
 MIN_BLOCKS = 8
 MIN_SAMPLES = 2
@@ -65,7 +65,7 @@
 def fit_slope(times_s: Sequence[float], sizes_bytes: Sequence[float]) -> Slope | None:
     """Fit a line to samples.
 
-    The samples are averaged over blocks. The residuals of the blocks are modelled as a first-order
+    The samples are averaged over blocks. The residuals of the blocks are modeled as a first-order
     autoregressive process with coefficient r. Their effective number n(1-r)/(1+r) takes the place
     of n and widens the interval; otherwise a slow oscillation would look like a leak.
 
@@ -105,10 +105,10 @@
 
 def _measure_correlation(residuals: np.ndarray) -> float:
     """Return the lag-1 autocorrelation of the residuals, clamped to 0..``MAX_CORRELATION``."""
-    spread = float((residuals**2).sum())
-    if not spread:
+    sum_of_squares = float((residuals**2).sum())
+    if not sum_of_squares:
         return 0.0
-    correlation = float((residuals[1:] * residuals[:-1]).sum()) / spread
+    correlation = float((residuals[1:] * residuals[:-1]).sum()) / sum_of_squares
     return min(max(correlation, 0.0), MAX_CORRELATION)
 
 
--- a/larchhaven/soak/verdict.py
+++ b/larchhaven/soak/verdict.py
@@ -72,7 +72,7 @@
         classes: Outcomes of the requests, by request class.
         idle_connection_bytes: Bytes still charged to connections after all clients have left, by
             proxy.
-        judges_slope: Whether the slopes count; an abuse is too short for them.
+        judges_slope: Whether the verdict includes the slopes; an abuse is too short for them.
     """
 
     resident_slope: Slope | None
@@ -144,7 +144,7 @@
     Args:
         samples: The samples in chronological order.
         warm_up_s: Initial period that is excluded from the slopes.
-        judges_slope: Whether the slopes count.
+        judges_slope: Whether the verdict includes the slopes.
 
     Raises:
         NoSamplesError: There are no samples.
--- a/larchhaven/testbed/client_visit.py
+++ b/larchhaven/testbed/client_visit.py
@@ -192,7 +192,7 @@
             return None
 
     def _ends_connection(self, line: str) -> bool:
-        """Return whether a line ends the connection, and record that; an empty line is its end."""
+        """Return whether a line is MOVE, or empty at the end of the connection; record either."""
         statistics = self._outcomes.statistics_of(self._profile.request_class)
         if line == "MOVE":
             statistics.migrations += 1
--- a/larchhaven/testbed/event_record.py
+++ b/larchhaven/testbed/event_record.py
@@ -66,7 +66,8 @@
         kind: Kind of the event.
         request_id: Identity of the request or connection, if the event concerns one.
         server_name: Name of the upstream server or peer, if the event concerns one.
-        detail: A received or sent line, a health state or a cause, depending on the kind.
+        detail: A received or sent line, a health state, or which side ended an attempt, depending
+            on the kind.
         wait_us: For ``REQUEST_SENT``, the deadline of the request, counted from the event; for
             ``SERVER_STARTED_COLD``, the warm-up time of the server.
         amount: For ``SERVER_STARTED_COLD``, the capacity of the warm server in connections; for
--- a/larchhaven/testbed/faulty_network.py
+++ b/larchhaven/testbed/faulty_network.py
@@ -1,9 +1,9 @@
 """A faulty network between real processes: delay, loss and cuts, separate for each direction.
 
-Each process reaches every other process at an address that only this pair uses. A socket of the
-network is bound to that address and forwards each datagram to its target, sent from the address
-under which the target knows the sender. Faults are therefore injected outside the processes, and
-no privileges on the machine are needed.
+The network binds one socket for each ordered pair of processes. The first process of the pair sends
+its datagrams for the second one to that socket. The network forwards them from the socket of the
+reverse pair, so the receiver sees the address at which it reaches the sender. Faults are therefore
+injected outside the processes, and no privileges on the machine are needed.
 """
 
 from __future__ import annotations
@@ -102,10 +102,10 @@
     def peer_addresses(self, number: int) -> list[str]:
         """Return the peer table of a process; its own entry is the address it listens on."""
         addresses = []
-        for other, own_port in enumerate(self.ports):
-            port = own_port
-            if other != number:
-                transport = self._endpoints[number, other].transport
+        for peer, process_port in enumerate(self.ports):
+            port = process_port
+            if peer != number:
+                transport = self._endpoints[number, peer].transport
                 assert transport is not None
                 port = transport.get_extra_info("sockname")[1]
             addresses.append(f"{LOOPBACK}:{port}")
--- a/larchhaven/testbed/free_ports.py
+++ b/larchhaven/testbed/free_ports.py
@@ -41,7 +41,7 @@
 def find_free_port() -> int:
     """Return a port that was just found free for both UDP and TCP.
 
-    A process gets each port only once, as an earlier caller may not have bound its port yet.
+    No port is returned twice, as an earlier caller may not have bound its port yet.
     """
     while True:
         port = _random.choice(_port_range())
--- a/larchhaven/testbed/invariants.py
+++ b/larchhaven/testbed/invariants.py
@@ -14,7 +14,7 @@
     """Conditions that must hold in every run; the values appear in reports."""
 
     ONE_ANSWER = "one answer"  # each request gets one answer, by its deadline
-    DRAIN = "drain"  # no request reaches a draining server after the grace period
+    DRAIN = "drain"  # no request reaches a draining server after the drain grace
     ONE_EXECUTION = "one execution"  # no request has attempts at two servers at once
     SLOW_START = "cold"  # no server in slow start is overloaded
     MIGRATE_BEFORE_LOSS = "move before loss"  # proxies end connections only after MOVE
--- a/larchhaven/testbed/peers.py
+++ b/larchhaven/testbed/peers.py
@@ -10,7 +10,7 @@
 
 MAX_DATAGRAM_BYTES = 256
 MAX_RANDOM_SUFFIX_BYTES = 64
-# Random datagrams begin with the start of a real message, cut or complete, or with noise.
+# Prefixes of random datagrams: none, unknown message kinds, and data of at least the maximum size.
 _PREFIXES = (
     b"",
     b"?",
--- a/larchhaven/testbed/proxy_fleet.py
+++ b/larchhaven/testbed/proxy_fleet.py
@@ -1,7 +1,7 @@
 """A fleet of real proxy processes with a faulty network between them, controlled by a script.
 
 A script injects faults and waits for expectations. ``expect_agreement`` reads the membership views
-of processes over the management API and waits until all of them report the same, expected view.
+of processes over the admin API and waits until all of them report the same, expected view.
 Timing on real sockets differs from run to run. Every expectation therefore has an upper time limit
 and no lower one, so that the verdict does not depend on the timing.
 """
@@ -126,12 +126,12 @@
             self.proxies.append(self._make_proxy(number))
         slots = asyncio.Semaphore(MAX_CONCURRENT_STARTS)
 
-        async def start_one(proxy: ProxyProcess) -> None:
+        async def start_proxy(proxy: ProxyProcess) -> None:
             async with slots:
                 await proxy.start()
 
         try:
-            await asyncio.gather(*(start_one(proxy) for proxy in self.proxies))
+            await asyncio.gather(*(start_proxy(proxy) for proxy in self.proxies))
         except BaseException:
             await self.stop()
             raise
@@ -305,9 +305,9 @@
     def _find_disagreement(self, views: dict[int, dict[str, Any]], states: dict[int, str]) -> str:
         observers_by_view: dict[str, list[int]] = {}
         for number, view in views.items():
-            wrong = self._find_wrong_states(view, states)
-            if wrong or not view.get("sure"):
-                return f"{number} reports {', '.join(wrong) or 'an unconfirmed view'}"
+            wrong_states = self._find_wrong_states(view, states)
+            if wrong_states or not view.get("sure"):
+                return f"{number} reports {', '.join(wrong_states) or 'an unconfirmed view'}"
             content = [(m["number"], m["incarnation"], m["state"]) for m in view["members"]]
             observers_by_view.setdefault(str(content), []).append(number)
         if len(observers_by_view) == 1:
--- a/larchhaven/testbed/proxy_process.py
+++ b/larchhaven/testbed/proxy_process.py
@@ -49,7 +49,7 @@
         log: The last lines of its log.
         log_lines: Number of lines that it has logged so far.
         address: Address for clients; ``NOT_LISTENING`` until it listens.
-        management_address: Address of the management API; ``NOT_LISTENING`` until it listens.
+        admin_address: Address of the admin API; ``NOT_LISTENING`` until it listens.
     """
 
     def __init__(self, name: str, folder: Path, configuration: dict[str, Any]) -> None:
@@ -59,7 +59,7 @@
         self.log: deque[str] = deque(maxlen=MAX_LOG_LINES)
         self.log_lines = 0
         self.address = NOT_LISTENING
-        self.management_address = NOT_LISTENING
+        self.admin_address = NOT_LISTENING
         self._process: asyncio.subprocess.Process | None = None
         self._log_reader: asyncio.Task[None] | None = None
         folder.mkdir(parents=True, exist_ok=True)
@@ -135,11 +135,11 @@
             if match.group(1) == "listens":
                 self.address = address
             else:
-                self.management_address = address
+                self.admin_address = address
         return True
 
     async def call(self, path: str, method: str = "GET") -> Any:
-        """Call the management API.
+        """Call the admin API.
 
         Args:
             path: Path of the call.
@@ -153,7 +153,7 @@
             TimeoutError: No answer came within ``CALL_TIMEOUT_S``.
             ValueError: The answer is not JSON.
         """
-        reader, writer = await asyncio.open_connection(*self.management_address)
+        reader, writer = await asyncio.open_connection(*self.admin_address)
         try:
             writer.write(f"{method} {path} HTTP/1.1\r\nHost: lab\r\n\r\n".encode())
             answer = await asyncio.wait_for(reader.read(), CALL_TIMEOUT_S)
--- a/larchhaven/testbed/scenario_player.py
+++ b/larchhaven/testbed/scenario_player.py
@@ -122,7 +122,7 @@
     async def wait_for_answers(self) -> None:
         """Wait until all clients that arrive during the scenario are answered or give up.
 
-        Clients cut off with a request in flight would be missing from the outcome, and requests
+        Otherwise clients with a request in flight would be missing from the outcome, and requests
         that are never answered would go unnoticed.
         """
         await asyncio.gather(*self._arrivals, return_exceptions=True)
--- a/tests/testbed/test_invariant_checker.py
+++ b/tests/testbed/test_invariant_checker.py
@@ -38,12 +38,14 @@
     [
         (ESTABLISHED, None),
         ([*ESTABLISHED, make_record(S, "leave"), make_record(S, "over", "s0", "proxy")], None),
-        (  # the server ended the connection
+        # The server itself ends the connection.
+        (
             [*ESTABLISHED, make_record(S, "over", "s0", "self"), make_record(S, "end")],
             None,
         ),
         ([*ESTABLISHED, make_record(S, "move"), make_record(S, "end")], None),
-        (  # the server crashed
+        # The server crashes.
+        (
             [*ESTABLISHED, make_record(S, "left", "s0"), make_record(S, "end")],
             None,
         ),
@@ -61,6 +63,7 @@
         ([make_record(0, "ask"), make_record(2 * S, "answer", detail="BUSY")], "one answer"),
         ([make_record(0, "ask"), make_record(MS, "answer", detail="UP forged")], "one answer"),
         ([make_record(0, "ask"), make_record(MS, "leave")], None),
+        # The request is never answered; the last record only advances the time.
         ([make_record(0, "ask"), make_record(9 * S, "told", "s0", "ready")], "one answer"),
         ([make_record(0, "told", "s0", "draining"), make_record(3 * S, "sent", "s0")], None),
         ([make_record(0, "told", "s0", "draining"), make_record(4 * S, "sent", "s0")], "drain"),
@@ -72,6 +75,7 @@
             ],
             None,
         ),
+        # Two attempts, of which the second starts within the tolerance.
         (
             [
                 make_record(0, "sent", "s0"),
@@ -80,6 +84,7 @@
             ],
             None,
         ),
+        # The first attempt ends 20 ms after the second has started, within the tolerance.
         (
             [
                 make_record(0, "sent", "s0"),
@@ -88,6 +93,7 @@
             ],
             None,
         ),
+        # The first attempt ends 200 ms after the second has started.
         (
             [
                 make_record(0, "sent", "s0"),
@@ -96,6 +102,7 @@
             ],
             "one execution",
         ),
+        # A third attempt starts while two are pending.
         (
             [
                 make_record(0, "sent", "s0"),
--- a/tests/testbed/test_proxy_fleet.py
+++ b/tests/testbed/test_proxy_fleet.py
@@ -98,7 +98,7 @@
         fleet.network.inject(1, 0, data)
     fleet.network.inject(2, 0, valid)  # its sender is 1, but it comes from the address of 2
     incarnation = next(m["incarnation"] for m in view_before["members"] if m["number"] == 1)
-    # The current incarnation of a live member, but another session: this counts as a replay.
+    # The current incarnation of a live member with another ``session_id`` counts as a replay.
     replay = authenticator.seal(
         Message(MessageKind.GOSSIP, 1, 0, make_stamp(incarnation, MemberState.ALIVE))
     )
@@ -135,7 +135,7 @@
 
 
 async def check_deaths_and_returns(fleet: ProxyFleet) -> None:
-    """All agree after a kill, a restart without files, a long pause, a shutdown and more kills."""
+    """All members agree after kills, a restart without files, a long pause and a shutdown."""
     fleet.kill(3)
     fleet.pause(5)
     await assert_agreed(fleet, {3: "dead", 5: "dead"})
@@ -206,7 +206,11 @@
         beyond_table = view["counts"].get("numbers beyond the table", 0)
         return "" if beyond_table and len(view["members"]) == fleet.size - 1 else str(view)
 
-    assert (await fleet.wait_until("a shorter table is counted", find_uncounted, TIMEOUT_S)).holds
+    assert (
+        await fleet.wait_until(
+            "members beyond the shorter table are counted", find_uncounted, TIMEOUT_S
+        )
+    ).holds
 
 
 def test_membership_under_faults_in_a_fleet_of_eight(tmp_path: Path) -> None:
--- a/tests/testbed/test_scenarios.py
+++ b/tests/testbed/test_scenarios.py
@@ -86,9 +86,11 @@
         while player.deployment.elapsed_s() < scenario.seconds:
             pass
 
-    usual = asyncio.run(play_scenario(scenario)).classes["chat"]
+    unblocked = asyncio.run(play_scenario(scenario)).classes["chat"]
     blocked = asyncio.run(play_scenario(scenario, progress=block_until_end)).classes["chat"]
-    assert blocked.requests == usual.requests == usual.answers["UP"] == blocked.answers["UP"]
+    assert (
+        blocked.requests == unblocked.requests == unblocked.answers["UP"] == blocked.answers["UP"]
+    )
 
 
 def test_example_scenarios_load_without_errors() -> None:
