--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -2,10 +2,10 @@
 
     python -m benchmarks.relay [--rounds 15] [--json]
 
-Two proxies run in this process on loopback sockets, with the real listener, dispatcher, routing
-decisions, upstream attempt and relay. One has a real memory account, the other one whose methods do
-nothing. Each round times both in random order. The result is the ratio of the medians of processor
-time, which depends less on other load of the machine than wall time.
+Two proxies run in this process on loopback sockets, with the real listener, dispatcher, balancer,
+upstream attempt and relay. One proxy has a real memory account. The account of the other proxy
+counts no bytes. Each round times both in random order. The result is the ratio of the medians of
+processor time, which depends less on other load of the machine than wall time.
 """
 
 from __future__ import annotations
@@ -121,8 +121,8 @@
         return Transport(
             endpoints=self,
             start_attempt=self.start_attempt,
-            check_health=lambda host, address: None,
-            close_idle_connections=lambda host: None,
+            check_health=lambda server_id, address: None,
+            close_idle_connections=lambda server_id: None,
             set_watch_enabled=lambda on: None,
             poll_endpoints=lambda: None,
             send_gossip=lambda peer, data: None,
--- a/benchmarks/tier.py
+++ b/benchmarks/tier.py
@@ -24,7 +24,7 @@
 from larchhaven.testbed.proxy_fleet import FleetStep, ProxyFleet
 
 AGREEMENT_TIMEOUT_S = 40.0
-LOG_DELAY_S = 1.5  # a proxy batches membership changes for a second before it logs them
+LOG_DELAY_S = 1.5  # a proxy gathers membership changes for 1 s before it logs them
 MIN_SHORT_PAUSE_S = 0.5
 MAX_SHORT_PAUSE_S = 2.0
 ONE_WAY_CUT_S = 6.0
@@ -178,7 +178,7 @@
 
 
 def raise_descriptor_limit() -> None:
-    """Raise the soft descriptor limit to the hard limit; each link uses a socket per end."""
+    """Raise the soft descriptor limit to the hard limit; each link uses one socket."""
     _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
 
--- a/larchhaven/__main__.py
+++ b/larchhaven/__main__.py
@@ -59,13 +59,13 @@
     Returns:
         The exit code.
     """
-    given = list(sys.argv[1:] if arguments is None else arguments)
-    if given in SERVE_ARGUMENTS:
+    argument_list = list(sys.argv[1:] if arguments is None else arguments)
+    if argument_list in SERVE_ARGUMENTS:
         return serve()  # without loading typer, which a proxy does not need
 
     from larchhaven.cli.app import main as run_command_line
 
-    return run_command_line(given)
+    return run_command_line(argument_list)
 
 
 if __name__ == "__main__":
--- a/larchhaven/cli/calls.py
+++ b/larchhaven/cli/calls.py
@@ -1,4 +1,4 @@
-"""HTTP requests to the management address of a running proxy."""
+"""HTTP requests to the admin API of a running proxy."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class CallError(LarchhavenError):
-    """A request to a proxy's management address failed.
+    """A request to a proxy's admin API failed.
 
     Attributes:
         address: The address as given by the user.
@@ -28,7 +28,7 @@
     """Send a GET request and return the response body.
 
     Args:
-        address: Management address of a proxy, HOST:PORT.
+        address: Address of a proxy's admin API, HOST:PORT.
         path: Path of the request.
 
     Returns:
--- a/larchhaven/cli/check.py
+++ b/larchhaven/cli/check.py
@@ -53,31 +53,34 @@
     if config is None and operator is None:
         print("larchhaven check: write --config, --operator or both", file=sys.stderr)
         return ExitCode.UNUSABLE_INPUT
-    found: list[FileComplaint] = []
+    file_complaints: list[FileComplaint] = []
     grant: Grant | None = None
     if config is not None:
         complaints, grant = _check_platform_file(config)
-        found += [FileComplaint(config, complaint) for complaint in complaints]
+        file_complaints += [FileComplaint(config, complaint) for complaint in complaints]
     if operator is not None:
         reading = read_file(str(operator))
         complaints = list(reading.complaints)
         if not complaints and grant is not None:
             complaints = _check_caps(reading, grant)
-        found += [FileComplaint(operator, complaint) for complaint in complaints]
-        if write is not None and not found:
+        file_complaints += [FileComplaint(operator, complaint) for complaint in complaints]
+        if write is not None and not file_complaints:
             write.write_bytes(msgspec.json.encode(reading))
-    _print_complaints(found, as_json)
-    return ExitCode.UNUSABLE_INPUT if found else ExitCode.HOLDS
+    _print_complaints(file_complaints, as_json)
+    return ExitCode.UNUSABLE_INPUT if file_complaints else ExitCode.HOLDS
 
 
-def _print_complaints(found: list[FileComplaint], as_json: bool) -> None:
+def _print_complaints(file_complaints: list[FileComplaint], as_json: bool) -> None:
     if as_json:
-        rows = [{"file": str(each.path), **msgspec.to_builtins(each.complaint)} for each in found]
+        rows = [
+            {"file": str(entry.path), **msgspec.to_builtins(entry.complaint)}
+            for entry in file_complaints
+        ]
         print(msgspec.json.encode({"holds": not rows, "complaints": rows}).decode())
         return
-    for each in found:
-        print(each.complaint.format(str(each.path)))
-    if not found:
+    for entry in file_complaints:
+        print(entry.complaint.format(str(entry.path)))
+    if not file_complaints:
         print("no complaints")
 
 
--- a/larchhaven/cli/lab.py
+++ b/larchhaven/cli/lab.py
@@ -141,8 +141,10 @@
         answers = ", ".join(
             f"{word} {count}" for word, count in sorted(class_outcome.answers.items())
         )
-        ends = f"migrated {class_outcome.migrations}, lost {class_outcome.lost_connections}"
-        print(f"  {name}: {class_outcome.requests} requests: {answers}; {ends}")
+        connection_ends = (
+            f"migrated {class_outcome.migrations}, lost {class_outcome.lost_connections}"
+        )
+        print(f"  {name}: {class_outcome.requests} requests: {answers}; {connection_ends}")
         if class_outcome.setup_p50_ms is not None:
             times = (
                 f"{class_outcome.setup_p50_ms} ms (median), {class_outcome.setup_p99_ms} ms (p99)"
--- a/larchhaven/cli/memory.py
+++ b/larchhaven/cli/memory.py
@@ -146,7 +146,7 @@
     """Print the memory account of a running proxy.
 
     Args:
-        address: Management address of the proxy, HOST:PORT.
+        address: Address of the proxy's admin API, HOST:PORT.
         as_json: Whether to print JSON.
 
     Returns:
