--- a/larchhaven/memory/account.py
+++ b/larchhaven/memory/account.py
@@ -36,7 +36,7 @@
     """Memory usage by purpose.
 
     Attributes:
-        excess_releases: The number of releases of more than was charged; not 0 only after a bug.
+        excess_releases: The number of releases of more than was charged; always 0 without a bug.
     """
 
     __slots__ = (
@@ -122,7 +122,7 @@
         return self._charged[purpose] + self._sampled_total[purpose]
 
     def charged_bytes(self, purpose: MemoryPurpose) -> int:
-        """Return the charged part of the usage of a purpose."""
+        """Return the charged share of the usage of a purpose."""
         return self._charged[purpose]
 
     def cap_bytes(self, purpose: MemoryPurpose) -> int:
@@ -134,7 +134,7 @@
         return self._caps[purpose] - self.used_bytes(purpose)
 
     def resident_bytes(self) -> int:
-        """Return the accounted part of the process's resident size.
+        """Return the accounted share of the process's resident size.
 
         The size of the program itself is not accounted.
         """
--- a/larchhaven/memory/admission.py
+++ b/larchhaven/memory/admission.py
@@ -1,7 +1,7 @@
 """Admission control and load shedding: whom to admit and whom to shed when capacity is scarce.
 
 The capacities are the counted resources that a connection needs: bytes of the purposes
-*connections* and *tables*, and descriptors. A part of each capacity is reserved for the request
+*connections* and *tables*, and descriptors. A share of each capacity is reserved for the request
 classes with the highest priority weight.
 """
 
@@ -112,8 +112,8 @@
 ) -> ShedCandidate | None:
     """Choose which kind of client to shed now.
 
-    Too many clients without a request line are shed even while capacity is left, except those that
-    have just connected: in a surge all clients connect before any request line arrives.
+    Above the maximum, clients without a request line are shed even while capacity is left, unless
+    they have just connected: in a surge all clients connect before any request line arrives.
 
     Args:
         awaiting_request: The number of clients that have not sent a request line.
--- a/larchhaven/memory/item_costs.py
+++ b/larchhaven/memory/item_costs.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-# A stream with its protocol: a client, an attempt, one side of a relay, or a management client.
+# A stream with its protocol: a client, an attempt, one side of a relay, or an admin API caller.
 STREAM_BYTES = 1_900
 TIMER_BYTES = 210
 # Timers that one request holds at the same time.
--- a/larchhaven/memory/plan.py
+++ b/larchhaven/memory/plan.py
@@ -81,8 +81,8 @@
     Attributes:
         required_bytes: The sum of the requested caps and of the minimums of the other purposes.
         grant_bytes: The memory that the platform grants.
-        program_bytes: The part of the grant that the program itself uses.
-        unplanned_bytes: The part of the grant that stays unplanned.
+        program_bytes: The share of the grant that the program itself uses.
+        unplanned_bytes: The share of the grant that stays unplanned.
     """
 
     def __init__(
@@ -107,8 +107,8 @@
 
     Attributes:
         grant_bytes: The memory that the platform grants.
-        program_bytes: The part of the grant that the program itself uses.
-        unplanned_bytes: The part of the grant that stays unplanned.
+        program_bytes: The share of the grant that the program itself uses.
+        unplanned_bytes: The share of the grant that stays unplanned.
         caps: The cap of each purpose, in bytes.
         socket_buffer_bytes: The size for SO_SNDBUF and SO_RCVBUF.
         is_below_minimum: Whether the grant is too small for the minimums of all purposes. The caps
--- a/larchhaven/memory/purposes.py
+++ b/larchhaven/memory/purposes.py
@@ -75,10 +75,10 @@
         at_cap="further request ids from the other process are not stored",
     ),
     MemoryPurpose.MANAGEMENT: PurposeDescription(
-        covers="calls to the management interface and calls to discovery",
+        covers="calls to the admin API and calls to discovery",
         at_cap=(
-            "the oldest incomplete call is closed; a call that returns too long an endpoint list"
-            " fails"
+            "the oldest incomplete call is closed; a call to discovery fails if the endpoint list"
+            " is too long"
         ),
     ),
     MemoryPurpose.LOG: PurposeDescription(
@@ -91,7 +91,7 @@
     ),
     MemoryPurpose.KERNEL: PurposeDescription(
         covers="bytes in the kernel's socket buffers, in both directions",
-        at_cap="clients that do not read are shed, the one that has not read for longest first",
+        at_cap="clients that do not read are shed, starting with the longest unread",
     ),
 }
 
--- a/larchhaven/memory/resident_monitor.py
+++ b/larchhaven/memory/resident_monitor.py
@@ -24,7 +24,7 @@
         at_us: When the sample was taken.
         resident_bytes: The resident size.
         growth_bytes: The growth of the resident size since the start.
-        unaccounted_bytes: The part of the growth that no purpose accounts for.
+        unaccounted_bytes: The share of the growth that no purpose accounts for.
     """
 
     at_us: int
@@ -86,7 +86,7 @@
         Args:
             now_us: The time of the sample.
             resident_bytes: The resident size of the process.
-            accounted_bytes: The accounted part of the resident size.
+            accounted_bytes: The accounted share of the resident size.
 
         Returns:
             The actions that the sample requires.
--- a/larchhaven/net/admin/administrative_ejection.py
+++ b/larchhaven/net/admin/administrative_ejection.py
@@ -95,7 +95,7 @@
             raise EjectionNotSavedError(server_id, str(error)) from error
 
     def start_polling(self, loop: EventLoop) -> None:
-        """Refresh now and then periodically."""
+        """Refresh immediately, and then periodically."""
         self.refresh()
         loop.call_later(POLL_INTERVAL_US, lambda: self.start_polling(loop))
 
--- a/larchhaven/net/admin/http_api.py
+++ b/larchhaven/net/admin/http_api.py
@@ -1,4 +1,4 @@
-"""The admin HTTP API: HTTP/1.1, one call per connection, answered from the current state."""
+"""The admin API: HTTP/1.1, one call per connection, answered from the current state."""
 
 from __future__ import annotations
 
@@ -18,13 +18,14 @@
 from larchhaven.net.core.event_loop import READ, EventLoop, TimerHandle
 from larchhaven.net.core.stream import RESOURCE_EXHAUSTION_ERRNOS, Stream
 
-# At the limit, a new caller replaces the oldest one that has its answer, or else the oldest one.
+# At the limit, a new caller replaces the oldest caller that has been answered, or the oldest one if
+# none has been.
 MAX_CALLERS = 24
 # The callers, one more that has just been accepted, and the listening socket.
 ADMIN_DESCRIPTORS = MAX_CALLERS + 2
 ACCEPT_BACKLOG = 128
 MAX_ACCEPTS_PER_ITERATION = 32
-# Pause of accepting after the process has run out of descriptors or memory.
+# No callers are accepted for this time after the process has run out of descriptors or memory.
 ACCEPT_PAUSE_US = 100_000
 CALL_TIMEOUT_US = 10_000_000
 # Limit for a whole call, including its body, which is ignored.
--- a/larchhaven/net/admin/memory_accounting.py
+++ b/larchhaven/net/admin/memory_accounting.py
@@ -94,7 +94,7 @@
 
 
 class MemoryAccounting:
-    """Samples the memory of the process once a second and updates the account.
+    """Samples the memory of the process once per second and updates the account.
 
     Attributes:
         account: The memory account.
@@ -210,7 +210,7 @@
     def _sample(self) -> None:
         """Sample all sources, compare the account with the resident size and act on the advice.
 
-        Samples for operators' calls must act on it too, as the monitor does not repeat its advice.
+        Samples taken for the admin API must act on it too: the monitor does not repeat its advice.
         """
         self._sample_sources()
         resident_bytes = read_resident_bytes()
--- a/larchhaven/net/admin/operator_file.py
+++ b/larchhaven/net/admin/operator_file.py
@@ -127,7 +127,7 @@
         """Start to read, unless a read is already in progress.
 
         Args:
-            available_bytes: The part of the memory grant that is free for the reader process.
+            available_bytes: The share of the memory grant that is free for the reader process.
         """
         if self._path.endswith(_COMPILED_SUFFIX):
             self._on_read(read_compiled(self._path))
--- a/larchhaven/net/graceful_shutdown.py
+++ b/larchhaven/net/graceful_shutdown.py
@@ -18,13 +18,14 @@
 from larchhaven.routing.events import Event, ProxyDraining
 from larchhaven.routing.settings import RoutingSettings
 
-# The platform waits for the longest deadline, but no longer than this, and then for the grace.
+# The platform waits for the longest deadline, but at most for this time. It then waits for the kill
+# grace before it kills the process.
 MAX_AWAITED_DEADLINE_US = 3_000_000
 KILL_GRACE_US = 700_000
 # Every request gets its final answer this long before the end of the process.
 ANSWER_MARGIN_US = 150_000
-# Clients still connect for up to 0.4 s after the signal, as they learn of it late; the rest is
-# margin.
+# Clients learn of the shutdown late and still connect for up to 0.4 s after the signal; the
+# remaining 0.1 s is margin.
 LAME_DUCK_US = 500_000
 # Time for the clients accepted last to send their first line.
 FIRST_LINE_GRACE_US = 100_000
@@ -32,7 +33,7 @@
 # If a successor may share the listening socket, the process ends this long after the longest
 # deadline, or after MAX_AWAITED_DEADLINE_US if that is longer.
 SHARED_SOCKET_END_GRACE_US = 400_000
-# With a successor, connections that have not been transferred to it by then are migrated.
+# Delay after which connections that have not been transferred to the successor are migrated.
 MIGRATION_DELAY_US = 500_000
 
 
@@ -40,7 +41,7 @@
     """The phases of the shutdown, in order; a phase may be skipped but never repeated."""
 
     SERVING = "serving"
-    LAME_DUCK = "lame duck"  # new connections are still accepted and served
+    LAME_DUCK = "lame duck"  # new clients are still accepted, unless the socket is shared
     LISTENER_CLOSED = "listener closed"  # clients accepted earlier may still send their first line
     LINGERING = "lingering"  # idle clients have been rejected; requests in flight are finished
     FINISHED = "finished"
@@ -51,10 +52,10 @@
     """The deadlines of the shutdown, in microseconds after the signal.
 
     Attributes:
-        answers_us: By then, every request has its final answer.
-        migrations_us: By then, plus the migration delay if there is a successor, every connection
-            that ends at the proxy is migrated.
-        end_us: The process ends then; None if it runs until its last request has ended.
+        answers_us: When every request has its final answer.
+        migrations_us: When every connection that ends at the proxy is migrated; with a successor,
+            the migration delay is added.
+        end_us: When the process ends; None if it runs until its last request has ended.
     """
 
     answers_us: int
@@ -204,7 +205,7 @@
             self._queue_event(ProxyDraining(within_us))
 
     def _migrate_remaining(self) -> None:
-        """Migrate the remaining connections, except in pass-through mode, where they survive."""
+        """Migrate remaining connections; in pass-through mode, another proxy takes them over."""
         if not self._passes_through:
             self._queue_event(ProxyDraining(self._deadlines.migrations_us))
 
--- a/larchhaven/net/hot_restart.py
+++ b/larchhaven/net/hot_restart.py
@@ -74,7 +74,7 @@
         return bool(self._hashes) and identity_hash(identity) in self._hashes
 
     def add(self, hashed: bytes) -> None:
-        """Add a hash if there is capacity; otherwise a duplicate request costs a second set-up."""
+        """Add a hash if there is capacity; without it, a duplicate request is attempted again."""
         is_new = hashed not in self._hashes and len(self._hashes) < MAX_REMOTE_IDENTITIES
         if is_new and self._account.try_charge(MemoryPurpose.PEERS, REQUEST_ID_BYTES):
             self._hashes.add(hashed)
@@ -92,7 +92,7 @@
 
 
 class HotRestart:
-    """The channels of a process to its predecessor and its successor, as far as these exist.
+    """The channels of a process to its predecessor and its successor, if these exist.
 
     Args:
         loop: The event loop.
--- a/larchhaven/net/peer_messaging.py
+++ b/larchhaven/net/peer_messaging.py
@@ -64,7 +64,8 @@
     def send_gossip(self, peer_index: int | None, message: GossipMessage) -> None:
         """Send a gossip message to the proxy with this index, or to all proxies if it is None.
 
-        The other process of a hot restart receives every message; it has this proxy's own index.
+        Every message is also forwarded to the other process of a hot restart, which has the index
+        of this proxy.
         """
         data = codec.encode(message)
         if self._socket is not None and peer_index != self._own_index:
--- a/larchhaven/net/proxy.py
+++ b/larchhaven/net/proxy.py
@@ -267,6 +267,6 @@
 
 
 def _find_max_descriptors(config: ProxyConfiguration) -> int:
-    """Return the number of descriptors available besides those of the operators' API."""
+    """Return the number of descriptors available, without those reserved for the admin API."""
     granted = raise_descriptor_limit(config.limits.sockets)
     return granted - (ADMIN_DESCRIPTORS if config.admin_address is not None else 0)
--- a/larchhaven/net/reload.py
+++ b/larchhaven/net/reload.py
@@ -1,4 +1,4 @@
-"""Reload on SIGHUP: of the platform's configuration and of the operators' file.
+"""Reloads the platform's configuration and the operators' file on SIGHUP.
 
 A reload keeps connections, the endpoint list and load reports. An invalid file changes nothing.
 """
@@ -42,7 +42,7 @@
         log: The log whose rate the settings limit.
         limits: The limits on clients, with the admission reserve.
         listener: Sheds clients that do not read.
-        membership: Is enabled, disabled or given new keys.
+        membership: The membership, which the settings enable, disable or give new keys.
         is_log_json: Whether the log is currently in JSON.
     """
 
@@ -99,7 +99,7 @@
         self._reader = OperatorFileReader(resources.loop, path, self._on_read)
 
     def start(self) -> None:
-        """Start to read the file, if there is one; its settings are applied afterwards."""
+        """Start reading the file, if there is one; its settings are applied once it is read."""
         if self._path:
             self._reader.read(grant_bytes(self._limits) - read_resident_bytes())
 
--- a/larchhaven/net/resources.py
+++ b/larchhaven/net/resources.py
@@ -26,7 +26,7 @@
 
     Attributes:
         loop: The event loop.
-        log: The rate-limited log for events that outside parties can cause.
+        log: The rate-limited log for events that clients, servers and peers can cause.
         account: The memory account.
         accounting: Samples the memory of the process and applies memory plans.
         pool: The buffers and streams of clients and their attempts.
--- a/larchhaven/net/state_transfer.py
+++ b/larchhaven/net/state_transfer.py
@@ -45,7 +45,7 @@
 
     @property
     def spec(self) -> RequestSpec:
-        """What the client asked for."""
+        """The parameters of the request."""
 
     @property
     def server_id(self) -> str:
@@ -85,7 +85,7 @@
         """Add a connection of the predecessor.
 
         Args:
-            spec: What its client asked for, without the payload.
+            spec: The parameters of its request, without the payload.
             server_id: The id of its server.
             connect: Makes the connection, given the id of its request in this process.
         """
@@ -102,7 +102,7 @@
         queue_event: Queues an event for the balancer.
         membership: The membership, which is handed over to the successor.
         latest_reports: The latest load reports of this process, by server id.
-        directory: The directory that both processes share; empty if there is no other process.
+        directory: The directory that both processes share; empty to disable hot restarts.
 
     Attributes:
         hot_restart: The channels to the predecessor and the successor.
--- a/larchhaven/net/upstream_servers.py
+++ b/larchhaven/net/upstream_servers.py
@@ -96,7 +96,7 @@
         )
 
     def start(self) -> None:
-        """Apply the endpoint list of the configuration, and open the watch if lists are pushed."""
+        """Apply the configured endpoint list, and start the watch unless the balancer does."""
         update = self.directory.apply_list(
             EndpointListKind.CACHED, self._config.initial_endpoints, self._loop.now_us
         )
@@ -112,8 +112,8 @@
             update = EndpointListUpdate(EndpointListKind.FAILED)
         else:
             kind = EndpointListKind.COMPLETE if message.is_complete else EndpointListKind.CHANGES
-            # The grace period of a drain starts at the notification. If the watch was silent, the
-            # list counts as notified when the silence began.
+            # The drain grace starts when this process is notified. If the watch was silent, the
+            # notification counts from the beginning of the silence.
             notified_at_us = self._loop.now_us - self.endpoint_watch.notification_delay_us
             update = self.directory.apply_list(kind, message, notified_at_us)
         self._receiver.receive_endpoint_list(update)
