--- a/tests/memory/test_admission.py
+++ b/tests/memory/test_admission.py
@@ -24,6 +24,7 @@
     assert Admission([]).find_exhausted(0, [Capacity(10, 0, 1)]) is None
 
 
+# When the oldest client without a request line connected.
 OLD = 0
 FRESH = DEFAULT_THRESHOLDS.unread_us - DEFAULT_THRESHOLDS.request_line_grace_us + 1
 
--- a/tests/memory/test_caps.py
+++ b/tests/memory/test_caps.py
@@ -40,7 +40,7 @@
 def play_and_check_scenario(
     text: str, operator: str | None = None, seconds: float = 5, exam_busy: bool = False
 ) -> ScenarioOutcome:
-    """Play a scenario beside background traffic; check the invariants and the exam class.
+    """Play a scenario beside background traffic; check the invariants and the exam class's answers.
 
     Args:
         text: The scenario, without its length and its background traffic.
@@ -101,14 +101,14 @@
     account = final_account(outcome)
     usage = account["purposes"][purpose]
     # Kernel buffers are sampled four times per second. Two clients that arrive between two samples
-    # add up to 48 KB each. Without the cap, clients held 873 KB, three times as much.
+    # add up to 48 KB each. Without the cap, clients hold 873 KB, three times as much.
     max_bytes = usage["cap"] + (2 * 49_152 if purpose == "kernel" else 0)
     assert usage["refused"] > 0, usage
     assert usage["high"] <= max_bytes, usage
-    others = [
-        name for name, other in account["purposes"].items() if other["refused"] and name != purpose
+    other_rejecting = [
+        name for name, state in account["purposes"].items() if state["refused"] and name != purpose
     ]
-    assert others == [], account["purposes"]
+    assert other_rejecting == [], account["purposes"]
     assert outcome.classes["chat"].answers["UP"] >= 30
 
 
@@ -180,7 +180,7 @@
     path.write_text("log { form: TEXT }")
     proxy.process.send_signal(signal.SIGHUP)
     while "operators' file reloaded" not in (line := proxy.read_log_line()):
-        assert line, "the log ended"
+        assert line, "the log ended before the operators' file was reloaded"
     assert proxy.call("GET", "/v1/metrics")[1]["config_reload_errors"] == 1
     assert "Traceback" not in proxy.close()
     assert all(tuple(line) == log_setup.JSON_KEYS for line in lines)
@@ -188,7 +188,7 @@
     assert "\x1b" not in lines[0]["detail"]
 
 
-def test_shed_management_clients_are_counted(proxy: ProxyProcess) -> None:
+def test_shed_callers_of_the_admin_api_are_counted(proxy: ProxyProcess) -> None:
     callers = [socket.create_connection(proxy.management) for _ in range(30)]
     for caller in callers:
         caller.sendall(b"GET /v1/")
@@ -227,7 +227,7 @@
 def test_ejection_beyond_the_cap_is_rejected_but_can_always_be_removed(tmp_path: Path) -> None:
     is_within_cap = [True]
     ejections = AdministrativeEjections(
-        str(tmp_path), lambda host, on: None, lambda path, size: is_within_cap[0]
+        str(tmp_path), lambda server_id, is_ejected: None, lambda path, size: is_within_cap[0]
     )
     ejections.set_ejected("s0", True)
     is_within_cap[0] = False
--- a/tests/net/admin/__init__.py
+++ b/tests/net/admin/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the operators' interfaces: HTTP API, ejections, memory accounting, their file."""
+"""Tests of administration by operators: admin API, ejections, memory accounting, file."""
--- a/tests/net/admin/metrics_reader.py
+++ b/tests/net/admin/metrics_reader.py
@@ -1,4 +1,4 @@
-"""Reads the metrics of a running proxy over its admin HTTP API."""
+"""Reads the metrics of a running proxy over its admin API."""
 
 from __future__ import annotations
 
--- a/tests/net/admin/test_administrative_ejection.py
+++ b/tests/net/admin/test_administrative_ejection.py
@@ -93,7 +93,7 @@
 def test_ejections_survive_a_restart_unless_their_file_is_invalid(
     tmp_path: Path, invalid: bytes | None
 ) -> None:
-    """A restarted proxy applies the saved ejections, and starts whatever the file contains."""
+    """A restarted proxy applies the saved ejections, and starts even if their file is invalid."""
     proxy = ProxyProcess(tmp_path)
     assert proxy.call("POST", "/v1/exam-servers/s0/suspend")[0] == 200
     proxy.close()
--- a/tests/net/admin/test_http_api.py
+++ b/tests/net/admin/test_http_api.py
@@ -1,4 +1,4 @@
-"""The admin HTTP API of the running program, and the effect of its calls on clients."""
+"""The admin API of the running program, and the effect of its calls on clients."""
 
 from __future__ import annotations
 
@@ -158,13 +158,13 @@
             established.read_line()
         except TimeoutError:
             remaining += 1
-    assert remaining >= 4  # in the time waited, a drain would have migrated all of them
+    assert remaining >= 4  # by now, an uncancelled drain would have migrated all
     client.close()
     proxy.close()
 
 
 def test_metrics_count_every_outcome_and_attempt_once(proxy: ProxyProcess) -> None:
-    """The metrics agree with what clients and servers observe: nothing missed or counted twice."""
+    """The metrics agree with what clients and servers observe: none is missed or counted twice."""
     no_outcomes = {"completed": 0, "rejected": 0, "failed": 0}
     metrics = read_metrics(proxy)
     assert metrics["downstream_requests"] == {"chat": no_outcomes, "exam": no_outcomes}
@@ -176,7 +176,7 @@
     leaving_client = proxy.connect_client(make_request_line("c=exam,d=60000,g=ab"))
     pending_server = proxy.accept()
     attempts += bool(pending_server.read_line())
-    for number in range(2):  # all servers are full by then, so the second is rejected at once
+    for number in range(2):  # the first finds all servers full, so the second is rejected at once
         client = proxy.connect_client(make_request_line(f"c=exam,d={60_000 + number},g=ab"))
         for _ in proxy.servers if number == 0 else ():
             server = proxy.accept()
--- a/tests/net/admin/test_operator_file.py
+++ b/tests/net/admin/test_operator_file.py
@@ -1,4 +1,4 @@
-"""How the proxy reads the operators' file."""
+"""Tests of the reader of the operators' file in the proxy."""
 
 from __future__ import annotations
 
--- a/tests/net/test_endpoint_updates.py
+++ b/tests/net/test_endpoint_updates.py
@@ -52,8 +52,8 @@
 def test_endpoint_list_is_received_before_the_first_attempt(proxy: ProxyProcess) -> None:
     """Requests that arrive at the start wait for the first response of discovery.
 
-    Changes since the configured list count as notified already. Without the wait, a request could
-    be sent to a server that has been draining for longer than its grace period.
+    The proxy counts as already notified of any change since the configured list. Without the wait,
+    a request could be sent to a draining server whose drain grace is over.
     """
     clients = [proxy.connect_client(make_request_line("c=chat,d=50000,g=ab")) for _ in range(4)]
     ping_client = proxy.connect_client("PING")
--- a/tests/net/test_forwarding.py
+++ b/tests/net/test_forwarding.py
@@ -55,10 +55,10 @@
 
 def test_unresponsive_server_costs_no_more_than_the_deadline(proxy: ProxyProcess) -> None:
     client = proxy.connect_client(make_request_line("c=chat,d=300,g=ab"))
-    waiting = proxy.accept()
+    server = proxy.accept()
     assert client.read_line().startswith("BUSY")
     assert client.read_line() == ""
-    waiting.close()
+    server.close()
 
 
 def test_client_that_disconnects_early_ends_its_attempt(proxy: ProxyProcess) -> None:
@@ -75,8 +75,8 @@
 ) -> None:
     """A long deadline must be reduced, not rejected.
 
-    In deployments whose connections end at the proxy, those older than the run send d=4294967. All
-    of them were answered ``ERR``, and each counted as lost.
+    In deployments whose connections end at the proxy, clients whose connection is older than the
+    run send d=4294967. If the proxy answered ``ERR``, each of them would count as lost.
     """
     client = proxy.connect_client(make_request_line(f"c=chat,d={deadline_ms},g=ab,at=s1"))
     server = proxy.accept(proxy.servers[1])
--- a/tests/net/test_graceful_shutdown.py
+++ b/tests/net/test_graceful_shutdown.py
@@ -15,7 +15,7 @@
 from tests.proxy_harness import ROOT, TIMEOUT_S, LineConnection, ProxyProcess, make_request_line
 
 REQUEST_FIELDS = "c=chat,d=2000,g=ab"
-LONG_DEADLINE_FIELDS = "c=chat,d=60000,g=ab"  # long after the platform may kill the process
+LONG_DEADLINE_FIELDS = "c=chat,d=60000,g=ab"  # expires after the platform kills the process
 ENDS_AT_PROXY = {"family_info": {"mode": "proxy", "park": 0}}
 
 
@@ -40,8 +40,8 @@
 ) -> None:
     """A request may cross the rejection of its idle client on the wire.
 
-    If it were forwarded, it would be lost when the process ends, and its client, which has been
-    told BUSY, may have sent it elsewhere already.
+    If it were forwarded, it would be lost when the process ends. Its client, which receives BUSY,
+    may also have sent it to another proxy already.
     """
     client = proxy.connect_client("PING")
     assert client.read_line() == "PONG"
@@ -87,8 +87,10 @@
     """
     client, _server = send_pending_request(proxy, LONG_DEADLINE_FIELDS)
     start_shutdown(proxy)
-    late = None if proxy.inherited_socket else send_pending_request(proxy, LONG_DEADLINE_FIELDS)[0]
-    for pending_client in (client, late):
+    late_client = (
+        None if proxy.inherited_socket else send_pending_request(proxy, LONG_DEADLINE_FIELDS)[0]
+    )
+    for pending_client in (client, late_client):
         assert pending_client is None or pending_client.read_line().split()[0] in ("BUSY", "ERR")
     assert proxy.process.wait(TIMEOUT_S) == 0
 
@@ -114,8 +116,8 @@
 ) -> None:
     """A signal during the start shuts the proxy down gracefully once the socket listens.
 
-    Clients may have connected by then. Without handlers installed before, the signal would kill the
-    process and with it their connections.
+    Clients may have connected by then. If the handlers were installed later, the signal would kill
+    the process and its clients would lose their connections.
     """
     path = tmp_path / "second.json"
     path.write_text(json.dumps(proxy.configuration))
@@ -148,10 +150,10 @@
 ) -> None:
     client, server = proxy.establish()
     proxy.process.send_signal(signal.SIGTERM)
-    late, late_server = proxy.establish()
+    late_client, late_server = proxy.establish()
     client.send_line("still here")
     assert server.read_line() == "still here"
-    for established in (client, late):
+    for established in (client, late_client):
         established.close()
     assert [server.read_line(), late_server.read_line()] == ["", ""]
     server.close()
--- a/tests/net/test_hot_restart.py
+++ b/tests/net/test_hot_restart.py
@@ -108,7 +108,7 @@
     second_server = predecessor.accept()
     assert second_server.read_line()
     duplicate = successor.connect_client(first_line)
-    assert duplicate.read_line() == "ERR"  # the predecessor has an open request of this identity
+    assert duplicate.read_line() == "ERR"  # its identity is open in the predecessor
     for client, upstream in ((waiting_client, server), (idle_client, second_server)):
         upstream.send_line("UP 1")
         assert client.read_line() == "UP 1"
@@ -138,11 +138,11 @@
 
 def test_ejection_requested_from_either_process_applies_to_both(predecessor: ProxyProcess) -> None:
     successor = predecessor.start_successor()
-    for target, other, name in ((predecessor, successor, "s0"), (successor, predecessor, "s1")):
-        before = other.call("GET", "/v1/metrics")[1]["members_unavailable"]
+    for target, observer, name in ((predecessor, successor, "s0"), (successor, predecessor, "s1")):
+        unavailable_before = observer.call("GET", "/v1/metrics")[1]["members_unavailable"]
         assert target.call("POST", f"/v1/exam-servers/{name}/suspend")[0] == 200
         deadline_s = time.monotonic() + TIMEOUT_S
-        while other.call("GET", "/v1/metrics")[1]["members_unavailable"] == before:
+        while observer.call("GET", "/v1/metrics")[1]["members_unavailable"] == unavailable_before:
             assert time.monotonic() < deadline_s
     kill_and_check_log(successor)
 
@@ -222,12 +222,12 @@
 def receive_own_update(
     peer: socket.socket, session_id: int | None = None, excluded_session_id: int | None = None
 ) -> Message:
-    """Wait for a membership message with the sender's own stamp.
+    """Wait for a membership message that carries the sender's own stamp.
 
     Args:
         peer: The socket of the peer that the test plays.
-        session_id: The session of the process that sent the message; None allows any.
-        excluded_session_id: A session whose messages are skipped; None skips none.
+        session_id: The session id of the process that sent the message; None allows any.
+        excluded_session_id: The session id whose messages are skipped; None skips none.
     """
     for _ in range(2_000):
         data = peer.recv(300)
--- a/tests/net/test_leaks.py
+++ b/tests/net/test_leaks.py
@@ -159,7 +159,7 @@
         harness = self.harness
         try:
             harness.assert_everything_released()
-            assert not list(self.seen_streams), "closed streams need the garbage collector"
+            assert not list(self.seen_streams), "closed streams not freed by reference counting"
         finally:
             harness.close()
             gc.enable()
--- a/tests/net/test_process_pause.py
+++ b/tests/net/test_process_pause.py
@@ -30,11 +30,11 @@
 
 @pytest.mark.parametrize("proxy", [{"discovery": "subscribe"}], indirect=True)
 def test_endpoint_list_is_received_first_after_a_pause(proxy: ProxyProcess) -> None:
-    """An endpoint list that arrived during a pause is applied before requests that did.
+    """An endpoint list that arrived during a pause is applied before requests that arrived then.
 
     While the process is stopped, clients send requests, then discovery reports that a server
-    drains, and the grace period of the drain elapses. If the requests were handled first, some
-    would be sent to the draining server.
+    drains, and the drain grace elapses. If the requests were handled first, some would be sent to
+    the draining server.
     """
     watch = LineConnection(proxy.discovery.accept()[0])
     clients = [proxy.connect_client() for _ in range(12)]
@@ -43,13 +43,13 @@
     proxy.process.send_signal(signal.SIGSTOP)
     for client in clients:
         client.send_line(make_request_line(REQUEST_FIELDS))
-    hosts = [
+    endpoints = [
         make_endpoint("s0", proxy.servers[0], "draining"),
         make_endpoint("s1", proxy.servers[1]),
     ]
     # Enough entries that reading the list takes several iterations.
-    hosts += [make_endpoint(f"x{i}", proxy.servers[1], "gone") for i in range(300)]
-    answer_watch(watch, json.dumps({"seq": 9, "whole": False, "hosts": hosts}))
+    endpoints += [make_endpoint(f"x{i}", proxy.servers[1], "gone") for i in range(300)]
+    answer_watch(watch, json.dumps({"seq": 9, "whole": False, "hosts": endpoints}))
     grace_s = proxy.configuration["settings"]["contract"]["stop_sending_within"] / 1e6
     time.sleep(grace_s + 0.5)
     proxy.process.send_signal(signal.SIGCONT)
--- a/tests/net/test_reload.py
+++ b/tests/net/test_reload.py
@@ -53,11 +53,11 @@
             "GET /v1/endpoints HTTP"
         )
     discovery = LineConnection(new_listener.accept()[0])
-    hosts = [
+    endpoints = [
         make_endpoint("s0", proxy.servers[0], "draining"),
         make_endpoint("s1", proxy.servers[1]),
     ]
-    complete_list = json.dumps({"seq": 3, "whole": True, "hosts": hosts})
+    complete_list = json.dumps({"seq": 3, "whole": True, "hosts": endpoints})
     assert answer_watch(discovery, complete_list).startswith("GET /v1/endpoints HTTP")
     assert discovery.read_line().startswith("GET /v1/endpoints?from=3&hold_ms=")
     new_clients = [proxy.connect_client(make_request_line(REQUEST_FIELDS)) for _ in range(6)]
--- a/tests/net/test_request_lines.py
+++ b/tests/net/test_request_lines.py
@@ -107,7 +107,7 @@
 def test_answer_reaches_a_client_that_sends_megabytes_before_it_reads(proxy: ProxyProcess) -> None:
     """Closing with unread input would cause a TCP reset, which discards the answer."""
     client = proxy.connect_client()
-    for _ in range(10):  # longer than the second after which a lingering close without input ends
+    for _ in range(10):  # longer than the 1 s without input that ends a lingering close
         client.sock.sendall(b"x" * 6_000_000)
         time.sleep(0.15)
     assert [client.read_line(), client.read_line()] == ["ERR", ""]
@@ -115,7 +115,7 @@
 
 
 def test_duplicate_identity_is_rejected_and_reaches_no_server(proxy: ProxyProcess) -> None:
-    """A server answers ERR to a duplicate request, and would be counted as failing."""
+    """If a duplicate were forwarded, its server would answer ERR and be counted as failing."""
     request_line = make_request_line(REQUEST_FIELDS)
     client = proxy.connect_client(request_line)
     server = proxy.accept()
@@ -128,15 +128,15 @@
     client.close()
     assert server.read_line().startswith("OPEN")
     assert server.read_line() == ""
-    again = proxy.connect_client(request_line)
+    fourth = proxy.connect_client(request_line)
     assert proxy.accept().read_line().startswith("OPEN")
-    again.close()
+    fourth.close()
 
 
 @pytest.mark.parametrize("proxy", [{"max_sockets": 160}], indirect=True)
 @pytest.mark.parametrize("data", ["", "PING\r\n", "OPEN half", "HELLO\r\n"])
 def test_idle_clients_do_not_keep_other_clients_out(proxy: ProxyProcess, data: str) -> None:
-    """Without load shedding, new clients waited until the idle ones timed out after 10 s."""
+    """Without load shedding, new clients would wait until the idle ones time out after 10 s."""
     idle_clients = [proxy.connect_client() for _ in range(300)]
     for idle_client in idle_clients:
         with contextlib.suppress(OSError):  # some are shed already
--- a/tests/proxy_harness.py
+++ b/tests/proxy_harness.py
@@ -20,7 +20,7 @@
 
 from larchhaven.testbed.free_ports import find_free_port
 
-TIMEOUT_S = 20.0  # until a waiting test fails; no test measures durations with it
+TIMEOUT_S = 20.0  # a test that waits longer fails; no test measures durations with it
 _request_numbers = itertools.count()
 ROOT = Path(__file__).parent.parent
 
@@ -199,7 +199,7 @@
         merged = copy.deepcopy(SETTINGS)
         for name, value in settings.items():
             merged[name] = {**merged[name], **value} if isinstance(value, dict) else value
-        hosts = [make_endpoint(f"s{i}", sock) for i, sock in enumerate(self.servers)]
+        endpoints = [make_endpoint(f"s{i}", sock) for i, sock in enumerate(self.servers)]
         return {
             "name": "n0",
             "listen": "127.0.0.1:0",
@@ -208,7 +208,7 @@
             "seed": "8c1f30d2",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
             "settings": merged,
-            "known": {"seq": 7, "whole": True, "hosts": hosts},
+            "known": {"seq": 7, "whole": True, "hosts": endpoints},
         }
 
     def reload(self, text: str) -> None:
@@ -222,7 +222,7 @@
         return str(self.process.stderr.readline())
 
     def call(self, method: str, path: str) -> tuple[int, Any]:
-        """Send a request to the management address; return the status and the decoded body."""
+        """Send a call to the admin API; return the status and the decoded body."""
         with contextlib.closing(
             http.client.HTTPConnection(*self.management, timeout=TIMEOUT_S)
         ) as connection:
