--- a/larchhaven/cli/members.py
+++ b/larchhaven/cli/members.py
@@ -24,7 +24,7 @@
     """Print the membership view of a proxy, once or whenever it changes.
 
     Args:
-        address: Management address of the proxy, HOST:PORT.
+        address: Address of the proxy's admin API, HOST:PORT.
         watch: Whether to continue until interrupted.
         as_json: Whether to print the JSON response of the proxy unchanged.
 
@@ -59,7 +59,7 @@
 def _watched_fields(report: MembershipReport) -> tuple[object, ...]:
     """Return the fields whose change causes the report to be printed again."""
     members = [
-        (member.number, member.state, member.incarnation, member.accusers)
+        (member.number, member.state, member.incarnation, member.suspectors)
         for member in report.members
     ]
     return members, report.is_synchronized, report.partition_side
@@ -106,7 +106,7 @@
 def _print_member(member: MemberReport, *, is_reporter: bool) -> None:
     zone = "" if member.zone is None else str(member.zone)
     name = member.name.encode("unicode_escape").decode()
-    suspectors = ", ".join(str(number) for number in member.accusers)
+    suspectors = ", ".join(str(number) for number in member.suspectors)
     note = " (this one)" if is_reporter else ""
     print(
         f"{member.number:>4}  {name:<24}  {zone:>4}  {member.state:<8}"
--- a/larchhaven/net/control/membership_report.py
+++ b/larchhaven/net/control/membership_report.py
@@ -9,7 +9,7 @@
     msgspec.Struct,
     rename={
         "learned_ago_s": "since_s",
-        "accusers": "by",
+        "suspectors": "by",
         "protocol_version": "version",
         "started_unix_s": "started",
         "capabilities": "can",
@@ -23,8 +23,8 @@
         state: alive, suspect, dead or left.
         learned_ago_s: Time since this proxy learned the state, in seconds.
         incarnation: Its incarnation.
-        accusers: Numbers of the suspectors, or of the members that declared it dead; empty if the
-            member reported the state itself.
+        suspectors: Numbers of the suspectors, or of the members that declared it dead; empty if
+            the member reported the state itself.
         zone: Index of its zone. This field and those below are None or empty until received.
         protocol_version: Version of the membership protocol that it uses.
         started_unix_s: Unix time when it started, by its own clock, in seconds.
@@ -36,7 +36,7 @@
     state: str
     learned_ago_s: float
     incarnation: int
-    accusers: list[int]
+    suspectors: list[int]
     zone: int | None = None
     protocol_version: int | None = None
     started_unix_s: int | None = None
@@ -76,7 +76,7 @@
         present_count: Number of members present.
         agreed_count: Number of members present when all members last agreed.
         table_size: Number of entries in the peer table.
-        confidence_ratio: Share of the present members that are not suspected.
+        confidence_ratio: Fraction of the present members that are not suspected.
         partition_side: whole, majority, minority or unknown.
         lost_zones: Indexes of zones that have no present member, but had one when all members last
             agreed.
--- a/larchhaven/net/control/membership_transport.py
+++ b/larchhaven/net/control/membership_transport.py
@@ -2,7 +2,7 @@
 
 The protocol itself is in ``larchhaven.membership``. This module runs its timers on the event loop,
 sends its messages as authenticated datagrams, and logs its membership changes. One iteration of the
-loop handles at most ``MAX_DATAGRAMS_PER_ITERATION`` datagrams, so that peers never delay clients.
+loop handles at most ``MAX_DATAGRAMS_PER_ITERATION`` datagrams, so that peers do not delay clients.
 The protocol limits how many datagrams are sent per second.
 """
 
@@ -63,7 +63,8 @@
         loop: The event loop.
         own_number: This proxy's index in the peer table.
         table_size: Number of entries in the peer table.
-        info: What this proxy announces about itself; protocol version and start are filled in.
+        info: What this proxy announces about itself; the protocol version and the start time are
+            added here.
         keys: Keys that authenticate datagrams; the first one is used for outgoing datagrams.
         send_datagram: Sends a datagram to the proxy with this number.
         seed: Seed of the random number generator, combined with the start time.
@@ -113,7 +114,7 @@
 
     @property
     def view(self) -> MembershipView:
-        """The current view of the fleet."""
+        """The current membership view."""
         return self._membership.view
 
     @property
@@ -197,12 +198,12 @@
             self._execute(self._membership.leave(self._loop.now_us))
 
     def hand_over(self) -> int:
-        """Stop, as the next process takes over; return the last incarnation."""
+        """Stop, as the successor takes over; return the last incarnation."""
         self.stop()
         return self._membership.incarnation
 
     def take_over(self, previous_incarnation: int) -> None:
-        """Continue after a previous process with this incarnation; 0 if there was none."""
+        """Continue after a predecessor with this incarnation; 0 if there was none."""
         if previous_incarnation > 0 and not self._is_stopped:
             now_us = self._loop.now_us
             actions = self._membership.learn_previous_incarnation(now_us, previous_incarnation)
@@ -257,7 +258,7 @@
             state=member.state.name.lower(),
             learned_ago_s=round(learned_ago_us / _US_PER_S, _REPORT_DECIMALS),
             incarnation=member.incarnation,
-            accusers=list(member.suspectors),
+            suspectors=list(member.suspectors),
         )
         info = member.info
         if info is not None:
