--- a/larchhaven/net/control/dispatcher.py
+++ b/larchhaven/net/control/dispatcher.py
@@ -162,7 +162,7 @@
         self._arrival_gate.open()
 
     def wait_for_endpoint_list(self) -> None:
-        """Hold back requests until an endpoint list arrives or they cannot wait any longer."""
+        """Hold back requests until an endpoint list arrives or the time limit is reached."""
         self._arrival_gate.close()
 
     def on_process_resumed(self) -> None:
--- a/larchhaven/net/control/drain_guard.py
+++ b/larchhaven/net/control/drain_guard.py
@@ -10,10 +10,10 @@
 
 
 class DrainGuard:
-    """Tracks since when servers have been draining or administratively ejected.
+    """Applies the drain grace to draining and administratively ejected servers.
 
-    The balancer chooses a server that is in use at that time. The endpoint list can change while
-    the connection to the server is being established.
+    The balancer chooses a server that is in use at that time. This can change while the connection
+    to the server is being established.
     """
 
     def __init__(self, loop: EventLoop, drain_grace_us: int) -> None:
@@ -23,7 +23,7 @@
         self._endpoints: EndpointAddresses
 
     def attach_endpoints(self, endpoints: EndpointAddresses) -> None:
-        """Set the directory that returns since when a server has been draining."""
+        """Set the directory that provides the drain times of servers."""
         self._endpoints = endpoints
 
     def set_ejection(self, server_id: str, is_ejected: bool) -> None:
@@ -34,7 +34,7 @@
             self._ejected_at_us.pop(server_id, None)
 
     def may_send_to(self, server_id: str) -> bool:
-        """Return whether the server is in use, or its drain grace has not ended yet."""
+        """Return whether the server is in use, or enough of its drain grace is left."""
         drained_at_us = self._endpoints.drain_notified_at_us(server_id)
         if drained_at_us is not None and not self._is_within_grace(drained_at_us):
             return False
--- a/larchhaven/net/control/endpoint_directory.py
+++ b/larchhaven/net/control/endpoint_directory.py
@@ -23,7 +23,7 @@
 
 
 class EndpointEntry(msgspec.Struct):
-    """One server in a message of the endpoint service, with the JSON keys of the protocol."""
+    """One server in a message from discovery, with the JSON keys of the protocol."""
 
     server_id: str = msgspec.field(name="host")
     address: str = msgspec.field(name="dial", default="")
@@ -36,7 +36,7 @@
 
 
 class EndpointListMessage(msgspec.Struct):
-    """A message of the endpoint service: the complete list, or changes to it."""
+    """A message from discovery: the complete endpoint list, or changes to it."""
 
     version: int = msgspec.field(name="seq")
     endpoints: list[EndpointEntry] = msgspec.field(name="hosts")
@@ -107,7 +107,7 @@
 
         Args:
             kind: Kind of the message; every kind except ``CHANGES`` replaces the list.
-            message: The message of the endpoint service.
+            message: The message from discovery.
             notified_at_us: When this process counts as notified of the message, in microseconds of
                 the event loop's clock.
 
--- a/larchhaven/net/control/endpoint_watch.py
+++ b/larchhaven/net/control/endpoint_watch.py
@@ -1,11 +1,11 @@
 """Watches the endpoint list with long polls, and polls the complete list when asked to.
 
-A long poll asks for changes since a version. The service holds the request until there are changes
-or the hold time ends. By the protocol, if a watch stays silent for 2 s after its hold time, this
-process counts as notified of all changes that it missed. A working service answers as soon as the
-hold time ends. So well before these 2 s are over, a silent watch is followed by short polls, which
-have no hold time, each over a new connection. If they are silent too, the watch fails. The balancer
-decides when to try again.
+A long poll asks for changes since a version. Discovery holds the request until there are changes or
+the hold time ends, and then answers. By the protocol, if a watch stays silent for 2 s after its
+hold time, this process counts as notified of all changes that it missed. So a silent watch is
+followed by short polls, well before these 2 s are over. A short poll has no hold time and uses a
+new connection. If the short polls are silent too, the watch fails. The balancer decides when to try
+again.
 """
 
 from __future__ import annotations
@@ -27,19 +27,19 @@
 WATCH_HOLD_MS = 8_000
 # From the end of the hold time to the first short poll.
 WATCH_SILENCE_US = 500_000
-# A poll sent just before the 2 s limit took 0.8 s, longer than the grace of a drain. This time-out
-# leaves time for two polls.
+# A poll sent just before the 2 s limit can take 0.8 s, longer than a short drain grace. This
+# timeout leaves time for two polls.
 SHORT_POLL_TIMEOUT_US = 1_000_000
 MAX_SHORT_POLLS = 2
 COMPLETE_LIST_TIMEOUT_US = 2_000_000
-# Minimum time between two requests. Without it, a service that answers at once without changes
-# would be polled in a tight loop. The protocol allows 200 ms.
+# Minimum time between two requests. If discovery answers at once without changes, this prevents a
+# tight loop of polls. The protocol allows 200 ms.
 MIN_REQUEST_INTERVAL_US = 50_000
 US_PER_MS = 1_000
 
 
 class _PollState(enum.Enum):
-    """State of the current request to the endpoint service."""
+    """State of the current request to discovery."""
 
     IDLE = "idle"  # no request; a connection may be open for the next one
     CONNECTING = "connecting"  # the request is sent once the connection is established
@@ -47,20 +47,20 @@
 
 
 class EndpointWatch:
-    """Requests changes from the endpoint service, one request at a time.
+    """Requests changes to the endpoint list from discovery, one request at a time.
 
     Args:
         loop: The event loop.
         pool: Provides the buffers and the memory account of the connection.
         log: Receives failures.
-        address: Host and port of the service.
+        address: Host and port of discovery.
         version: Version of the current endpoint list.
         on_list: Called with each list received, or with None when the watch has failed and is
             disabled.
 
     Attributes:
-        notification_delay_us: While ``on_list`` runs, for how long this process may already count
-            as notified of the list, in microseconds.
+        notification_delay_us: Time for which this process may already have counted as notified of
+            the received list, in microseconds; valid while ``on_list`` runs.
     """
 
     def __init__(
@@ -84,9 +84,10 @@
         self._response: HttpResponse | None = None
         # Whether the next request asks for the complete list.
         self._needs_complete_list = False
-        # The current version is not one of this service's: poll complete lists until one arrives.
+        # Whether the current version is not one of discovery's, or a list was invalid. If so,
+        # complete lists are polled until one is accepted.
         self._is_out_of_sync = False
-        # Consecutive short polls. They are not held, as there may be changes already.
+        # Number of consecutive short polls, which have no hold time: changes may have been missed.
         self._short_polls = 0
         self._silent_since_us: int | None = None
         self.notification_delay_us = 0
@@ -101,7 +102,7 @@
             self._start_request()
 
     def start_with_poll(self) -> None:
-        """Start the watch with a short poll, as all changes already count as notified."""
+        """Start the watch with a short poll, as missed changes already count as notified."""
         self._short_polls = 1
         self.set_enabled(True)
 
@@ -113,11 +114,11 @@
         self._start_request()
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """Use another endpoint service from now on.
+        """Use discovery at another address from now on.
 
-        Versions are specific to a service: a watch from the old service's version would stay silent
-        until the new service reaches that version. So complete lists are requested until the new
-        service has sent one.
+        Versions are specific to the discovery process at an address. A watch from the old process's
+        version would stay silent until the new process reaches that version. So complete lists are
+        requested until the new process has sent one.
         """
         self._address = address
         self._disconnect()
@@ -229,15 +230,16 @@
     def _find_list_error(self, message: EndpointListMessage) -> str | None:
         """Return why the message must not be applied, or None if it is valid.
 
-        An empty list would end all service, and a complete list that names a server twice has at
-        least one wrong entry. Changes may name a server twice, as they are applied in order.
+        An empty complete list would remove all servers, and a complete list that names a server
+        twice has at least one wrong entry. Changes may name a server twice, as they are applied in
+        order.
         """
         endpoints = message.endpoints
         if message.is_complete and not endpoints:
             return "complete endpoint list is empty"
         server_ids = {entry.server_id for entry in endpoints}
         if message.is_complete and len(server_ids) < len(endpoints):
-            return f"endpoint list repeats hosts: {len(endpoints)} entries, {len(server_ids)} hosts"
+            return f"endpoint list repeats servers: {len(endpoints)} entries, {len(server_ids)} ids"
         if not self._needs_complete_list and message.version < self._version:
             return f"endpoint list version {message.version} is older than version {self._version}"
         return None
@@ -295,7 +297,7 @@
         if self._state is _PollState.IDLE:
             self._disconnect()
         else:
-            self._fail("service closed the connection before the end of the response")
+            self._fail("discovery closed the connection before the end of the response")
 
     def connection_lost(self, code: int) -> None:
         """Handle a broken connection, which is a failure only while a request is in progress."""
--- a/larchhaven/net/control/http_response.py
+++ b/larchhaven/net/control/http_response.py
@@ -8,7 +8,7 @@
 from larchhaven.memory.purposes import MemoryPurpose
 
 MAX_BODY_BYTES = 4 << 20
-# Share of the memory cap for management; the lower of the two limits applies.
+# Fraction of the memory cap for management; the lower of the two limits applies.
 MAX_BODY_MEMORY_RATIO = 0.25
 
 
--- a/larchhaven/net/control/interfaces.py
+++ b/larchhaven/net/control/interfaces.py
@@ -78,7 +78,7 @@
         """Read the available input, which may be the client's end of stream."""
 
     def send_rejection(self, retry_after_us: int) -> None:
-        """Answer that the request is rejected and safe to retry, after this delay if not 0."""
+        """Reject the request, which is safe to retry after this delay; 0 names no delay."""
 
     def send_failure(self) -> None:
         """Answer that the request failed."""
@@ -129,7 +129,7 @@
     Attributes:
         endpoints: Addresses of servers.
         start_attempt: Starts an attempt, given the request id, the payload, the server's address
-            and the time-out in microseconds.
+            and the timeout in microseconds.
         check_health: Starts a health check, given the server's id and address.
         close_idle_connections: Closes the idle connections to a server.
         set_watch_enabled: Starts or stops the watch on the endpoint list.
--- a/larchhaven/net/control/membership_switch.py
+++ b/larchhaven/net/control/membership_switch.py
@@ -72,7 +72,7 @@
 
     Attributes:
         on_present_changed: Called with the proxies that are presumed present when this set
-            changes. Called with the whole peer table when the membership is disabled.
+            changes. Called with all proxies of the peer table when the membership is disabled.
     """
 
     def __init__(
@@ -89,8 +89,8 @@
         self._shares_load_reports = shares_load_reports
         self._settings = Settings()
         self._is_started = False
-        self._previous_incarnation = 0  # 0 if there was no previous process
-        self._handed_over_incarnation = 0  # 0 unless the next process has taken over
+        self._previous_incarnation = 0  # 0 if there was no predecessor
+        self._handed_over_incarnation = 0  # 0 unless the successor has taken over
         self._transport: MembershipTransport | None = None
 
     def disabled_reason(self) -> str:
@@ -108,7 +108,7 @@
                 f"{len(config.peer_addresses)} peers"
             )
         if self.is_handed_over:
-            return "the next process of this proxy has taken over the membership"
+            return "the successor of this process has taken over the membership"
         return ""
 
     def start(self) -> None:
@@ -172,24 +172,24 @@
 
     @property
     def is_handed_over(self) -> bool:
-        """Whether the next process has taken over the membership of this proxy."""
+        """Whether the successor has taken over the membership of this proxy."""
         return self._handed_over_incarnation > 0
 
     def hand_over(self) -> int:
-        """Stop the membership for the next process; return the incarnation that it must exceed."""
+        """Stop the membership; return the incarnation that the successor must exceed."""
         if self._transport is not None:
             self._handed_over_incarnation = self._transport.hand_over()
             self._forget_transport()
         return self._handed_over_incarnation
 
     def take_over(self, previous_incarnation: int) -> None:
-        """Continue the membership of the previous process, whose incarnation must be exceeded."""
+        """Continue the membership of the predecessor, whose incarnation must be exceeded."""
         self._previous_incarnation = max(self._previous_incarnation, previous_incarnation)
         if self._transport is not None:
             self._transport.take_over(self._previous_incarnation)
 
     def resume(self) -> None:
-        """Enable the membership again, as the next process ended before this one."""
+        """Enable the membership again, as the successor ended before this process."""
         if self.is_handed_over:
             self._previous_incarnation = self._handed_over_incarnation
             self._handed_over_incarnation = 0
--- a/larchhaven/net/control/request_spec.py
+++ b/larchhaven/net/control/request_spec.py
@@ -12,7 +12,7 @@
     Only the payload changes: it is dropped once a server has accepted the request.
 
     Attributes:
-        payload: What is sent to the server, encoded in the client's protocol.
+        payload: The request as it is sent to the server, encoded in the client's protocol.
         class_index: Index of the request class in the settings.
         budget_us: Maximum time to the answer, in microseconds; None for the deadline of the class.
         identity: Id that is unique among open requests; empty if the protocol has none.
--- a/larchhaven/net/control/request_table.py
+++ b/larchhaven/net/control/request_table.py
@@ -23,9 +23,9 @@
 class RequestTable:
     """The open requests, by id.
 
-    A request is added by ``add_request``, and removed by ``remove_request`` however it ends. The
-    balancer has its client answered by ``answer_rejected``, ``answer_failed`` or
-    ``answer_established``. Otherwise, the request fails at its deadline, or because its client
+    A request is added by ``add_request``, and removed by ``remove_request`` however it ends. Its
+    client is answered by ``answer_rejected``, ``answer_failed`` or ``answer_established`` when the
+    balancer has decided. Otherwise, the request fails at its deadline, or because its client
     violates the protocol.
 
     Args:
@@ -92,7 +92,7 @@
         ]
 
     def find_remaining_budget_us(self, request_id: int) -> int | None:
-        """Return the time to a request's deadline; None if its client waits for no answer."""
+        """Return the time to a request's deadline; None if no client waits for its answer."""
         request = self.find_request(request_id)
         if request is None or not request.is_pending():
             return None
@@ -173,7 +173,7 @@
             self._end_pending(request)
 
     def fail_request(self, request_id: int) -> bool:
-        """Fail a request without asking the balancer; it is told that the client disconnected.
+        """Fail a request, and report to the balancer that its client disconnected.
 
         Returns:
             False if the request was already answered.
--- a/tests/net/control/test_dispatcher.py
+++ b/tests/net/control/test_dispatcher.py
@@ -141,7 +141,7 @@
     assert dispatcher.requests.count_requests() == 0
 
 
-def test_slow_messages_are_reported_once_a_second_and_then_the_first_fast_one(
+def test_slow_messages_are_reported_once_per_second_and_then_the_first_fast_one(
     dispatcher: Dispatcher, fake_transport: FakeTransport
 ) -> None:
     request_id = dispatcher.requests.accept_request(fake_transport, RequestSpec(b"x", 0, None))
--- a/tests/net/control/test_drain_guard.py
+++ b/tests/net/control/test_drain_guard.py
@@ -29,7 +29,7 @@
     return loop, endpoints, guard
 
 
-def test_draining_server_may_be_used_until_shortly_before_its_grace_ends() -> None:
+def test_draining_server_may_be_used_until_shortly_before_its_drain_grace_ends() -> None:
     loop, endpoints, guard = make_guard()
     assert guard.may_send_to("s0")
     endpoints.drained_at_us = loop.now_us - SEND_WINDOW_US + 1
@@ -38,7 +38,7 @@
     assert not guard.may_send_to("s0")
 
 
-def test_ejection_counts_from_its_first_report_and_ends_when_revoked() -> None:
+def test_drain_grace_counts_from_the_first_report_of_an_ejection_until_it_is_revoked() -> None:
     loop, _endpoints, guard = make_guard()
     guard.set_ejection("s0", True)
     loop.now_us += SEND_WINDOW_US - 1
--- a/tests/net/control/test_endpoint_watch.py
+++ b/tests/net/control/test_endpoint_watch.py
@@ -1,4 +1,4 @@
-"""The endpoint watch on real sockets, with time-outs short enough to wait for."""
+"""The endpoint watch on real sockets, with timeouts short enough to wait for."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 ANSWER = b'{"seq":8,"whole":false,"hosts":[]}'
 
 
-class EndpointService:
-    """An endpoint service that answers when the test tells it to, and the watch under test."""
+class FakeDiscovery:
+    """Fakes discovery, which answers when the test tells it to, and holds the watch under test."""
 
     def __init__(self) -> None:
         self.loop = EventLoop()
@@ -78,7 +78,7 @@
         self.wait_for_results(before + 1)
 
     def wait_for_results(self, result_count: int) -> None:
-        """Wait until the watch has passed on this many results, or until the time-out."""
+        """Wait until the watch has passed on this many results, or until the timeout."""
         deadline_s = time.monotonic() + TIMEOUT_S
         while len(self.received_lists) < result_count and time.monotonic() < deadline_s:
             self.run_iteration()
@@ -89,81 +89,83 @@
 
 
 @pytest.fixture
-def service_with_long_timeouts() -> EndpointService:
-    """Return a service with long time-outs, so that the test also passes on a busy machine."""
-    return EndpointService()
+def discovery_long_timeouts() -> FakeDiscovery:
+    """Return discovery and a watch with long timeouts, to pass on a busy machine as well."""
+    return FakeDiscovery()
 
 
 @pytest.fixture
-def service(monkeypatch: pytest.MonkeyPatch) -> EndpointService:
-    """Return a service with a short hold time and silence limit, and long other time-outs."""
+def discovery(monkeypatch: pytest.MonkeyPatch) -> FakeDiscovery:
+    """Return discovery and a watch with a short hold time, which detects silence early."""
     monkeypatch.setattr(watch_module, "WATCH_HOLD_MS", 60)
     monkeypatch.setattr(watch_module, "WATCH_SILENCE_US", 60_000)
     monkeypatch.setattr(watch_module, "SHORT_POLL_TIMEOUT_US", 60_000_000)
     monkeypatch.setattr(watch_module, "COMPLETE_LIST_TIMEOUT_US", 60_000_000)
-    return EndpointService()
+    return FakeDiscovery()
 
 
-def test_silent_watch_is_followed_by_a_short_poll(service: EndpointService) -> None:
+def test_silent_watch_is_followed_by_a_short_poll(discovery: FakeDiscovery) -> None:
     """Without a short poll, requests go to servers that drained while the watch was silent.
 
     This process already counts as notified of changes that a silent watch has missed.
     """
-    service.watch.set_enabled(True)
-    _silent, request_line = service.receive_request()
+    discovery.watch.set_enabled(True)
+    _silent, request_line = discovery.receive_request()
     assert request_line == "GET /v1/endpoints?from=7&hold_ms=60 HTTP/1.1"
-    sock, request_line = service.receive_request()
+    sock, request_line = discovery.receive_request()
     assert request_line == "GET /v1/endpoints?from=7&hold_ms=0 HTTP/1.1"
-    assert service.received_lists == []  # the watch has not failed
-    service.answer(sock, ANSWER)
-    assert service.received_lists[0] is not None
-    assert service.received_lists[0].version == 8
+    assert discovery.received_lists == []  # the watch has not failed
+    discovery.answer(sock, ANSWER)
+    assert discovery.received_lists[0] is not None
+    assert discovery.received_lists[0].version == 8
     # The drain grace counts from the time when the silence was detected.
-    assert service.watch.notification_delay_us > 0
+    assert discovery.watch.notification_delay_us > 0
     update = EndpointListMessage(9, [EndpointEntry("s0", "127.0.0.1:1", health="draining")])
     directory = EndpointDirectory(["a"], ["x"])
     directory.apply_list(
-        EndpointListKind.CHANGES, update, service.loop.now_us - service.watch.notification_delay_us
+        EndpointListKind.CHANGES,
+        update,
+        discovery.loop.now_us - discovery.watch.notification_delay_us,
     )
-    assert (directory.drain_notified_at_us("s0") or 0) < service.loop.now_us
+    assert (directory.drain_notified_at_us("s0") or 0) < discovery.loop.now_us
 
 
 def test_short_poll_is_sent_well_before_missed_changes_count_as_notified(
-    service: EndpointService,
+    discovery: FakeDiscovery,
 ) -> None:
-    """A short poll that is sent too late can outlast the grace of a drain.
+    """A short poll that is sent too late can end after the drain grace of a server.
 
-    Here, a poll may take one minute, so it must be sent long before that time is over.
+    The timeout of a poll is one minute here, and the poll must be sent long before that.
     """
-    service.watch.set_enabled(True)
-    _silent, _ = service.receive_request()
-    sock, request_line = service.receive_request()
+    discovery.watch.set_enabled(True)
+    _silent, _ = discovery.receive_request()
+    sock, request_line = discovery.receive_request()
     assert request_line == "GET /v1/endpoints?from=7&hold_ms=0 HTTP/1.1"
-    service.answer(sock, f'{{"seq":8,"hosts":[{DRAINING}]}}'.encode())
-    assert service.received_lists[0] is not None
-    assert service.received_lists[0].endpoints[0].health == "draining"
+    discovery.answer(sock, f'{{"seq":8,"hosts":[{DRAINING}]}}'.encode())
+    assert discovery.received_lists[0] is not None
+    assert discovery.received_lists[0].endpoints[0].health == "draining"
 
 
 def test_watch_fails_after_two_silent_short_polls_and_restarts_with_a_short_poll(
-    service: EndpointService, monkeypatch: pytest.MonkeyPatch
+    discovery: FakeDiscovery, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """If the first short poll is silent too, a second one must follow in time.
+    """If the first short poll is silent too, a second one must follow before the watch fails.
 
-    Otherwise, there is no third request, or it is late.
+    After the failure, changes may have been missed, so the watch must restart with a short poll.
     """
     monkeypatch.setattr(watch_module, "SHORT_POLL_TIMEOUT_US", 60_000)
-    service.watch.set_enabled(True)
-    requests = [service.receive_request() for _ in range(3)]
+    discovery.watch.set_enabled(True)
+    requests = [discovery.receive_request() for _ in range(3)]
     assert [request_line.split("=")[-1] for _, request_line in requests] == [
         "60 HTTP/1.1",
         "0 HTTP/1.1",
         "0 HTTP/1.1",
     ]
-    assert service.received_lists == []
-    service.wait_for_results(1)
-    assert service.received_lists == [None]
-    service.watch.set_enabled(True)
-    assert service.receive_request()[1] == "GET /v1/endpoints?from=7&hold_ms=0 HTTP/1.1"
+    assert discovery.received_lists == []
+    discovery.wait_for_results(1)
+    assert discovery.received_lists == [None]
+    discovery.watch.set_enabled(True)
+    assert discovery.receive_request()[1] == "GET /v1/endpoints?from=7&hold_ms=0 HTTP/1.1"
 
 
 def test_last_poll_is_sent_before_missed_changes_count_as_notified() -> None:
@@ -172,9 +174,9 @@
 
 
 def test_call_after_two_silent_polls_is_sent_within_a_short_grace() -> None:
-    """A drain with a grace of half a second may be missed by the watch and both short polls.
+    """The watch and both short polls may miss a drain whose drain grace is half a second.
 
-    The next request must be sent before this grace ends.
+    The next request must be sent before this drain grace ends.
     """
     notified_us = 2_000_000  # after the end of the hold time, by the protocol
     shortest_grace_us = 500_000
@@ -186,21 +188,21 @@
     "silence", ["without an answer", "in the middle of an answer", "while the address changes"]
 )
 def test_changes_are_polled_however_the_watch_falls_silent(
-    service: EndpointService, silence: str
+    discovery: FakeDiscovery, silence: str
 ) -> None:
-    service.watch.set_enabled(True)
-    sock, _ = service.receive_request()
+    discovery.watch.set_enabled(True)
+    sock, _ = discovery.receive_request()
     if silence == "in the middle of an answer":
         sock.sendall(b'HTTP/1.1 200 OK\r\nContent-Length: 40\r\n\r\n{"seq":8')
     if silence == "while the address changes":
-        service.receive_request()  # the short poll, sent before the service's address changes
-        service.watch.change_address(service.listener.getsockname())
-    sock, request_line = service.receive_request()
+        discovery.receive_request()  # the short poll, sent before discovery's address changes
+        discovery.watch.change_address(discovery.listener.getsockname())
+    sock, request_line = discovery.receive_request()
     assert ("hold_ms=0" in request_line) == (silence != "while the address changes")
-    service.answer(sock, f'{{"seq":8,"whole":true,"hosts":[{DRAINING}]}}'.encode())
-    assert service.received_lists[0] is not None
-    assert service.received_lists[0].endpoints[0].health == "draining"
-    assert service.receive_next_request(sock).endswith("?from=8&hold_ms=60 HTTP/1.1")
+    discovery.answer(sock, f'{{"seq":8,"whole":true,"hosts":[{DRAINING}]}}'.encode())
+    assert discovery.received_lists[0] is not None
+    assert discovery.received_lists[0].endpoints[0].health == "draining"
+    assert discovery.receive_next_request(sock).endswith("?from=8&hold_ms=60 HTTP/1.1")
 
 
 READY = '{"host":"s0","dial":"127.0.0.1:1"}'
@@ -217,33 +219,33 @@
     ],
 )
 def test_invalid_or_outdated_list_is_a_failure(
-    service_with_long_timeouts: EndpointService, invalid_list: str
+    discovery_long_timeouts: FakeDiscovery, invalid_list: str
 ) -> None:
     """An empty list would remove all servers, and an old one would restore removed servers."""
-    service_with_long_timeouts.watch.set_enabled(True)
-    service_with_long_timeouts.answer(
-        service_with_long_timeouts.receive_request()[0], invalid_list.encode()
+    discovery_long_timeouts.watch.set_enabled(True)
+    discovery_long_timeouts.answer(
+        discovery_long_timeouts.receive_request()[0], invalid_list.encode()
     )
-    assert service_with_long_timeouts.received_lists == [None]
-    # A polled complete list is applied whatever its version, as the service may have restarted.
-    service_with_long_timeouts.watch.set_enabled(True)
-    sock, request_line = service_with_long_timeouts.receive_request()
+    assert discovery_long_timeouts.received_lists == [None]
+    # A polled complete list is applied whatever its version, as discovery may have restarted.
+    discovery_long_timeouts.watch.set_enabled(True)
+    sock, request_line = discovery_long_timeouts.receive_request()
     assert request_line == "GET /v1/endpoints HTTP/1.1"
-    service_with_long_timeouts.answer(sock, f'{{"seq":4,"whole":true,"hosts":[{READY}]}}'.encode())
-    complete_list = service_with_long_timeouts.received_lists[-1]
+    discovery_long_timeouts.answer(sock, f'{{"seq":4,"whole":true,"hosts":[{READY}]}}'.encode())
+    complete_list = discovery_long_timeouts.received_lists[-1]
     assert complete_list is not None
     assert complete_list.version == 4
     assert len(complete_list.endpoints) == 1
 
 
 def test_changes_that_name_a_server_twice_are_applied_in_their_order(
-    service_with_long_timeouts: EndpointService,
+    discovery_long_timeouts: FakeDiscovery,
 ) -> None:
-    service_with_long_timeouts.watch.set_enabled(True)
-    service_with_long_timeouts.answer(
-        service_with_long_timeouts.receive_request()[0],
+    discovery_long_timeouts.watch.set_enabled(True)
+    discovery_long_timeouts.answer(
+        discovery_long_timeouts.receive_request()[0],
         f'{{"seq":8,"hosts":[{DRAINING},{READY}]}}'.encode(),
     )
-    update = service_with_long_timeouts.received_lists[0]
+    update = discovery_long_timeouts.received_lists[0]
     assert update is not None
     assert [entry.health for entry in update.endpoints] == ["draining", "ready"]
--- a/tests/net/control/test_http_response.py
+++ b/tests/net/control/test_http_response.py
@@ -1,4 +1,4 @@
-"""Responses of the endpoint service, and the memory limits of their bodies."""
+"""Responses of discovery, and the memory limits of their bodies."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     return MemoryAccount(dict.fromkeys(MemoryPurpose, CAP_BYTES))
 
 
-def test_body_is_charged_part_by_part_and_released(account: MemoryAccount) -> None:
+def test_body_is_charged_as_it_arrives_and_released(account: MemoryAccount) -> None:
     response = HttpResponse(account)
     response.feed(HEAD % 8 + b"abcd")
     assert not response.is_complete
@@ -31,7 +31,7 @@
     assert account.charged_bytes(MemoryPurpose.MANAGEMENT) == 0
 
 
-def test_body_larger_than_a_quarter_of_the_memory_is_too_long(account: MemoryAccount) -> None:
+def test_body_larger_than_a_quarter_of_the_memory_cap_is_too_long(account: MemoryAccount) -> None:
     response = HttpResponse(account)
     response.feed(HEAD % CAP_BYTES + b"x" * (CAP_BYTES // 4))
     assert not response.is_too_long
@@ -41,7 +41,7 @@
     assert account.charged_bytes(MemoryPurpose.MANAGEMENT) == 0
 
 
-def test_connection_is_not_kept_if_the_service_closes_it(account: MemoryAccount) -> None:
+def test_connection_is_not_kept_if_discovery_closes_it(account: MemoryAccount) -> None:
     response = HttpResponse(account)
     response.feed(b"HTTP/1.1 503 Busy\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
     assert response.is_complete
--- a/tests/net/control/test_membership_transport.py
+++ b/tests/net/control/test_membership_transport.py
@@ -135,7 +135,7 @@
     assert [member["state"] for member in report["members"]] == ["alive", "alive", "dead"]
     assert sorted(report["members"][2]["by"]) == [0, 1]
     assert (report["here"], report["agreed"], report["part"]) == (2, 3, "majority")
-    assert fleet.present[0] == {0, 1, 3}  # 3 has sent nothing: it may be about to start
+    assert fleet.present[0] == {0, 1, 3}  # proxy 3 has sent nothing yet, so it is presumed present
     line = "membership changed: dead: 2 (n2); 2 of 4 present; partition side: majority"
     lines = {record.getMessage(): record for record in caplog.records}
     assert vars(lines[line])["event"] == "members"
@@ -164,7 +164,7 @@
     assert report["refused"] == {"size": MAX_QUEUED_DATAGRAMS}
 
 
-def test_next_process_takes_over_with_a_larger_incarnation(fleet: Fleet) -> None:
+def test_successor_takes_over_with_a_larger_incarnation(fleet: Fleet) -> None:
     fleet.loop.run_until(5 * SECOND_US)
     transport = fleet.transports[2]
     incarnation = transport.hand_over()
--- a/tests/net/control/test_request.py
+++ b/tests/net/control/test_request.py
@@ -12,8 +12,8 @@
 SPEC = RequestSpec(payload=b"x", class_index=0, budget_us=None)
 
 
-class FakePeer:
-    """Fake attempt and fake client."""
+class FakeConnection:
+    """Fakes an attempt or a client."""
 
     def cancel(self) -> None:
         """Do nothing: no attempt is running."""
@@ -34,19 +34,19 @@
 
 
 def test_request_waits_between_attempts_and_is_established_by_one() -> None:
-    client, first, second = FakePeer(), FakePeer(), FakePeer()
+    client, first_attempt, second_attempt = FakeConnection(), FakeConnection(), FakeConnection()
     request = Request(client, SPEC, deadline_us=100)
     states = [request.state]
     request.assign_server("s0", now_us=1)
-    request.begin_attempt(first)
+    request.begin_attempt(first_attempt)
     states.append(request.state)
-    assert request.take_attempt() is first
+    assert request.take_attempt() is first_attempt
     states.append(request.state)
     request.assign_server("s1", now_us=2)
-    request.begin_attempt(second)
+    request.begin_attempt(second_attempt)
     states.append(request.state)
     assert request.attempt_number == 1
-    assert request.establish() == (client, second)
+    assert request.establish() == (client, second_attempt)
     states.append(request.state)
     assert not request.is_pending()
     assert states == [
@@ -63,25 +63,25 @@
 
 
 def test_second_concurrent_attempt_is_an_error_that_names_the_states() -> None:
-    request = Request(FakePeer(), SPEC, deadline_us=100)
-    request.begin_attempt(FakePeer())
+    request = Request(FakeConnection(), SPEC, deadline_us=100)
+    request.begin_attempt(FakeConnection())
     with pytest.raises(RequestStateError) as raised:
-        request.begin_attempt(FakePeer())
+        request.begin_attempt(FakeConnection())
     assert raised.value.actual is RequestState.ATTEMPTING
     assert raised.value.expected is RequestState.WAITING
 
 
 def test_request_is_neither_established_without_an_attempt_nor_attempted_after_its_end() -> None:
-    request = Request(FakePeer(), SPEC, deadline_us=100)
+    request = Request(FakeConnection(), SPEC, deadline_us=100)
     with pytest.raises(RequestStateError):
         request.establish()
     request.end()
     with pytest.raises(RequestStateError):
-        request.begin_attempt(FakePeer())
+        request.begin_attempt(FakeConnection())
 
 
 def test_end_of_an_attempt_is_reported_with_its_server_and_latency() -> None:
-    request = Request(FakePeer(), SPEC, deadline_us=100)
+    request = Request(FakeConnection(), SPEC, deadline_us=100)
     request.request_id = 7
     request.assign_server("s0", now_us=10)
     event = request.report_attempt_end(AttemptResult.RESET, 25, is_final=False)
