--- a/larchhaven/net/core/buffer_pool.py
+++ b/larchhaven/net/core/buffer_pool.py
@@ -67,11 +67,11 @@
         stream_purpose: The purpose that streams are charged under.
         socket_buffer_bytes: The value of SO_SNDBUF and SO_RCVBUF of streams; 0 keeps the system's
             default.
-        on_exhausted: Called when no buffer is granted. It may release the buffer of a client that
+        on_exhausted: Called when no buffer is available. It may release the buffer of a client that
             makes no progress.
         lingering: Streams in lingering close, oldest first. They are the cheapest to shed.
-        unread_since_us: Client streams with unread data, and since when in microseconds, longest
-            first.
+        unread_since_us: Streams whose clients have not read pending data, each with the time since
+            then on the event loop's clock in microseconds; earliest first.
     """
 
     def __init__(
--- a/larchhaven/net/core/event_loop.py
+++ b/larchhaven/net/core/event_loop.py
@@ -19,11 +19,11 @@
 WRITE = selectors.EVENT_WRITE
 # A timer that is this late shows that the process or its machine was paused.
 PAUSE_THRESHOLD_US = 1_000_000
-# Cancelled timers are dropped when they come due. All are dropped at once if there are more than
-# this and they exceed a quarter of all timers.
+# Cancelled timers are dropped when they come due. If their number exceeds this limit and a quarter
+# of all timers, they are all dropped at once.
 _MAX_CANCELLED_TIMERS = 250
 _CANCELLED_TIMERS_DIVISOR = 4
-# At most one failed callback is logged in this time.
+# At most one traceback of a failed callback is logged in this time.
 _TRACEBACK_INTERVAL_US = 1_000_000
 _SIGNALS_PER_READ = 64
 
@@ -228,14 +228,14 @@
         ready = self._selector.select(self._seconds_to_wait())
         self._skips_next_wait = False
         self.now_us = time.monotonic_ns() // 1000
-        late_us = 0 if next_due_us is None else self.now_us - max(next_due_us, previous_us)
+        delay_us = 0 if next_due_us is None else self.now_us - max(next_due_us, previous_us)
         # The ready events were found before the pause. Sockets that became ready during it are
         # handled in the next iteration, and timers run only after them. Otherwise a request line
         # that had arrived in time would be read after its deadline.
-        self._is_resuming = late_us >= PAUSE_THRESHOLD_US and not self._is_resuming
+        self._is_resuming = delay_us >= PAUSE_THRESHOLD_US and not self._is_resuming
         if self._is_resuming:
             self._skips_next_wait = True
-            self._call(self.on_process_resumed, late_us)
+            self._call(self.on_process_resumed, delay_us)
         for key, events in ready:
             # An earlier callback may have closed the channel, and its slot may be in use again.
             channel = self._channels.get(key.data)
@@ -256,7 +256,7 @@
                 self._call(callback)
 
     def _call(self, callback: Callable[..., None], *arguments: int) -> None:
-        """Run a callback, so that an exception in one does not end all connections."""
+        """Run a callback; log an exception, so that it does not end all connections."""
         try:
             callback(*arguments)
         except Exception:
--- a/larchhaven/net/core/slot_table.py
+++ b/larchhaven/net/core/slot_table.py
@@ -1,4 +1,4 @@
-"""Slot tables, whose generations keep a stale token from reaching the next item of a slot."""
+"""Slot tables, whose tokens become stale when their slots are freed."""
 
 from __future__ import annotations
 
--- a/larchhaven/net/core/stream.py
+++ b/larchhaven/net/core/stream.py
@@ -169,24 +169,24 @@
         """
         if self.is_closed or self._is_ending:
             return 0
-        taken = 0
+        accepted = 0
         if not self.pending_bytes and not self._is_connecting:
             try:
-                taken = self._sock.send(data)
+                accepted = self._sock.send(data)
             except (BlockingIOError, InterruptedError):
-                taken = 0
+                accepted = 0
             except OSError as error:
                 # Reported by a timer, as the protocol may be the caller.
                 code = error.errno or errno.EPIPE
                 self._loop.call_later(0, lambda: self._close_on_error(code))
                 return 0
-        if taken < len(data):
-            taken += self._buffer_output(data, taken)
+        if accepted < len(data):
+            accepted += self._buffer_output(data, accepted)
             if not self.pending_bytes:
                 self._pool.call_when_available(self._report_drained)
             elif self.on_shed is not None:
                 self._pool.unread_since_us.setdefault(self, self._loop.now_us)
-        return taken
+        return accepted
 
     def _report_drained(self) -> None:
         if not self.is_closed:
--- a/larchhaven/net/text_protocol/client_connection.py
+++ b/larchhaven/net/text_protocol/client_connection.py
@@ -96,12 +96,12 @@
 
     def eof_received(self) -> None:
         """Treat the end of the stream as a disconnect: a waiting client keeps its side open."""
-        self._leave()
+        self._handle_disconnect()
         self.stream.start_lingering_close()
 
     def connection_lost(self, code: int) -> None:
         """Handle the disconnect of the client."""
-        self._leave()
+        self._handle_disconnect()
 
     # Request handling
 
@@ -126,7 +126,7 @@
         else:
             self._acceptor.requests.reject_request(self, spec)
 
-    def _leave(self) -> None:
+    def _handle_disconnect(self) -> None:
         self._cancel_timeout()
         self._acceptor.stop_awaiting_request(self)
         if self._request_id is not None:
--- a/larchhaven/net/text_protocol/codec.py
+++ b/larchhaven/net/text_protocol/codec.py
@@ -181,9 +181,9 @@
 
 def parse_ending(line: bytes) -> Ending | None:
     """Parse a line with which a server ends an attempt; return None for any other line."""
-    word, _, rest = line.partition(b" ")
+    word, _, report_text = line.partition(b" ")
     result = _RESULTS.get(word)
-    return None if result is None else Ending(result, parse_load_report(rest))
+    return None if result is None else Ending(result, parse_load_report(report_text))
 
 
 def parse_final_line(line: bytes) -> Ending | None:
@@ -201,9 +201,9 @@
 
 def parse_health_check_answer(line: bytes) -> Ending:
     """Parse the answer to a health check; any but ``PONG``, ``NO`` and ``BUSY`` is an error."""
-    word, _, rest = line.partition(b" ")
+    word, _, report_text = line.partition(b" ")
     if word == b"PONG":
-        return Ending(AttemptResult.OK, parse_load_report(rest))
+        return Ending(AttemptResult.OK, parse_load_report(report_text))
     if word == b"NO":
         return Ending(AttemptResult.NOT_SENT)
     ending = parse_ending(line)
--- a/larchhaven/net/text_protocol/connection_relay.py
+++ b/larchhaven/net/text_protocol/connection_relay.py
@@ -27,7 +27,8 @@
 IDLE_TIMEOUT_US = 600_000_000
 # Time that a server has to close the connection after its final line.
 FINAL_LINE_GRACE_US = 300_000
-# Time that a migration waits for the end of the line in progress. After that it sends no MOVE.
+# Time that a migration waits for the end of the line in progress. After that, the connection is
+# closed without a MOVE.
 MIGRATION_GRACE_US = 500_000
 # Unanswered lines tracked per connection. If there are more, only the oldest are tracked.
 MAX_UNANSWERED_LINES = 64
@@ -118,8 +119,8 @@
         server: The connection to the server.
         observer: Receives the events of the connection.
         request_id: The id of the request.
-        initial: The line with which the server accepted the connection, or the state in which
-            another process has handed it over.
+        initial: The line with which the server accepted the connection, or the state that the
+            predecessor handed over.
     """
 
     __slots__ = (
@@ -172,7 +173,7 @@
         if server.at_eof:
             self.on_side_ended(self._server)
 
-    # Hand-over between processes
+    # Handover between processes
 
     def _restore(self, state: RelayState) -> None:
         self._client.restore(state.client)
@@ -212,15 +213,15 @@
         inbox = side.stream.inbox
         if inbox is not None and (self._phase is _RELAYING or self._may_forward(side)):
             data = bytes(inbox.readable())
-            taken = side.other.stream.write(data)
-            if taken < len(data):
+            accepted = side.other.stream.write(data)
+            if accepted < len(data):
                 side.stream.pause_reading()  # until the other side has accepted the rest
-            if taken:
-                if taken == len(data):
-                    side.stream.consume(taken)
+            if accepted:
+                if accepted == len(data):
+                    side.stream.consume(accepted)
                 else:
-                    inbox.start += taken
-                self._note_lines(side, side.line_counter.feed(data[:taken]))
+                    inbox.start += accepted
+                self._note_lines(side, side.line_counter.feed(data[:accepted]))
         if side.stream.at_eof and side.stream.inbox is None:
             if side is self._server:
                 self._close_both_sides()
@@ -292,9 +293,9 @@
         self._unanswered_check = self._loop.call_later(delay_us, self._check_unanswered)
 
     def _on_idle_timeout(self) -> None:
-        left_us = self._last_data_us + IDLE_TIMEOUT_US - self._loop.now_us
-        if left_us > 0:
-            self._idle_timeout = self._loop.call_later(left_us, self._on_idle_timeout)
+        remaining_us = self._last_data_us + IDLE_TIMEOUT_US - self._loop.now_us
+        if remaining_us > 0:
+            self._idle_timeout = self._loop.call_later(remaining_us, self._on_idle_timeout)
         else:
             self._abort(AttemptResult.CANCELLED)
 
--- a/larchhaven/net/text_protocol/listener.py
+++ b/larchhaven/net/text_protocol/listener.py
@@ -24,7 +24,7 @@
 GRACE_PAUSE_US = 5_000
 # Descriptors reserved for uses other than clients: health checks, discovery, the process's own.
 SPARE_DESCRIPTORS = 64
-# Ratio of all descriptors that clients without a request line may hold.
+# Fraction of all descriptors that clients without a request line may hold.
 AWAITING_REQUEST_RATIO = 0.45
 
 
@@ -197,8 +197,8 @@
     def _shed_clients(self) -> None:
         """Shed clients, the oldest of each kind first, until a new one fits.
 
-        Most clients send their request line as soon as they are connected. When idle clients were
-        left to time out by themselves, new clients were kept out for 10 s and more.
+        Most clients send their request line as soon as they are connected. If idle clients were
+        only ended by their timeouts, new clients would be kept out for 10 s and more.
         """
         while (candidate := self._choose_shed_candidate()) is not None:
             match candidate:
--- a/larchhaven/net/text_protocol/upstream_attempt.py
+++ b/larchhaven/net/text_protocol/upstream_attempt.py
@@ -78,7 +78,8 @@
     def connection_made(self) -> None:
         """Send the request line, unless the observer no longer allows it.
 
-        During the connect, the server may have started to drain, or the client may have left.
+        During the connect, the server may have started to drain, or the client may have
+        disconnected.
         """
         self._loop.cancel(self._connect_timeout)
         stream = self.stream
--- a/tests/in_process_proxy.py
+++ b/tests/in_process_proxy.py
@@ -62,12 +62,12 @@
             Transport(
                 endpoints=self,
                 start_attempt=self.start_attempt,
-                check_health=lambda host, address: None,
-                close_idle_connections=lambda host: None,
-                set_watch_enabled=lambda on: None,
+                check_health=lambda server_id, address: None,
+                close_idle_connections=lambda server_id: None,
+                set_watch_enabled=lambda is_enabled: None,
                 poll_endpoints=lambda: None,
                 send_gossip=lambda peer, data: None,
-                announce_identity=lambda identity, on: None,
+                announce_identity=lambda identity, is_open: None,
                 is_open_elsewhere=lambda identity: False,
             )
         )
--- a/tests/net/core/test_buffer_pool.py
+++ b/tests/net/core/test_buffer_pool.py
@@ -21,12 +21,12 @@
             }
         )
     )
-    only = pool.acquire()
-    assert isinstance(only, Buffer)
+    buffer = pool.acquire()
+    assert isinstance(buffer, Buffer)
     assert pool.acquire() is None
     called: list[int] = []
     pool.call_when_available(lambda: called.append(1))
     pool.call_when_available(lambda: called.append(2))
-    pool.release(only)
+    pool.release(buffer)
     assert called == [1, 2]
-    assert pool.acquire() is only
+    assert pool.acquire() is buffer
--- a/tests/net/core/test_rate_limited_log.py
+++ b/tests/net/core/test_rate_limited_log.py
@@ -9,24 +9,24 @@
 
 
 def test_number_of_tracked_events_is_capped() -> None:
-    events = RateLimitedLog(EventLoop(), 3)
+    event_log = RateLimitedLog(EventLoop(), 3)
     for number in range(50):
-        events.warning(f"event {number}", "x")
-    assert events.event_count() == 3
+        event_log.warning(f"event {number}", "x")
+    assert event_log.event_count() == 3
 
 
 def test_suppressed_events_are_counted_in_the_next_line(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    events = RateLimitedLog(EventLoop())
-    events.repeat_interval_us = 0
-    events.warning("watch failed", "attempt=1")
-    events.repeat_interval_us = 1_000
-    events.warning("watch failed", "attempt=2")
+    event_log = RateLimitedLog(EventLoop())
+    event_log.repeat_interval_us = 0
+    event_log.warning("watch failed", "attempt=1")
+    event_log.repeat_interval_us = 1_000
+    event_log.warning("watch failed", "attempt=2")
     for number in range(3, 6):
-        events.warning("watch failed", f"attempt={number}")
-    vars(events)["_loop"].now_us += 1_000
-    events.warning("watch failed", "attempt=6")
+        event_log.warning("watch failed", f"attempt={number}")
+    vars(event_log)["_loop"].now_us += 1_000
+    event_log.warning("watch failed", "attempt=6")
     assert [record.getMessage() for record in caplog.records] == [
         "watch failed: attempt=1",
         "watch failed: attempt=2",
--- a/tests/net/races/test_client_disconnects.py
+++ b/tests/net/races/test_client_disconnects.py
@@ -30,17 +30,17 @@
 ) -> None:
     """A server must not execute a request whose client has disconnected.
 
-    Without space in the client's buffer, or without any buffer, the proxy did not see the
-    disconnect and forwarded the request.
+    If the client's buffer is full, or the pool has no buffer left, the proxy could miss the
+    disconnect and forward the request.
     """
     clients = [harness.connect_client(REQUEST_LINE % number) for number in range(3)]
     harness.run(3)
     assert harness.dispatcher.requests.count_requests() == 3
-    taken = acquire_all_buffers(harness) if buffers == "none left" else []
+    acquired_buffers = acquire_all_buffers(harness) if buffers == "none left" else []
     for sock in clients:
         disconnect(sock, harness, kind)
     harness.run(4)
-    for buffer in taken:
+    for buffer in acquired_buffers:
         harness.pool.release(buffer)
     harness.publish_endpoints(PAIR)
     for _ in range(6):
--- a/tests/net/races/test_connection_ends.py
+++ b/tests/net/races/test_connection_ends.py
@@ -18,8 +18,8 @@
 def test_answer_is_delivered_despite_unread_input_at_the_close(harness: InProcessProxy) -> None:
     """A client must get its answer even if its lingering connection is shed.
 
-    Descriptors run out here. A close with unread input would reset the connection, and the client
-    would lose the answer.
+    The connection is shed here because descriptors run out. A close with unread input would reset
+    it, and the client would lose the answer.
     """
     sock = harness.connect_client(b"HELLO\r\n")
     harness.run(3)
@@ -31,49 +31,49 @@
     assert read(sock) == b"ERR\r\n."
 
 
-def establish(harness: InProcessProxy, sent: bytes = b"") -> tuple[socket.socket, socket.socket]:
-    """Establish a connection whose server sends more data at once; return both ends."""
+def establish(harness: InProcessProxy, data: bytes = b"") -> tuple[socket.socket, socket.socket]:
+    """Establish a connection whose server sends data with its acceptance; return both sockets."""
     sock = harness.connect_client(REQUEST_LINE % 1)
     harness.run(4)
     server = harness.server_sockets[0]
-    server.send(b"UP 5\r\n" + sent)
+    server.send(b"UP 5\r\n" + data)
     harness.run()
-    assert read(sock) == b"UP 5\r\n" + sent
+    assert read(sock) == b"UP 5\r\n" + data
     return sock, server
 
 
-@pytest.mark.parametrize("first", ["move", "BYE"])
+@pytest.mark.parametrize("first_event", ["move", "BYE"])
 def test_migration_and_final_line_in_one_iteration_end_the_connection_once(
-    harness: InProcessProxy, first: str
+    harness: InProcessProxy, first_event: str
 ) -> None:
     sock, server = establish(harness)
     server.send(b"BYE\r\n")
-    if first == "BYE":
+    if first_event == "BYE":
         harness.run(1)
     harness.dispatcher.connections.migrate_all_connections()
     harness.run()
-    harness.run(4, 100_000)  # the time that a server has to close by itself
-    assert read(sock) == (b"MOVE\r\n." if first == "move" else b"BYE\r\n.")
+    harness.run(4, 100_000)  # longer than the server may take to close after its final line
+    assert read(sock) == (b"MOVE\r\n." if first_event == "move" else b"BYE\r\n.")
     assert harness.dispatcher.requests.count_requests() == 0
 
 
-@pytest.mark.parametrize("rest", [b"a line\r\n", b"a line\r", b""])
+@pytest.mark.parametrize("line_end", [b"a line\r\n", b"a line\r", b""])
 def test_migration_waits_for_the_end_of_a_line_within_a_limit(
-    harness: InProcessProxy, rest: bytes
+    harness: InProcessProxy, line_end: bytes
 ) -> None:
     sock, server = establish(harness, b"half ")
     harness.dispatcher.connections.migrate_all_connections()
     harness.run(2, 200_000)
     assert read(sock) == b""
-    server.send(rest)
+    server.send(line_end)
     harness.run(3, 200_000)
-    assert read(sock) == rest + (b"MOVE\r\n." if rest.endswith(b"\n") else b".")
+    assert read(sock) == line_end + (b"MOVE\r\n." if line_end.endswith(b"\n") else b".")
     assert harness.dispatcher.requests.count_requests() == 0
 
 
-@pytest.mark.parametrize("rest", [b"a line\r\n", b""])
+@pytest.mark.parametrize("line_end", [b"a line\r\n", b""])
 def test_second_stop_signal_waits_for_the_end_of_a_line_within_a_limit(
-    harness: InProcessProxy, rest: bytes
+    harness: InProcessProxy, line_end: bytes
 ) -> None:
     """The process must not exit in the middle of a line: the client would get no MOVE."""
     sock, server = establish(harness, b"half ")
@@ -92,9 +92,9 @@
     shutdown.finish_now()
     harness.run(3, POLL_INTERVAL_US)
     assert vars(harness.loop)["_is_running"]
-    server.send(rest)
+    server.send(line_end)
     harness.run(4)
-    assert read(sock) == rest + (b"MOVE\r\n." if rest else b"")
+    assert read(sock) == line_end + (b"MOVE\r\n." if line_end else b"")
     sock.close()
     harness.run(10, 100_000)
     assert not vars(harness.loop)["_is_running"]
@@ -103,7 +103,7 @@
 @pytest.mark.parametrize("kind", ["end", "reset"])
 def test_both_sides_end_in_one_iteration(harness: InProcessProxy, kind: str) -> None:
     sock, server = establish(harness)
-    for end in (sock, server):
-        disconnect(end, harness, kind)
+    for either_sock in (sock, server):
+        disconnect(either_sock, harness, kind)
     harness.run()
     assert harness.dispatcher.requests.count_requests() == 0
--- a/tests/net/races/test_deadlines.py
+++ b/tests/net/races/test_deadlines.py
@@ -26,7 +26,8 @@
 def test_after_a_pause_everything_is_read_before_timers_run(harness: InProcessProxy) -> None:
     """A client whose request line arrived during the pause must not time out.
 
-    Only one socket is found ready before the pause; the other requests failed.
+    Only one socket is found ready before the pause. If timers ran before the other sockets are
+    read, their requests would fail.
     """
     socks = [harness.connect_client(b"") for _ in range(4)]
     harness.run(3)
@@ -49,8 +50,8 @@
     harness.run(4)
     assert len(forwarded_requests(harness)) == 1
     harness.server_sockets[0].send(b"UP 5\r\n")
-    # The attempt times out before the deadline of 2 s, by the set-up objective. The clock advances
-    # in two steps, as one would count as a pause of the process.
+    # The attempt times out 0.3 s before the deadline of 2 s, as the latency objective is reserved
+    # for another attempt. The clock advances in two steps, as one would count as a process pause.
     for _ in range(2):
         harness.hide_ready_events()
         harness.run(1, 860_000)
--- a/tests/net/races/test_retries.py
+++ b/tests/net/races/test_retries.py
@@ -28,16 +28,21 @@
         yield Idempotency.WITH_KEY, scope
 
 
-@pytest.mark.parametrize("late", [False, True])
-@pytest.mark.parametrize("other", ["same cell", "other cell", "other zone"])
-@pytest.mark.parametrize("first", [b"ERR\r\n", b"BUSY\r\n", b"MOVE\r\n", b"reset"])
+@pytest.mark.parametrize("outlasts_window", [False, True])
+@pytest.mark.parametrize("second_server", ["same cell", "other cell", "other zone"])
+@pytest.mark.parametrize("first_answer", [b"ERR\r\n", b"BUSY\r\n", b"MOVE\r\n", b"reset"])
 @pytest.mark.parametrize(("idempotency", "scope"), list(idempotency_cases()))
 def test_retry_is_checked_again_when_its_request_line_is_sent(
-    idempotency: Idempotency, scope: DeduplicationScope, first: bytes, other: str, late: bool
+    idempotency: Idempotency,
+    scope: DeduplicationScope,
+    first_answer: bytes,
+    second_server: str,
+    outlasts_window: bool,
 ) -> None:
     """A request must not be executed twice.
 
-    If the deduplication window ended while a retry connected, the retry was sent all the same.
+    If the check were made only before the connect, a retry whose connect outlasts the deduplication
+    window would be sent all the same.
     """
     request_class = replace(
         BASIC_SETTINGS.classes[0],
@@ -45,7 +50,7 @@
         deduplication_scope=scope,
         deduplication_window_us=WINDOW_US,
     )
-    zone, cell = {"same cell": (0, 0), "other cell": (0, 1), "other zone": (1, 1)}[other]
+    zone, cell = {"same cell": (0, 0), "other cell": (0, 1), "other zone": (1, 1)}[second_server]
     servers = (PAIR[0], replace(PAIR[1], zone=zone, cell=cell))
     harness = InProcessProxy(replace(BASIC_SETTINGS, classes=(request_class,)), servers)
     try:
@@ -53,22 +58,26 @@
         harness.run(4)
         server = harness.server_sockets[0]
         assert read(server).startswith(b"OPEN ")
-        if first == b"reset":
+        if first_answer == b"reset":
             reset(server)
             harness.server_sockets.clear()
         else:
-            server.send(first)
+            server.send(first_answer)
         harness.run(1)  # the second attempt, if there is one, starts to connect
-        harness.run(1, WINDOW_US + 10_000 if late else 10_000)
+        harness.run(1, WINDOW_US + 10_000 if outlasts_window else 10_000)
         harness.run(4)
-        ran = first != b"BUSY\r\n"
+        may_have_run = first_answer != b"BUSY\r\n"
         has_key = idempotency is Idempotency.WITH_KEY
         is_in_scope = (
             scope is DeduplicationScope.ALL
-            or other == "same cell"
-            or (scope is DeduplicationScope.ZONE and other == "other cell")
+            or second_server == "same cell"
+            or (scope is DeduplicationScope.ZONE and second_server == "other cell")
         )
-        if not ran or idempotency is Idempotency.ALWAYS or (has_key and is_in_scope and not late):
+        if (
+            not may_have_run
+            or idempotency is Idempotency.ALWAYS
+            or (has_key and is_in_scope and not outlasts_window)
+        ):
             assert len(forwarded_requests(harness)) == 1
             assert read(sock) == b""
         else:
--- a/tests/net/races/test_unusual_answers.py
+++ b/tests/net/races/test_unusual_answers.py
@@ -27,13 +27,13 @@
 }
 
 
-@pytest.mark.parametrize("ends", ["stays", "end", "reset"])
+@pytest.mark.parametrize("server_end", ["stays", "end", "reset"])
 @pytest.mark.parametrize("answer", UNUSUAL_ANSWERS)
 @pytest.mark.parametrize("harness", [{"servers": PAIR}], indirect=True)
 def test_unusual_answers_are_forwarded_unchanged_or_not_at_all(
-    harness: InProcessProxy, answer: str, ends: str
+    harness: InProcessProxy, answer: str, server_end: str
 ) -> None:
-    """A partial line must not count as an answer, nor an attempt start before the last has ended.
+    """A partial line must not count as an answer, and attempts must not overlap.
 
     Binary and oversized answers must not crash the proxy.
     """
@@ -45,23 +45,23 @@
         with contextlib.suppress(OSError):  # the proxy may have closed the connection
             server.send(piece)
         harness.run(2)
-    if ends != "stays":
-        disconnect(server, harness, ends)
+    if server_end != "stays":
+        disconnect(server, harness, server_end)
         harness.server_sockets.remove(server)
     harness.run()
     complete_answer = b"".join(UNUSUAL_ANSWERS[answer])
     if answer in ("split", "two at once"):
         received = read(sock)
         assert received.rstrip(b".!") == complete_answer
-        assert received.endswith({"stays": b"\n", "end": b".", "reset": b"!"}[ends])
+        assert received.endswith({"stays": b"\n", "end": b".", "reset": b"!"}[server_end])
         return
-    second = harness.server_sockets[-1]
-    if answer == "no line end" and ends == "stays":
-        assert second is server
+    latest_server = harness.server_sockets[-1]
+    if answer == "no line end" and server_end == "stays":
+        assert latest_server is server
         assert read(sock) == b""
         return
-    assert second is not server
-    assert read(second).startswith(b"OPEN ")
-    second.send(b"UP 7\r\n")
+    assert latest_server is not server
+    assert read(latest_server).startswith(b"OPEN ")
+    latest_server.send(b"UP 7\r\n")
     harness.run()
     assert read(sock) == b"UP 7\r\n"
--- a/tests/net/text_protocol/test_codec.py
+++ b/tests/net/text_protocol/test_codec.py
@@ -33,16 +33,16 @@
 @given(PIECES)
 def test_lines_are_found_wherever_the_stream_is_split(pieces: list[bytes]) -> None:
     """MOVE may only be sent between two lines, so a missed line end would corrupt a line."""
-    whole = b"".join(pieces)
+    stream = b"".join(pieces)
     at_once, piecewise = LineCounter(), LineCounter()
     heads = [head for piece in pieces for head in piecewise.feed(piece)]
-    assert len(at_once.feed(whole)) == len(heads) == whole.count(b"\r\n")
+    assert len(at_once.feed(stream)) == len(heads) == stream.count(b"\r\n")
     assert (
         at_once.is_mid_line
         == piecewise.is_mid_line
-        == (not whole.endswith(b"\r\n") and bool(whole))
+        == (not stream.endswith(b"\r\n") and bool(stream))
     )
-    assert [head[:200] for head in heads] == [line[:200] for line in whole.split(b"\r\n")[:-1]]
+    assert [head[:200] for head in heads] == [line[:200] for line in stream.split(b"\r\n")[:-1]]
 
 
 @pytest.mark.parametrize(
