--- a/larchhaven/membership/actions.py
+++ b/larchhaven/membership/actions.py
@@ -1,4 +1,4 @@
-"""Actions that the protocol asks its host to perform, collected during one call."""
+"""Actions that a call of the protocol returns: messages to send, and changes of the view."""
 
 from __future__ import annotations
 
--- a/larchhaven/membership/authenticator.py
+++ b/larchhaven/membership/authenticator.py
@@ -22,7 +22,7 @@
 from larchhaven.membership.member import NO_STAMP, stamp_incarnation
 from larchhaven.membership.messages import Message
 
-# Counters that are tracked behind the newest one; datagrams are reordered by less than this.
+# Number of the latest counters that are tracked; datagrams are reordered by less than this.
 REPLAY_WINDOW = 256
 
 
@@ -126,7 +126,7 @@
         return True
 
     def _may_be_restarted(self, message: Message, window: _ReplayWindow) -> bool:
-        """Return whether it may come from a restarted process, perhaps with a slow clock."""
+        """Return whether a message may come from a restarted process, perhaps with a slow clock."""
         if message.stamp == NO_STAMP:
             return True
         return stamp_incarnation(message.stamp) != stamp_incarnation(window.stamp)
--- a/larchhaven/membership/codec.py
+++ b/larchhaven/membership/codec.py
@@ -59,7 +59,7 @@
 # Number, incarnation, zone, protocol version, start time, capabilities, length of the name.
 _INFO_UPDATE = struct.Struct(">HIBHIHB")
 _TAG_PERSONALIZATION = b"larchhaven-membr"
-# Only members that have joined have a stamp. The 32 bits of the field limit the largest one.
+# The smallest stamp of a member that has joined. The 32 bits of the field limit the largest.
 _MIN_STAMP = make_stamp(1, MemberState.ALIVE)
 _PUSH_PULL_KINDS = (MessageKind.PUSH_PULL_REQUEST, MessageKind.PUSH_PULL_RESPONSE)
 _UINT8_MASK = 0xFF
@@ -142,7 +142,8 @@
     """Decode a datagram whose tag was made with one of the keys.
 
     Raises:
-        DatagramError: The datagram is damaged, or not from a member of this version.
+        DatagramError: The datagram is malformed, has another format version, or has a tag that
+            matches none of the keys.
     """
     if not _HEADER.size + TAG_BYTES <= len(data) <= MAX_DATAGRAM_BYTES:
         raise DatagramError(RejectReason.SIZE)
--- a/larchhaven/membership/config.py
+++ b/larchhaven/membership/config.py
@@ -25,7 +25,7 @@
             minimum.
         join_timeout_us: Maximum time that a new member waits for updates about itself.
         join_retry_interval_us: Time between two rounds of push-pull requests until one is answered.
-        join_fanout: Number of receivers of such a round.
+        join_fanout: Number of receivers of a round of push-pull requests.
         push_pull_interval_us: Time between two push-pull exchanges with a present member.
         reconnect_interval_us: Time between two push-pull requests to an absent member.
         pause_threshold_us: A timer that runs this late means that the process was paused.
@@ -33,7 +33,7 @@
         isolation_timeout_us: After this time without any answer, the local member trusts its own
             observations again.
         messages_per_second: Maximum rate of messages that are not replies, for any table size.
-        message_burst: Maximum number of such messages that are sent at once.
+        message_burst: Maximum number of messages that are sent at once, replies excluded.
     """
 
     probe_interval_us: int = 500_000
--- a/larchhaven/membership/context.py
+++ b/larchhaven/membership/context.py
@@ -9,7 +9,7 @@
 from larchhaven.membership.counters import ProtocolCounters
 from larchhaven.membership.sampling import RandomSource
 
-# Later than any deadline; means that nothing is scheduled.
+# Later than any deadline; means that no timer is scheduled.
 NEVER_US = 1 << 62
 
 
--- a/larchhaven/membership/indirect_probes.py
+++ b/larchhaven/membership/indirect_probes.py
@@ -1,4 +1,4 @@
-"""Indirect probes: pings a member on behalf of another one that got no ack from it."""
+"""Indirect probes: pings a member on behalf of a requester that received no ack from it."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from larchhaven.membership.message_sender import MessageSender
 from larchhaven.membership.messages import Message, MessageKind
 
-# Requests under way; above this limit the oldest one is dropped.
+# Maximum number of requests under way; above it the oldest request is dropped.
 MAX_REQUESTS = 64
 
 
@@ -23,7 +23,7 @@
         requester: The member that requested the probe.
         requester_sequence: The sequence number for the reply to the requester.
         target: The probed member.
-        deadline_us: When a nack is sent to the requester.
+        deadline_us: When a nack is sent to the requester if the target has not answered.
     """
 
     sequence: int
--- a/larchhaven/membership/local_member.py
+++ b/larchhaven/membership/local_member.py
@@ -95,7 +95,7 @@
         self._announce(make_stamp(update_incarnation + 1, stamp_state(self.stamp)))
 
     def apply_info(self, update: InfoUpdate) -> None:
-        """Refute the info of another process that uses the same number and incarnation."""
+        """Refute the info of another process with the same number, unless the info is older."""
         own = self._table.get(self._table.own_number)
         if own is None or not self.has_joined:
             return
--- a/larchhaven/membership/member.py
+++ b/larchhaven/membership/member.py
@@ -16,7 +16,7 @@
 MAX_INCARNATION = (1 << 30) - 1
 # The stamp of a member that has not joined yet.
 NO_STAMP = 0
-# In UTF-8. Longer names are truncated, because a datagram has 256 bytes in total.
+# Longer names are truncated, in UTF-8, because a datagram has at most 256 bytes.
 MAX_NAME_BYTES = 24
 
 _STATE_BITS = 2
--- a/larchhaven/membership/member_table.py
+++ b/larchhaven/membership/member_table.py
@@ -43,7 +43,7 @@
         return self.view.members.get(number)
 
     def put(self, member: Member, *, quiet: bool = False) -> None:
-        """Replace the record of a member, and notify the host unless ``quiet``."""
+        """Replace the record of a member, and report the change unless ``quiet``."""
         number = member.number
         previous = self.view.get(number)
         self._update_digests(previous, member)
@@ -86,11 +86,11 @@
         return (*self._stamp_digests, *self._info_digests)
 
     def _notified_state(self, previous: Member | None) -> MemberState | None:
-        """Return the last state that the host was notified of, or None."""
+        """Return the last state that a ``MemberChanged`` reported, or None."""
         if previous is None:
             return None
         if previous.number == self.own_number and previous.info is None:
-            return None  # stored before the local member joined, without notification
+            return None  # stored before the local member joined, without a report
         return previous.state
 
     def _update_digests(self, previous: Member | None, member: Member) -> None:
--- a/larchhaven/membership/membership.py
+++ b/larchhaven/membership/membership.py
@@ -5,7 +5,7 @@
 Without an ack the member requests indirect probes, then suspects the target. Updates are
 piggybacked on all messages and also sent in gossip rounds. A member compares digests of its view
 with a random present member at intervals, and immediately after a join or a pause of its process.
-It also does so repeatedly with an absent member, which is how a healed partition is detected.
+It also does so with a random absent member at intervals, to detect that a partition has healed.
 
 The protocol does no I/O: it receives messages and the time, and returns actions. Times are in
 microseconds of the local monotonic clock; clocks of different members are not compared. Random
@@ -53,7 +53,7 @@
         info: The info that the local member announces.
         first_incarnation: The smallest incarnation to join with, at least 1. Seconds of the wall
             clock are suitable: if the clock is slow, the incarnation is raised above the one that
-            others remember. After a hot restart, the previous process's incarnation plus 1.
+            others remember. After a hot restart, the predecessor's incarnation plus 1.
         rng: Source of random numbers.
         config: Intervals, timeouts and limits.
 
@@ -248,7 +248,7 @@
         return self._end_call()
 
     def learn_previous_incarnation(self, now_us: int, incarnation: int) -> list[Action]:
-        """Record the last incarnation of the process whose number the local member takes over."""
+        """Record the last incarnation of the predecessor in a hot restart."""
         self._begin_call(now_us)
         stamp = make_stamp(incarnation, MemberState.ALIVE)
         self._local.apply_state(StateUpdate(self.own_number, stamp))
--- a/larchhaven/membership/messages.py
+++ b/larchhaven/membership/messages.py
@@ -7,7 +7,7 @@
 
 from larchhaven.membership.member import NO_STAMP, Member, MemberInfo
 
-# The value of a member number that is absent.
+# Stands for a member number if there is no member.
 NO_MEMBER = 0xFFFF
 # Views are compared in this many buckets, with separate digests for stamps and infos.
 DIGEST_BUCKETS = 16
@@ -21,8 +21,8 @@
     INDIRECT_PROBE_REQUEST = 3  # ping the target on behalf of the sender
     NACK = 4  # the target did not answer the indirect probe
     GOSSIP = 5  # updates only
-    PUSH_PULL_REQUEST = 6  # the sender's digests: send what differs, and your digests
-    PUSH_PULL_RESPONSE = 7  # the responder's digests: the requester sends what differs
+    PUSH_PULL_REQUEST = 6  # digests; asks for the receiver's digests and for differing records
+    PUSH_PULL_RESPONSE = 7  # digests; asks the requester for differing records
 
 
 @dataclass(frozen=True, slots=True)
--- a/larchhaven/membership/state_exchange.py
+++ b/larchhaven/membership/state_exchange.py
@@ -19,7 +19,8 @@
 )
 from larchhaven.membership.sampling import sample
 
-# Messages that wait for the budget; further ones are dropped, and the next exchange repeats them.
+# Limit of the messages that wait for the message budget. Further messages are dropped: the next
+# exchange sends their updates again.
 MAX_PENDING_MESSAGES = 128
 
 
@@ -35,8 +36,8 @@
 class StateExchange:
     """Owns the schedule of push-pull exchanges and their pending messages.
 
-    A present member is asked at intervals, and an absent one more often: an answer of an absent
-    member is how the end of a network partition is detected.
+    Requests go to a present member at intervals, and to an absent member more often. An answer from
+    an absent member shows that a network partition has ended.
 
     Args:
         context: Objects that all components of the protocol share.
--- a/larchhaven/membership/suspicion.py
+++ b/larchhaven/membership/suspicion.py
@@ -20,11 +20,11 @@
     Attributes:
         began_us: When the timeout began.
         min_timeout_us: The timeout with all wanted confirmations, in microseconds.
-        max_timeout_us: The timeout without any, in microseconds.
+        max_timeout_us: The timeout without confirmations, in microseconds.
         wanted_confirmations: Number of suspectors besides the first that shorten the timeout to
             the minimum.
         suspectors: Members that suspect it, the first one first.
-        next_probe_us: When the local member probes it again, if it is a suspector.
+        next_probe_us: When the local member, if it is a suspector, probes the suspect again.
         last_answer_due_us: When the answer to the last probe before the deadline is due; 0 if that
             probe was not sent yet.
     """
--- a/larchhaven/membership/suspicion_monitor.py
+++ b/larchhaven/membership/suspicion_monitor.py
@@ -79,7 +79,8 @@
         deadline_us = min(self._deadline_us(suspicion) for suspicion in suspicions)
         if self._synchronizer.trusts_own_observations():
             return deadline_us
-        # Suspicions are not processed until then: check again with the next push-pull request.
+        # Suspicions are not processed until local observations are trusted. Check again after the
+        # interval of the push-pull requests.
         return max(deadline_us, self._batch.now_us + self._config.join_retry_interval_us)
 
     def _deadline_us(self, suspicion: Suspicion) -> int:
--- a/larchhaven/membership/update_merger.py
+++ b/larchhaven/membership/update_merger.py
@@ -22,8 +22,8 @@
 from larchhaven.membership.suspicion import SuspicionTable
 from larchhaven.membership.update_queue import UpdateQueue
 
-# On average, twice as many members probe a suspect next as are needed to confirm the suspicion.
-# In the usual probe order it could by chance take seconds until enough of them probe it.
+# On average this many members per required confirmation probe a new suspect next. In their random
+# probe order it could take seconds until enough members probe it to confirm the suspicion.
 _PROBERS_PER_CONFIRMATION = 2
 
 
@@ -81,7 +81,7 @@
                 self._confirm_suspicion(member, update)
             return
         if member is not None and _implies_return(member, update):
-            # The member was alive again in between: notify the host of both changes, in order.
+            # The member was alive again in between: report both changes, in order.
             alive_stamp = make_stamp(stamp_incarnation(update.stamp), MemberState.ALIVE)
             self._table.put(replace(member, stamp=alive_stamp, suspectors=()))
             member = self._table.get(number)
--- a/larchhaven/membership/update_queue.py
+++ b/larchhaven/membership/update_queue.py
@@ -17,7 +17,8 @@
 from larchhaven.membership.member_table import MemberTable
 from larchhaven.membership.messages import InfoUpdate, StateUpdate
 
-# The logarithm of a smaller table would be zero.
+# Transmissions grow with the logarithm of the table size. Smaller tables count as this size,
+# because the logarithm of 1 is zero.
 _MIN_TABLE_SIZE = 2
 
 
@@ -38,11 +39,11 @@
     """
 
     def __init__(self, table: MemberTable, config: ProtocolConfig) -> None:
-        table_size_log2 = max(table.size, _MIN_TABLE_SIZE).bit_length()
+        table_size_bits = max(table.size, _MIN_TABLE_SIZE).bit_length()
         self._table = table
-        self._state_transmissions = config.retransmit_multiplier * table_size_log2
+        self._state_transmissions = config.retransmit_multiplier * table_size_bits
         # Infos can wait for the next push-pull exchange.
-        self._info_transmissions = table_size_log2
+        self._info_transmissions = table_size_bits
         self._states: OrderedDict[int, _PiggybackedUpdate] = OrderedDict()
         self._infos: OrderedDict[int, int] = OrderedDict()  # transmissions by member number
 
--- a/larchhaven/membership/view.py
+++ b/larchhaven/membership/view.py
@@ -16,7 +16,7 @@
 
     Attributes:
         at_us: The time of the change, by the local monotonic clock.
-        previous_state: The state before; None if the view had no record of the member.
+        previous_state: The last reported state; None if no state was reported before.
         member: The new record of the member.
         view_version: The version of the view that contains the change.
     """
