--- a/larchhaven/model/heartbeat_program.py
+++ b/larchhaven/model/heartbeat_program.py
@@ -13,7 +13,7 @@
 # As long as the membership protocol takes until all members agree on a death, so that comparisons
 # are made at the same detection time.
 HEARTBEAT_TIMEOUT_US = 4_500_000
-# The minimum size of a member number, a sequence number and an authentication tag.
+# A prefix, and the minimum space for a member number, a sequence number and an authentication tag.
 HEARTBEAT_DATAGRAM = b"B" + bytes(12)
 # Heartbeats carry no incarnation.
 ONLY_INCARNATION = 1
--- a/larchhaven/model/invariants.py
+++ b/larchhaven/model/invariants.py
@@ -100,7 +100,7 @@
         for number in range(len(state.members)):
             _check_viewed_state(state, member, number)
         if not member.view.agrees_with(running[0].view):
-            _fail(member.own_number, f"has a view other than {running[0].own_number} in the end")
+            _fail(member.own_number, f"and {running[0].own_number} have different final views")
 
 
 def _check_viewed_state(state: SearchState, member: Membership, number: int) -> None:
--- a/larchhaven/model/network.py
+++ b/larchhaven/model/network.py
@@ -108,8 +108,8 @@
         first_us = now_us + self._draw_delay_us()
         ratio = self.conditions.duplication_ratio
         if ratio and self._rng.random() < ratio:
-            late_us = int(self.conditions.max_duplicate_delay_us * self._rng.random())
-            return [first_us, first_us + late_us]
+            duplicate_delay_us = int(self.conditions.max_duplicate_delay_us * self._rng.random())
+            return [first_us, first_us + duplicate_delay_us]
         return [first_us]
 
     def _draw_delay_us(self) -> int:
--- a/larchhaven/model/observer.py
+++ b/larchhaven/model/observer.py
@@ -100,7 +100,7 @@
         self._deaths.append(death)
         self._open_deaths[number] = death
         if (self._stamps[:, number] != UNKNOWN_STAMP).any():
-            self._check_agreement(number)  # it may have announced its leave
+            self._check_agreement(number)  # views may list it as absent after a graceful leave
 
     def process_starting(self, number: int) -> None:
         """Record that a process restarts with an empty view."""
@@ -134,12 +134,12 @@
         healed_at_us = self._simulation.events.now_us
         self._healed_cuts += [_HealedCut(cut, healed_at_us) for cut in cuts]
 
-    def _is_separated(self, one: int, other: int) -> bool:
+    def _is_separated(self, first: int, second: int) -> bool:
         """Return whether links are blocked both ways, so that either may declare the other dead.
 
         A healed cut counts for one more probe timeout, so that a probe can be answered first.
         """
-        return self._is_blocked(one, other) and self._is_blocked(other, one)
+        return self._is_blocked(first, second) and self._is_blocked(second, first)
 
     def _is_blocked(self, source: int, target: int) -> bool:
         if self._simulation.network.is_cut(source, target):
@@ -189,7 +189,7 @@
         rows = self._stamps[running]
         for row, number in zip(rows, running, strict=True):
             if row[number] == UNKNOWN_STAMP:
-                row[number] = rows[:, number].max()  # heartbeat views have no own entry
+                row[number] = rows[:, number].max()  # heartbeat programs do not list themselves
         are_all_listed = rows[0][running] != UNKNOWN_STAMP
         return bool(are_all_listed.all() and (rows == rows[0]).all())
 
--- a/larchhaven/model/plot.py
+++ b/larchhaven/model/plot.py
@@ -60,7 +60,7 @@
     _draw(messages, cells, lambda c: c.messages_per_second, "messages per member per second")
     messages.set_yscale("symlog")
     if cells:
-        messages.legend(fontsize=8)  # drawn for every cell; a sweep may have no deaths
+        messages.legend(fontsize=8)  # always has lines, even if no process died
     return figure
 
 
--- a/larchhaven/model/random_streams.py
+++ b/larchhaven/model/random_streams.py
@@ -44,7 +44,7 @@
         """Draw distinct candidates.
 
         Args:
-            count: The number of candidates to draw; all are drawn if there are not more.
+            count: The number of candidates to draw; all are drawn if there are fewer.
             candidates: The list to draw from.
 
         Returns:
--- a/larchhaven/model/search_state.py
+++ b/larchhaven/model/search_state.py
@@ -44,8 +44,8 @@
         in_flight: Messages that were sent and are neither delivered nor lost yet.
         duplications_left: The number of messages that may still be duplicated.
         left_numbers: Numbers of the members that have left gracefully.
-        earlier_incarnations: The highest incarnation of a member's earlier processes, which may
-            still be in the views of others.
+        earlier_incarnations: The highest incarnation of a member's earlier processes, by number. It
+            may still be in the views of others.
     """
 
     now_us: int
--- a/larchhaven/model/search_steps.py
+++ b/larchhaven/model/search_steps.py
@@ -148,7 +148,7 @@
 
 
 def run_without_faults(state: SearchState, duration_us: int) -> None:
-    """Deliver all messages in order for a time, then check that views are equal and correct.
+    """Deliver all messages in order for a duration, then check that views are equal and correct.
 
     Raises:
         InvariantViolationError: The views differ or are incorrect, or a step violated an invariant.
