--- a/tests/membership/harness.py
+++ b/tests/membership/harness.py
@@ -64,7 +64,7 @@
 
 
 def changes_in(actions: Sequence[Action]) -> list[MemberChanged]:
-    """Return the changes that the host is notified of."""
+    """Return the changes of the view that the actions report."""
     return [action for action in actions if isinstance(action, MemberChanged)]
 
 
--- a/tests/membership/test_datagrams.py
+++ b/tests/membership/test_datagrams.py
@@ -196,9 +196,9 @@
         DatagramAuthenticator(2, 4, 1, (b"new",)).seal(replace(ping, sender=2))
     )
     assert authenticator.open(DatagramAuthenticator(1, 4, 1, (b"stolen",)).seal(ping)) is None
-    for other in (replace(ping, receiver=3), replace(ping, sender=9), replace(ping, sender=0)):
-        assert authenticator.open(DatagramAuthenticator(1, 4, 1, (b"new",)).seal(other)) is None
-    # The source address belongs to another member than the sender in the header.
+    for foreign in (replace(ping, receiver=3), replace(ping, sender=9), replace(ping, sender=0)):
+        assert authenticator.open(DatagramAuthenticator(1, 4, 1, (b"new",)).seal(foreign)) is None
+    # The source address belongs to member 3, but the header names member 1 as the sender.
     assert (
         authenticator.open(DatagramAuthenticator(1, 4, 2, (b"new",)).seal(ping), sender=3) is None
     )
--- a/tests/membership/test_failure_detection.py
+++ b/tests/membership/test_failure_detection.py
@@ -43,20 +43,20 @@
 
 def test_confirmations_shorten_the_timeout_of_suspectors_only() -> None:
     suspicion = Suspicion.begin(0, 1, 10, CONFIG)
-    alone = suspicion.deadline_us(1)
+    unconfirmed_us = suspicion.deadline_us(1)
     assert (
-        alone
+        unconfirmed_us
         == int(CONFIG.min_suspicion_us * CONFIG.suspicion_max_multiplier)
         == suspicion.deadline_us(9)
     )
     assert not suspicion.confirm(1)  # the same suspector again
-    times = [alone]
+    deadlines_us = [unconfirmed_us]
     for suspector in (2, 3, 4):
         assert suspicion.confirm(suspector)
-        times.append(suspicion.deadline_us(1))
-    assert times == sorted(times, reverse=True)
-    assert times[-1] == CONFIG.min_suspicion_us
-    assert suspicion.deadline_us(9) == alone
+        deadlines_us.append(suspicion.deadline_us(1))
+    assert deadlines_us == sorted(deadlines_us, reverse=True)
+    assert deadlines_us[-1] == CONFIG.min_suspicion_us
+    assert suspicion.deadline_us(9) == unconfirmed_us
     # With two members there is no other member to confirm.
     assert Suspicion.begin(0, 1, 2, CONFIG).deadline_us(1) == CONFIG.min_suspicion_us
 
@@ -154,7 +154,7 @@
 
 
 def test_process_pause_is_detected_and_marks_the_view_as_stale() -> None:
-    """After a pause of ten seconds no member is declared dead, whatever the socket has buffered."""
+    """Suspicions buffered during a pause of twelve seconds do not declare any member dead."""
     membership = synchronized_member()
     receive_updates(
         membership, 10, StateUpdate(2, make_stamp(10, MemberState.SUSPECT), 0), sender=3
--- a/tests/membership/test_protocol.py
+++ b/tests/membership/test_protocol.py
@@ -132,7 +132,7 @@
 
 
 def test_two_processes_with_the_same_incarnation_are_distinguished() -> None:
-    """If a proxy is started twice in a second, the running process takes a later incarnation."""
+    """If a proxy is started twice within one second, the running process raises its incarnation."""
     membership = synchronized_member()
     own = membership.view.members[0]
     membership.receive(
--- a/tests/model/planted_faults.py
+++ b/tests/model/planted_faults.py
@@ -42,10 +42,10 @@
     def apply_state(self, update: StateUpdate) -> None:
         """Apply updates with smaller stamps too."""
         number = update.number
-        known = self._table.get(number)
+        member = self._table.get(number)
         is_own = number == self._table.own_number
-        if not is_own and known is not None and update.stamp < known.stamp:
-            self._table.put(replace(known, stamp=update.stamp))
+        if not is_own and member is not None and update.stamp < member.stamp:
+            self._table.put(replace(member, stamp=update.stamp))
             return
         super().apply_state(update)
 
@@ -61,15 +61,15 @@
 
     def apply_state(self, update: StateUpdate) -> None:
         """Suspect members that have left."""
-        known = self._table.get(update.number)
+        member = self._table.get(update.number)
         if (
-            known is not None
-            and known.state is MemberState.LEFT
+            member is not None
+            and member.state is MemberState.LEFT
             and stamp_state(update.stamp) is MemberState.SUSPECT
         ):
-            incarnation = stamp_incarnation(max(update.stamp, known.stamp))
+            incarnation = stamp_incarnation(max(update.stamp, member.stamp))
             stamp = make_stamp(incarnation, MemberState.SUSPECT)
-            self._set_state(replace(update, stamp=stamp), known)
+            self._set_state(replace(update, stamp=stamp), member)
             return
         super().apply_state(update)
 
@@ -85,11 +85,11 @@
 
     def declare_dead(self, number: int) -> None:
         """Raise the incarnation first, so that earlier refutations do not override the death."""
-        known = self._table.get(number)
-        if known is not None:
-            incarnation = min(known.incarnation + 5, MAX_INCARNATION)
+        member = self._table.get(number)
+        if member is not None:
+            incarnation = min(member.incarnation + 5, MAX_INCARNATION)
             stamp = make_stamp(incarnation, MemberState.SUSPECT)
-            self._table.put(replace(known, stamp=stamp))
+            self._table.put(replace(member, stamp=stamp))
         super().declare_dead(number)
 
 
@@ -184,7 +184,7 @@
     PlantedFault("killed", InventsIncarnations),
     PlantedFault("restarted", IgnoresEarlierProcess),
     PlantedFault("cut off", OmitsAbsentMembers),
-    # If the pause comes before the last probe, the fault is harmless: the probe is sent after it.
+    # A pause before the last probe does not show the fault: the probe is sent after the pause.
     PlantedFault("asleep late", KeepsObservationsAfterPause),
     PlantedFault("killed", ClaimsOthersSuspicions),
 )
--- a/tests/model/test_failure_scenarios.py
+++ b/tests/model/test_failure_scenarios.py
@@ -1,6 +1,7 @@
-"""Simulated failures that are hard to distinguish.
+"""Tests that the members agree on deaths and converge after simulated failures.
 
-They cover deaths, partitions, slow and paused processes, losses and restarts.
+Deaths, partitions, slow and paused processes, losses and restarts are hard to distinguish, because
+each of them delays or prevents answers.
 """
 
 from __future__ import annotations
--- a/tests/model/test_replay.py
+++ b/tests/model/test_replay.py
@@ -42,12 +42,14 @@
 
 
 def test_streams_are_independent_and_reproducible() -> None:
-    one, again, other = (RandomStreams(7).stream(purpose) for purpose in ("a", "a", "b"))
-    drawn = [one.random() for _ in range(600)]
-    assert drawn == [again.random() for _ in range(600)]
+    first, repeated, other_purpose = (
+        RandomStreams(7).stream(purpose) for purpose in ("a", "a", "b")
+    )
+    drawn = [first.random() for _ in range(600)]
+    assert drawn == [repeated.random() for _ in range(600)]
     assert (
         drawn[:5]
-        != [other.random() for _ in range(5)]
+        != [other_purpose.random() for _ in range(5)]
         != [RandomStreams(8).stream("b").random() for _ in range(5)]
     )
     assert 0.4 < sum(drawn) / 600 < 0.6
--- a/tests/model/test_state_machine.py
+++ b/tests/model/test_state_machine.py
@@ -50,13 +50,13 @@
         outcome=st.sampled_from(["delivered", "delivered", "duplicated", "lost"]),
     )
     def message(self, pick: int, outcome: str) -> None:
-        i = pick % len(self.state.in_flight)
+        index = pick % len(self.state.in_flight)
         if outcome == "lost":
-            lose_message(self.state, i)
+            lose_message(self.state, index)
         elif outcome == "duplicated":
-            deliver_duplicated_message(self.state, i)
+            deliver_duplicated_message(self.state, index)
         else:
-            deliver_message(self.state, i)
+            deliver_message(self.state, index)
 
     @rule(turns=st.integers(1, 12), lost=st.booleans())
     def time(self, turns: int, lost: bool) -> None:
@@ -65,13 +65,13 @@
             if lost:
                 self.state.in_flight.clear()
 
-    @rule(pick=st.integers(0, 3), other=st.integers(0, 3), dead=st.booleans())
-    def suspect(self, pick: int, other: int, dead: bool) -> None:
+    @rule(pick=st.integers(0, 3), suspected=st.integers(0, 3), is_dead=st.booleans())
+    def suspect(self, pick: int, suspected: int, is_dead: bool) -> None:
         number = self._pick_running(pick)
-        if number is None or number == other:
+        if number is None or number == suspected:
             return
-        incarnation = self.state.members[other].incarnation
-        stamp = make_stamp(incarnation, MemberState.DEAD if dead else MemberState.SUSPECT)
+        incarnation = self.state.members[suspected].incarnation
+        stamp = make_stamp(incarnation, MemberState.DEAD if is_dead else MemberState.SUSPECT)
         run_member(
             self.state,
             number,
@@ -79,9 +79,9 @@
                 self.state.now_us,
                 Message(
                     MessageKind.GOSSIP,
-                    other,
+                    suspected,
                     number,
-                    state_updates=(StateUpdate(other, stamp, (number + 1) % SIZE),),
+                    state_updates=(StateUpdate(suspected, stamp, (number + 1) % SIZE),),
                 ),
             ),
         )
@@ -100,8 +100,8 @@
             self.state.running[number] = False
             self.state.left_numbers.add(number)
 
-    @rule(pick=st.integers(0, 3), clock=st.integers(1, 300))
-    def starts(self, pick: int, clock: int) -> None:
+    @rule(pick=st.integers(0, 3), first_incarnation=st.integers(1, 300))
+    def starts(self, pick: int, first_incarnation: int) -> None:
         if self.state.running[pick]:
             return
         self.restarts += 1
@@ -112,7 +112,7 @@
             pick,
             SIZE,
             info,
-            clock,
+            first_incarnation,
             ReproducibleRandom(self.restarts),
             ProtocolConfig(),
         )
