--- a/tests/memory/test_caps.py
+++ b/tests/memory/test_caps.py
@@ -189,7 +189,7 @@
 
 
 def test_shed_callers_of_the_admin_api_are_counted(proxy: ProxyProcess) -> None:
-    callers = [socket.create_connection(proxy.management) for _ in range(30)]
+    callers = [socket.create_connection(proxy.admin_address) for _ in range(30)]
     for caller in callers:
         caller.sendall(b"GET /v1/")
     account = proxy.call("GET", "/v1/memory")[1]
--- a/tests/net/admin/test_http_api.py
+++ b/tests/net/admin/test_http_api.py
@@ -25,7 +25,7 @@
 
 def call_raw(proxy: ProxyProcess, *segments: bytes) -> bytes:
     """Send the segments on one connection and return all that is received until it ends."""
-    with socket.create_connection(proxy.management, timeout=TIMEOUT_S) as caller:
+    with socket.create_connection(proxy.admin_address, timeout=TIMEOUT_S) as caller:
         caller.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         received = b""
         try:
@@ -105,7 +105,7 @@
     If it shared them with clients, idle clients could use them up and lock operators out.
     """
     idle_clients = [proxy.connect_client() for _ in range(200)]
-    callers = [socket.create_connection(proxy.management) for _ in range(2 * MAX_CALLERS)]
+    callers = [socket.create_connection(proxy.admin_address) for _ in range(2 * MAX_CALLERS)]
     for caller in callers:
         caller.sendall(b"GET /v1/rea")
     assert proxy.call("GET", "/v1/readyz")[0] == 200
--- a/tests/proxy_harness.py
+++ b/tests/proxy_harness.py
@@ -193,7 +193,7 @@
             assert line, "the proxy ended before it listened"
             if match := re.search(r"(listens|management) at ([\d.]+):(\d+)", line):
                 found[match.group(1)] = match.group(2), int(match.group(3))
-        self.address, self.management = found["listens"], found["management"]
+        self.address, self.admin_address = found["listens"], found["management"]
 
     def make_configuration(self, **settings: Any) -> dict[str, Any]:
         merged = copy.deepcopy(SETTINGS)
@@ -224,7 +224,7 @@
     def call(self, method: str, path: str) -> tuple[int, Any]:
         """Send a call to the admin API; return the status and the decoded body."""
         with contextlib.closing(
-            http.client.HTTPConnection(*self.management, timeout=TIMEOUT_S)
+            http.client.HTTPConnection(*self.admin_address, timeout=TIMEOUT_S)
         ) as connection:
             connection.request(method, path)
             response = connection.getresponse()
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -83,7 +83,7 @@
 
 
 def test_memory_shows_the_live_account(proxy: ProxyProcess) -> None:
-    address = "{}:{}".format(*proxy.management)
+    address = "{}:{}".format(*proxy.admin_address)
     connection_ends = proxy.establish()
     output = run("memory", "--live", address).stdout
     assert len(connection_ends) == 2
@@ -252,7 +252,7 @@
 
 @pytest.mark.parametrize("proxy", [{"instances": 2}], indirect=True)
 def test_members_shows_the_view_or_why_membership_is_off(proxy: ProxyProcess) -> None:
-    address = "{}:{}".format(*proxy.management)
+    address = "{}:{}".format(*proxy.admin_address)
     assert (
         "membership is off: the operators' file does not turn it on"
         in run("members", address, code=1).stdout
@@ -267,7 +267,7 @@
     printed = ""
     # With no answer from another member, the proxy joins after 1 s, and then lists itself.
     while "(this one)" not in printed:
-        printed = run("members", "{}:{}".format(*proxy.management), code=1).stdout
+        printed = run("members", "{}:{}".format(*proxy.admin_address), code=1).stdout
     assert "members not known yet: 1\n" in printed
     assert "not synchronized" in printed
     assert "HOST:PORT" in run("members", "nowhere", code=2).stderr
