--- a/larchhaven/cli/app.py
+++ b/larchhaven/cli/app.py
@@ -182,7 +182,7 @@
     """Play a scenario and check the invariants.
 
     The invariants: each request gets one final answer, draining servers get no new requests after
-    the grace period, a request executes on one server at a time, servers in slow start are not
+    the drain grace, a request executes on one server at a time, servers in slow start are not
     overloaded, clients get MOVE before the proxy closes an established connection, and datagrams
     stay within their maximum size.
 
--- a/larchhaven/membership/update_queue.py
+++ b/larchhaven/membership/update_queue.py
@@ -17,8 +17,8 @@
 from larchhaven.membership.member_table import MemberTable
 from larchhaven.membership.messages import InfoUpdate, StateUpdate
 
-# Transmissions grow with the logarithm of the table size. Smaller tables count as this size,
-# because the logarithm of 1 is zero.
+# Limits on transmissions are proportional to the bit length of the table size, and so grow with its
+# logarithm. Smaller tables count as this size, so that the bit length is at least 2.
 _MIN_TABLE_SIZE = 2
 
 
--- a/larchhaven/model/invariants.py
+++ b/larchhaven/model/invariants.py
@@ -75,7 +75,7 @@
     for number, stamp in before.stamps.items():
         entry = member.view.get(number)
         if entry is None:
-            _fail(member.own_number, f"forgot {number}")
+            _fail(member.own_number, f"removed {number} from its view")
         if entry.stamp < stamp:
             text = f"lowered the stamp of {number}: from {stamp} to {entry.stamp}"
             _fail(member.own_number, text)
@@ -115,7 +115,7 @@
         allowed = _STATES_AFTER_DEATH
     if viewed_state not in allowed:
         viewed_name = "unknown" if viewed_state is None else viewed_state.name
-        text = f"knows {number} as {viewed_name} in the end, not as {allowed[0].name}"
+        text = f"lists {number} as {viewed_name} in its final view, not as {allowed[0].name}"
         _fail(member.own_number, text)
 
 
--- a/larchhaven/net/control/endpoint_watch.py
+++ b/larchhaven/net/control/endpoint_watch.py
@@ -84,8 +84,8 @@
         self._response: HttpResponse | None = None
         # Whether the next request asks for the complete list.
         self._needs_complete_list = False
-        # Whether the current version is not one of discovery's, or a list was invalid. If so,
-        # complete lists are polled until one is accepted.
+        # Set when discovery's address changes or ``_find_list_error`` rejects a list, so that
+        # every request asks for the complete list until one is accepted.
         self._is_out_of_sync = False
         # Number of consecutive short polls, which have no hold time: changes may have been missed.
         self._short_polls = 0
--- a/larchhaven/net/hot_restart_socket.py
+++ b/larchhaven/net/hot_restart_socket.py
@@ -161,7 +161,7 @@
         return sock
 
     def listen(self, on_accepted: Callable[[socket.socket], None]) -> None:
-        """Replace the predecessor's socket file, so that the next process connects to this one.
+        """Replace the predecessor's socket file, so that the successor connects to this one.
 
         Args:
             on_accepted: Called with the socket of each connection.
--- a/larchhaven/routing/affinity.py
+++ b/larchhaven/routing/affinity.py
@@ -131,12 +131,12 @@
             self._scheduler.emit(SendGossip(peer_index, query))
 
     def announce_start(self) -> None:
-        """Ask neighbouring proxies to resend the entries that this proxy held before its start."""
+        """Ask neighboring proxies to resend the entries that this proxy held before its start."""
         if not self.is_replicated:
             return
         for step in (-1, 1) if self._has_replica_ring else (-1,):
-            neighbour = (self._proxy_index + step) % self._proxy_count
-            self._scheduler.emit(SendGossip(neighbour, ProxyStarted()))
+            neighbor = (self._proxy_index + step) % self._proxy_count
+            self._scheduler.emit(SendGossip(neighbor, ProxyStarted()))
 
     def answer_start(self, peer_index: int, established: Sequence[bytes]) -> None:
         """Send a proxy that has just started the entries that it should hold.
--- a/larchhaven/testbed/invariant_checker.py
+++ b/larchhaven/testbed/invariant_checker.py
@@ -205,7 +205,7 @@
         late_us = record.at_us - server.draining_since_us - self.limits.drain_grace_us
         if late_us > self.limits.slack_us:
             arrival = f"request {record.request_id} reached draining {record.server_name}"
-            text = f"{arrival} {late_us // 1000} ms after the drain grace period"
+            text = f"{arrival} {late_us // 1000} ms after the drain grace"
             self._report(Invariant.DRAIN, record, text)
 
     def _on_established(self, record: EventRecord) -> None:
--- a/tests/model/planted_faults.py
+++ b/tests/model/planted_faults.py
@@ -114,7 +114,11 @@
             super().apply_state(update)
 
     def apply_info(self, update: InfoUpdate) -> None:
-        """Ignore the update: infos would still distinguish the two processes."""
+        """Ignore infos about the local member, such as that of the earlier process.
+
+        The inherited method refutes that info with a larger incarnation. This would also override
+        the earlier process's stamp, and the search would not find the fault.
+        """
 
 
 class IgnoresEarlierProcess(Membership):
--- a/tests/routing/test_large_fleets.py
+++ b/tests/routing/test_large_fleets.py
@@ -206,7 +206,7 @@
 def test_rolling_restart_keeps_the_sticky_entries() -> None:
     """A proxy that restarts is sent the entries that it held for others.
 
-    If it is sent only its neighbour's own connections, the four replica holders of a connection
+    If it is sent only its neighbor's own connections, the four replica holders of a connection
     lose its entry one after the other. In two rolling releases, 114 of the 2,491 connections that
     were moved found no replica holder.
     """
